--- a/balancer.go
+++ b/balancer.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 	"topazfall/internal/decide/ramp"
 	"topazfall/internal/decide/share"
 )
@@ -156,7 +156,7 @@
 	w.own, w.lastTry, w.silent = append(w.own, a), b.now, cmp.Or(w.silent, b.now)
 	b.copies = min(b.copies+1./spares, 1)
 	b.do(Action{Kind: Send, Request: r.id, Worker: w.ID})
-	b.tell(hearsay.Sent, a)
+	b.tell(gossip.Sent, a)
 	b.follow(r, a)
 }
 
@@ -179,7 +179,7 @@
 	}
 	r := a.r
 	a.done, a.notRun, a.broken, r.out = true, e.Outcome.NotRun(), e.Outcome == Severed, r.out-1
-	b.tell(hearsay.Ended, a)
+	b.tell(gossip.Ended, a)
 	b.judge(a, e)
 	a.w.own = slices.DeleteFunc(a.w.own, func(o *attempt) bool { return o == a })
 	switch {
@@ -643,7 +643,7 @@
 	w := b.workers[l.ID]
 	if w == nil {
 		k := b.kind(l.Kind)
-		w = &worker{kind: k, pace: k.pace, held: -1, rank: b.rank(l), name: hearsay.Name(l.ID)}
+		w = &worker{kind: k, pace: k.pace, held: -1, rank: b.rank(l), name: gossip.Name(l.ID)}
 		w.p, w.tails = k.p, k.tails
 		b.workers[l.ID] = w
 	}
@@ -681,7 +681,7 @@
 	if b.s.LiveWeights { // the list keeps more of them fresh than own jobs can
 		size = max(size, 2*smallest)
 	}
-	start := hearsay.Window(b.s.Me, b.s.Dispatchers, len(b.ranked))
+	start := gossip.Window(b.s.Me, b.s.Dispatchers, len(b.ranked))
 	have := map[string]bool{}
 	b.buddies, b.others, b.reach = b.buddies[:0], b.others[:0], 0
 	for i := range b.ranked {
--- a/cmd/topazfall-agent/agent_test.go
+++ b/cmd/topazfall-agent/agent_test.go
@@ -21,7 +21,7 @@
 	pb "topazfall/internal/control/controlpb"
 	"topazfall/internal/control/controlpb/controlpbconnect"
 	lab "topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/resolver"
@@ -44,7 +44,7 @@
 type stage struct {
 	*testing.T
 	dns     *resolver.Resolver
-	list    *discovery.Server // nil where there is none
+	list    *discoveryserver.Server // nil where there is none
 	hosts   []*host.Host
 	program *program.Process
 	api     controlpbconnect.ControlClient
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	t.Cleanup(s.dns.Close)
 	if roster {
-		s.list, err = discovery.Start()
+		s.list, err = discoveryserver.Start()
 		require.NoError(t, err)
 		t.Cleanup(s.list.Close)
 		s.list.Set()
@@ -220,9 +220,9 @@
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	load.Go(func() { s.load(stop) })
-	entry := func(health string) discovery.Entry {
-		return discovery.Entry{Host: s.hosts[0].Name(), Dial: s.hosts[0].Addresses()[0], Site: "hall-a", Class: "small",
-			Share: 1, Health: health}
+	entry := func(health string) discoveryserver.Entry {
+		return discoveryserver.Entry{Host: s.hosts[0].Name(), Dial: s.hosts[0].Addresses()[0], Site: "hall-a",
+			Class: "small", Share: 1, Health: health}
 	}
 	for _, health := range []string{"draining", "removed"} {
 		s.eventually("it is in use", func() bool { return time.Since(s.hosts[0].Last()) < 50*time.Millisecond })
--- a/cmd/topazfall-agent/installation_test.go
+++ b/cmd/topazfall-agent/installation_test.go
@@ -20,7 +20,7 @@
 	pb "topazfall/internal/control/controlpb"
 	"topazfall/internal/control/controlpb/controlpbconnect"
 	"topazfall/internal/decide/configlog"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/link"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/rig"
@@ -90,10 +90,10 @@
 	for i := range followers {
 		s.followers = append(s.followers, fmt.Sprint("f", i))
 	}
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
-	list.Set(discovery.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	list.Set(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	dir, err := os.MkdirTemp("", "rig") // a name that is short enough for a socket
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
--- a/cmd/topazfall/addresses_test.go
+++ b/cmd/topazfall/addresses_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 )
@@ -19,7 +19,7 @@
 // stage is the program among stand-ins.
 type stage struct {
 	*testing.T
-	list    *discovery.Server
+	list    *discoveryserver.Server
 	hosts   []*host.Host
 	program *program.Process
 	client  *client.Client
@@ -31,7 +31,7 @@
 // host is tried by first, before IPv4.
 func enact(t *testing.T, hosts int, o program.Options) *stage {
 	t.Parallel()
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
 	s := &stage{T: t, list: list}
@@ -65,8 +65,8 @@
 }
 
 // entry lists a host, by its addresses: the socket file comes first of all, whatever the order.
-func entry(h *host.Host) discovery.Entry {
-	return discovery.Entry{Host: h.Name(), Addresses: h.Addresses(), Site: "hall-a", Class: "small", Share: 1}
+func entry(h *host.Host) discoveryserver.Entry {
+	return discoveryserver.Entry{Host: h.Name(), Addresses: h.Addresses(), Site: "hall-a", Class: "small", Share: 1}
 }
 
 func (s *stage) fault(door int, f host.Fault) {
--- a/cmd/topazfall/crowd_test.go
+++ b/cmd/topazfall/crowd_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 )
@@ -148,12 +148,12 @@
 	for _, d := range []struct {
 		name           string
 		limit, sockets int
-		fault          discovery.Fault
+		fault          discoveryserver.Fault
 		clients        int
 	}{
-		{"the smallest limit", 256, 256, discovery.Silent, 400},
-		{"the system's limit is the smaller one", 256, 1024, discovery.Refuse, 400},
-		{"less than the smallest", 96, 256, discovery.Silent, 200},
+		{"the smallest limit", 256, 256, discoveryserver.Silent, 400},
+		{"the system's limit is the smaller one", 256, 1024, discoveryserver.Refuse, 400},
+		{"less than the smallest", 96, 256, discoveryserver.Silent, 200},
 	} {
 		t.Run(d.name, func(t *testing.T) {
 			o := program.Options{Sockets: d.sockets, Descriptors: d.limit, Probe: true}
@@ -177,7 +177,7 @@
 			first := entry(s.hosts[0])
 			first.Health = "draining"
 			s.list.Set(entry(second), first)
-			s.list.SetFault(discovery.None)
+			s.list.SetFault(discoveryserver.None)
 			back := time.Now()
 			s.eventually("the list is read", func() bool { return s.figure("app_discovered") == 2 })
 			require.Less(t, time.Since(back), 6*time.Second)
--- a/cmd/topazfall/restart_test.go
+++ b/cmd/topazfall/restart_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/takeover"
@@ -116,8 +116,8 @@
 	return b.Bytes()
 }
 
-func listener(t *testing.T) *discovery.Server {
-	list, err := discovery.Start()
+func listener(t *testing.T) *discoveryserver.Server {
+	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
 	return list
@@ -158,7 +158,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			list := listener(t)
-			list.SetFault(discovery.Silent)
+			list.SetFault(discoveryserver.Silent)
 			f := newFakePredecessor(t, behave)
 			p := launch(t, program.Options{Dir: f.dir, Listen: f.clients.Addr().String(), Discovery: list.Address(),
 				Deadline: time.Second})
@@ -324,8 +324,8 @@
 // call in ten; they know of no worker, or of an old list; lists come unasked or must be asked for. Nine in ten are
 // ready within the bound, and all in less than the longest that the platform waits.
 func testManyRestartedAtOnce(t *testing.T) {
-	faults := map[string]discovery.Fault{"silent": discovery.Silent, "slow": discovery.Slow,
-		"refusing": discovery.Refuse, "crowded": discovery.Crowded, "down": discovery.None}
+	faults := map[string]discoveryserver.Fault{"silent": discoveryserver.Silent, "slow": discoveryserver.Slow,
+		"refusing": discoveryserver.Refuse, "crowded": discoveryserver.Crowded, "down": discoveryserver.None}
 	var starts []program.Options
 	for name, fault := range faults {
 		list := listener(t)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 )
 
 // tier is many balancers over one fleet that share nothing, as on as many machines.
@@ -277,15 +277,15 @@
 	s := settings()
 	s.Allowed.PeerMessages = true
 	r := newRig(t, s, fleet(6)...)
-	word := func(op hearsay.Op, at int64, host string) []byte {
-		return hearsay.Word{Op: op, At: at, Host: hearsay.Name(host)}.Append(nil)
+	word := func(op gossip.Op, at int64, host string) []byte {
+		return gossip.Word{Op: op, At: at, Host: gossip.Name(host)}.Append(nil)
 	}
 	odd := []Event{
 		{From: 1}, {From: 1, Data: []byte("x")}, {From: 1, Data: make([]byte, 256)},
-		{From: 1, Data: word(hearsay.Failed, r.now, "unknown")}, {From: 1, Data: word(9, r.now, "w0")},
-		{From: 1, Data: word(hearsay.Failed, r.now-hearsay.Oldest-100e3, "w0")},
-		{From: 0, Data: word(hearsay.Sent, r.now, "w0")},
-		{From: -1, Data: word(hearsay.Failed, r.now, "w0")},
+		{From: 1, Data: word(gossip.Failed, r.now, "unknown")}, {From: 1, Data: word(9, r.now, "w0")},
+		{From: 1, Data: word(gossip.Failed, r.now-gossip.Oldest-100e3, "w0")},
+		{From: 0, Data: word(gossip.Sent, r.now, "w0")},
+		{From: -1, Data: word(gossip.Failed, r.now, "w0")},
 	}
 	for _, e := range odd {
 		e.Kind = PeerMessage
@@ -298,7 +298,7 @@
 		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.Unheeded(), len(odd), w.errors, w.told.Since(0))
 	}
 	for range 1000 { // a forger makes a worker look busy until the next list, and no more
-		r.on(Event{Kind: PeerMessage, From: 1, Data: word(hearsay.Sent, r.now, "w0")})
+		r.on(Event{Kind: PeerMessage, From: 1, Data: word(gossip.Sent, r.now, "w0")})
 	}
 	_, acts := r.arrive(unsafe)
 	if got := r.sends(acts).Worker; got == "w0" {
@@ -492,7 +492,7 @@
 	for range 3 {
 		for _, w := range r.b.ranked {
 			r.on(Event{Kind: PeerMessage, From: 1,
-				Data: hearsay.Word{Op: hearsay.Failed, At: r.now, Host: w.name}.Append(nil)})
+				Data: gossip.Word{Op: gossip.Failed, At: r.now, Host: w.name}.Append(nil)})
 		}
 	}
 	if n := r.b.Avoided(r.now); n != 30/restByWord {
--- a/hearsay.go
+++ b/gossip.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 	"topazfall/internal/decide/ramp"
 )
 
-// What dispatchers tell each other of workers, between the module and internal/decide/hearsay, which says whom. What it
+// What dispatchers tell each other of workers, between the module and internal/decide/gossip, which says whom. What it
 // means for a choice is in balancer.go; how much of it is believed at once is here.
 
 // restByWord bounds what words can do: while one in so many of the listed workers rests, none goes to rest for a word
@@ -19,11 +19,11 @@
 // looks freer than others, and each would send there. What is short has mostly ended before the list is heard again. Of
 // a cold worker all is told, as what it bears is spent together. What was sent is kept for this dispatcher's own
 // account as well.
-func (b *Balancer) tell(op hearsay.Op, a *attempt) {
-	if op == hearsay.Sent {
+func (b *Balancer) tell(op gossip.Op, a *attempt) {
+	if op == gossip.Sent {
 		a.w.sent.Add(ramp.Sent{At: b.now, Work: a.r.work, Own: true}, b.s.Contract.FallTime)
 	}
-	if op == hearsay.Sent && b.hasPeers() && a.w.listed {
+	if op == gossip.Sent && b.hasPeers() && a.w.listed {
 		final := a.r.class.Repeat == Unsafe && a.r.work > b.jobTime
 		a.told = b.cold(a.w) || final || 2*a.r.work > b.jobTime && b.region(a.w) > 0
 	}
@@ -34,9 +34,9 @@
 
 // inform lets those know of an attempt who may send to its worker as well: its users of this turn and of the next,
 // where it was cold, else its sharers.
-func (b *Balancer) inform(op hearsay.Op, a *attempt) {
-	word := hearsay.Word{Op: op, At: b.now, Host: a.w.name, Work: int64(a.r.work)}
-	if op == hearsay.Sent && b.cold(a.w) {
+func (b *Balancer) inform(op gossip.Op, a *attempt) {
+	word := gossip.Word{Op: op, At: b.now, Host: a.w.name, Work: int64(a.r.work)}
+	if op == gossip.Sent && b.cold(a.w) {
 		a.turn, _, _ = b.coldTurn(a.w)
 		a.turn.Users++ // the first of the next turn
 	}
@@ -53,13 +53,13 @@
 }
 
 // informSharers lets those know who have a worker among their buddies, if as many are out for them as for this one.
-func (b *Balancer) informSharers(word hearsay.Word, w *worker) {
+func (b *Balancer) informSharers(word gossip.Word, w *worker) {
 	if !w.listed {
 		return
 	}
 	data := word.Append(nil)
 	place := slices.Index(b.ranked, w)
-	hearsay.Sharers(place, len(b.ranked), b.reach, b.s.Me, b.s.Dispatchers, func(peer int) {
+	gossip.Sharers(place, len(b.ranked), b.reach, b.s.Me, b.s.Dispatchers, func(peer int) {
 		b.do(Action{Kind: TellPeer, Peer: peer, Data: data})
 	})
 }
@@ -72,14 +72,14 @@
 // price at each of hundreds, of whom a dozen or two will ever send there.
 func (b *Balancer) fault(w *worker) {
 	if b.hasPeers() {
-		b.informSharers(hearsay.Word{Op: hearsay.Failed, At: b.now, Host: w.name}, w)
+		b.informSharers(gossip.Word{Op: gossip.Failed, At: b.now, Host: w.name}, w)
 	}
 	b.blame(w)
 }
 
 // hear takes what another dispatcher tells. What is odd, old or of an unknown worker is dropped, and counted.
 func (b *Balancer) hear(e *Event) {
-	word, err := hearsay.Parse(e.Data, b.now)
+	word, err := gossip.Parse(e.Data, b.now)
 	known := false
 	if err == nil && e.From >= 0 && e.From != b.s.Me {
 		for _, w := range b.ranked {
@@ -94,21 +94,21 @@
 	}
 }
 
-func (b *Balancer) heed(word hearsay.Word, w *worker) {
+func (b *Balancer) heed(word gossip.Word, w *worker) {
 	switch word.Op {
-	case hearsay.Sent:
+	case gossip.Sent:
 		w.told.Add(word.At, 1)
 		w.sent.Add(ramp.Sent{At: b.now, Work: float64(word.Work)}, b.s.Contract.FallTime)
-	case hearsay.Ended:
+	case gossip.Ended:
 		w.told.Add(word.At, -1)
-	case hearsay.Failed:
+	case gossip.Failed:
 		resting := 0
 		for _, other := range b.ranked {
 			if b.now < other.downUntil {
 				resting++
 			}
 		}
-		if restByWord*resting < len(b.ranked) { // hearsay must not leave nobody to serve
+		if restByWord*resting < len(b.ranked) { // gossip must not leave nobody to serve
 			b.blame(w)
 		}
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -123,7 +123,7 @@
 	}
 	a.store.Manage()
 	a.shared = i
-	a.parts.Figures.Extend(i.sync.WriteMetrics)
+	a.parts.Metrics.Extend(i.sync.WriteMetrics)
 	return nil
 }
 
--- a/internal/decide/hearsay/hearsay.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,11 +1,12 @@
-// Package hearsay decides what dispatchers tell each other of the hosts that they share, whom, and how long it counts.
-// It does no I/O and reads no clock; times are microseconds of a clock that all machines have in common.
+// Package gossip decides what dispatchers tell each other about the workers that they share, which peers they tell, and
+// how long a message counts. It does no I/O and reads no clock; times are microseconds of a clock that all machines
+// have in common.
 //
-// A word says that the sender has sent a message to a host, that one has ended there, or that the host has failed one.
-// A list of hosts tells the load of each as it was some time ago; what the few that share a host have done since then
-// is what it cannot tell. A word that is lost, doubled or forged makes a host look by one message more or less loaded
-// until the next list, and no host is ever used because of a word.
-package hearsay
+// A message says that the sender has sent a job to a worker, that a job has ended there, or that the worker has failed
+// one. The worker list gives the load of each worker as it was some time ago; it cannot tell what the few dispatchers
+// that share a worker have done since then. A message that is lost, duplicated or forged makes a worker look one job
+// more or less loaded until the next list, and no worker is ever used because of a message.
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/decide/hearsay/hearsay_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package hearsay
+package gossip
 
 import (
 	"fmt"
--- a/internal/decide/custody/keeper.go
+++ b/internal/decide/ownership/keeper.go
@@ -1,4 +1,4 @@
-package custody
+package ownership
 
 import "slices"
 
--- a/internal/decide/custody/custody.go
+++ b/internal/decide/ownership/ownership.go
@@ -1,17 +1,18 @@
-// Package custody decides who may do what with a message whose dispatcher may die. It does no I/O and reads no clock.
+// Package ownership decides which dispatcher may do what with a message whose dispatcher may die. It does no I/O and
+// reads no clock.
 //
 // Each message has three keepers among the instances of an installation (see Keepers). A keeper holds a register for
-// it: how far the message has got, by the word of the one that owns it. An owner changes the register by a Write that
-// two of the three acknowledge; before the first byte of a relay that must not run twice leaves, and before the first
-// byte of a final answer, it must have done so. Another takes over by a Claim with a higher epoch: two keepers promise
-// to take nothing of a lower one any more, and say what they hold. The latest of that is how far the message had got.
-// As any two of three have one in common, the new owner sees whatever the old one was permitted, and the old one is
-// permitted nothing more, wherever it was stopped.
+// the message: its progress as reported by the owner. An owner changes the register by a Write that two of the three
+// keepers acknowledge; it must have done so before the first byte of a relay that must not run twice leaves, and before
+// the first byte of a final answer. Another instance takes over by a Claim with a higher epoch: two keepers promise to
+// accept nothing of a lower epoch any more, and return what they hold. The latest of these is how far the message had
+// got. As any two quorums of two out of three have a keeper in common, the new owner sees whatever the old one was
+// permitted, and the old one is permitted nothing more, wherever it was stopped.
 //
-// A keeper that starts again has forgotten what it acknowledged. It is another incarnation, and votes on nothing until
-// both other keepers have told it what they hold. From then on they say of it that it is another, so that an
-// acknowledgement of the life before is not counted beside one of theirs that came later.
-package custody
+// A keeper that restarts has forgotten what it acknowledged. It is a new incarnation, and does not vote until both
+// other keepers have told it what they hold. From then on they report it as a new incarnation, so that an
+// acknowledgement of its previous life is not counted beside a later one of theirs.
+package ownership
 
 import (
 	"cmp"
--- a/internal/inventory/inventory.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package inventory follows discovery's list of hosts: the copy known from before a restart first, then a
-// watch whose next call follows at once on each answer. When to call, and for how long the list may be relied
-// on, decide/refresh says.
-package inventory
+// Package discovery follows the worker list of the discovery service: it starts from the copy known before a restart,
+// then keeps a watch open whose next call follows at once on each answer. Package decide/refresh decides when to call
+// and how long the list may be relied on.
+package discovery
 
 import (
 	"errors"
--- a/internal/inventory/inventory_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package inventory
+package discovery
 
 import (
 	"log/slog"
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -12,7 +12,7 @@
 	"topazfall"
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 // South carries relays to hosts. Its methods return at once.
@@ -56,7 +56,7 @@
 	news      chan func() // of the inventory: a host that drains gets nothing new that is decided after it was heard
 	ops       chan func()
 	inHand    atomic.Int64
-	figures   *figures.Figures
+	metrics   *metrics.Metrics
 
 	// The dispatch goroutine's own from here on.
 	number  uint64
@@ -74,7 +74,7 @@
 }
 
 // New returns a core for these settings that counts in f.
-func New(s topazfall.Settings, f *figures.Figures) (*Core, error) {
+func New(s topazfall.Settings, f *metrics.Metrics) (*Core, error) {
 	b, err := topazfall.New(s)
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 		f.AddClasses(k.Name)
 	}
 	return &Core{Clock: NewClock(), balancer: b, settings: s, classes: s.Classes, tenants: s.Tenants,
-		ops: make(chan func(), 1024), news: make(chan func(), 16), figures: f,
+		ops: make(chan func(), 1024), news: make(chan func(), 16), metrics: f,
 		byID: map[string]*exchange.Exchange{}, byNum: map[uint64]*exchange.Exchange{},
 		known: map[string]bool{}, hosts: map[string]*exchange.Host{},
 		listed: map[string]topazfall.Worker{}, claims: addresses.NewClaims()}, nil
@@ -94,7 +94,7 @@
 
 // Heard takes what another dispatcher tells, or, with a number below 0, somebody who is none.
 func (c *Core) Heard(from int, data []byte) {
-	c.figures.Words.Add(1)
+	c.metrics.Words.Add(1)
 	c.ops <- func() { c.feed(topazfall.Event{Kind: topazfall.PeerMessage, From: from, Data: data}) }
 }
 
@@ -139,8 +139,8 @@
 const lookTime = 200_000
 
 func (c *Core) look() {
-	c.figures.Ejected.Store(int64(c.balancer.Avoided(c.Now())))
-	c.figures.Unheeded.Store(int64(c.balancer.Unheeded()))
+	c.metrics.Ejected.Store(int64(c.balancer.Avoided(c.Now())))
+	c.metrics.Unheeded.Store(int64(c.balancer.Unheeded()))
 	c.after(c.Now()+lookTime, c.look)
 }
 
@@ -155,7 +155,7 @@
 // first has ended as well, since hosts may still tell of it, and must not be asked to run it again.
 func (c *Core) Arrive(x *exchange.Exchange) {
 	c.inHand.Add(1)
-	c.figures.Outstanding.Add(1)
+	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
 		if x.HasLeft() {
 			c.finish(x, exchange.Answer{Verdict: exchange.Failed})
@@ -235,7 +235,7 @@
 			}
 		}
 		c.settleClaims()
-		c.figures.Discovered.Store(int64(len(c.hosts)))
+		c.metrics.Discovered.Store(int64(len(c.hosts)))
 		c.feed(topazfall.Event{Kind: kind, List: workers})
 	}
 }
@@ -437,16 +437,16 @@
 		return false
 	}
 	c.inHand.Add(-1)
-	c.figures.Outstanding.Add(-1)
+	c.metrics.Outstanding.Add(-1)
 	if e, ok := endings[a.Verdict]; ok {
-		c.figures.End(x.Class, e)
+		c.metrics.End(x.Class, e)
 	}
 	return true
 }
 
 // endings says how a verdict counts. A message that was not taken is no job.
-var endings = map[exchange.Verdict]figures.Ending{exchange.Served: figures.Succeeded,
-	exchange.Refused: figures.Declined, exchange.Failed: figures.Aborted, exchange.TimedOut: figures.Aborted}
+var endings = map[exchange.Verdict]metrics.Ending{exchange.Served: metrics.Succeeded,
+	exchange.Refused: metrics.Declined, exchange.Failed: metrics.Aborted, exchange.TimedOut: metrics.Aborted}
 
 // forget drops an exchange that owes and awaits nothing any more.
 func (c *Core) forget(x *exchange.Exchange) {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 	"topazfall"
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 // side stands in for the south side and the inventory: it keeps what it is given.
@@ -45,7 +45,7 @@
 }
 
 func startOn(t *testing.T, settings topazfall.Settings, hosts ...string) (*Core, side) {
-	c, err := New(settings, &figures.Figures{})
+	c, err := New(settings, &metrics.Metrics{})
 	require.NoError(t, err)
 	s := side{make(chan *exchange.Relay, 9), make(chan *exchange.Relay, 9)}
 	go c.Run(s, s)
@@ -110,7 +110,7 @@
 // A client leaves while the core has other things to do: nothing is sent for it any more, though its leaving is not
 // dealt with.
 func TestNoStartAfterTheClientLeft(t *testing.T) {
-	c, err := New(settings(nil), &figures.Figures{}) // and it does not run
+	c, err := New(settings(nil), &metrics.Metrics{}) // and it does not run
 	require.NoError(t, err)
 	x := message(c, "1", time.Minute)
 	r := x.Relay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -100,7 +100,7 @@
 	x := exchange.For(client, b.Message)
 	x.Look()
 	c.inHand.Add(1)
-	c.figures.Outstanding.Add(1)
+	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
 		named := func(k topazfall.Class) bool { return k.Name == b.ClassIs.Name }
 		if !slices.ContainsFunc(c.classes, named) {
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -60,7 +60,7 @@
 func (c *Core) addClasses(now []topazfall.Class) {
 	c.classes = topazfall.AppendClasses(c.classes, now)
 	for _, k := range now {
-		c.figures.AddClasses(k.Name)
+		c.metrics.AddClasses(k.Name)
 	}
 	s := c.settings
 	s.Classes, s.Tenants = c.classes, c.tenants
--- a/internal/north/departure_test.go
+++ b/internal/frontend/departure_test.go
@@ -1,4 +1,4 @@
-package north
+package frontend
 
 import (
 	"fmt"
--- a/internal/north/north.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package north is the clients' side: it takes messages in over HTTP, waits for their one final answer and
-// writes it. The hosts' call-backs come to the same address and are handed on.
-package north
+// Package frontend is the client-facing HTTP server: it accepts requests, waits for the one final answer to each and
+// writes it. Workers send their callbacks to the same address; they are passed on to the upstream side.
+package frontend
 
 import (
 	"bufio"
@@ -21,7 +21,7 @@
 	"topazfall/internal/decide/affinity"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 const (
@@ -45,7 +45,7 @@
 	Conns    int // connections at a time
 	Messages int // messages in hand, each with its connection; the rest are for call-backs
 	Large    int // requests of more than 16 KiB that are read or in hand
-	Figures  *figures.Figures
+	Metrics  *metrics.Metrics
 }
 
 // Side is the north side.
@@ -309,7 +309,7 @@
 	c.presence = &presence{conn: c.Conn}
 	left := c.presence.Left() // such a message may have lain in the socket for long
 	if !c.prove(true) {       // its connection had to go for another: nothing is done for it
-		n.o.Figures.End(m.Class, figures.Declined)
+		n.o.Metrics.End(m.Class, metrics.Declined)
 		ctx.SetConnectionClose()
 		say(ctx, fasthttp.StatusServiceUnavailable, "not taken")
 		return
@@ -325,7 +325,7 @@
 	// answer lost.
 	x := n.take(exchange.For(c.presence, m))
 	if x == nil {
-		n.o.Figures.End(m.Class, figures.Declined)
+		n.o.Metrics.End(m.Class, metrics.Declined)
 		ctx.SetConnectionClose()
 		say(ctx, fasthttp.StatusServiceUnavailable, "not taken")
 		return
--- a/internal/north/leaving_test.go
+++ b/internal/frontend/leaving_test.go
@@ -1,4 +1,4 @@
-package north
+package frontend
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 const patience = 20 * time.Second // no verdict hangs on how fast a machine is
@@ -62,12 +62,12 @@
 	s := topazfall.Settings{Dispatchers: 1, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "job", Deadline: 60e6, Aim: 60e6}},
 		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3, Cancel: true}}
-	f := &figures.Figures{}
+	f := &metrics.Metrics{}
 	core, err := dispatch.New(s, f)
 	require.NoError(t, err)
 	d := &dispatcher{T: t, core: core, addr: ln.Addr().String(),
 		hosts: hosts{make(chan *exchange.Relay, 9), make(chan *exchange.Relay, 9), &atomic.Bool{}, make(chan bool, 9)}}
-	d.side = New(ln, core, d.hosts, &s, Options{Conns: 9, Messages: 9, Large: 9, Figures: f})
+	d.side = New(ln, core, d.hosts, &s, Options{Conns: 9, Messages: 9, Large: 9, Metrics: f})
 	go core.Run(d.hosts, d.hosts)
 	go d.side.Serve()
 	t.Cleanup(func() {
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -11,7 +11,7 @@
 	"topazfall/internal/decide/sources"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 type nothing struct{}
@@ -28,7 +28,7 @@
 func start(t testing.TB) (*dispatch.Core, *List) {
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "a", Deadline: 60e6, Aim: 60e6}},
-		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}, &figures.Figures{})
+		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}, &metrics.Metrics{})
 	require.NoError(t, err)
 	go core.Run(nothing{}, nothing{})
 	l := New(core)
--- a/internal/instance/handover.go
+++ b/internal/instance/handover.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"topazfall/internal/config"
+	"topazfall/internal/discovery"
 	"topazfall/internal/dispatch"
-	"topazfall/internal/inventory"
-	"topazfall/internal/north"
-	"topazfall/internal/south"
+	"topazfall/internal/frontend"
 	"topazfall/internal/takeover"
+	"topazfall/internal/upstream"
 )
 
 const (
@@ -29,9 +29,9 @@
 	path     string // of the socket at which successors find this process
 	listener net.Listener
 	core     *dispatch.Core
-	workers  *south.Side
-	clients  *north.Side
-	list     *inventory.Watch
+	workers  *upstream.Side
+	clients  *frontend.Side
+	list     *discovery.Watch
 	settings tenantSettings
 
 	mu               sync.Mutex
--- a/internal/instance/handover_test.go
+++ b/internal/instance/handover_test.go
@@ -10,21 +10,21 @@
 
 	"topazfall"
 	"topazfall/internal/config"
+	"topazfall/internal/discovery"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
-	"topazfall/internal/inventory"
-	"topazfall/internal/north"
-	"topazfall/internal/south"
+	"topazfall/internal/frontend"
+	"topazfall/internal/metrics"
 	"topazfall/internal/takeover"
+	"topazfall/internal/upstream"
 )
 
 // formerState, formerConnection and formerHeld are what the first version with a hand-over sends and reads.
 type (
 	formerState struct {
-		List      inventory.Legacy
+		List      discovery.Legacy
 		Core      dispatch.Legacy
-		Addresses south.Legacy
+		Addresses upstream.Legacy
 	}
 	formerConnection struct {
 		Proven, Client, More bool
@@ -44,7 +44,7 @@
 
 // What a process says to one of the first version with a hand-over, and that to it, loses nothing on the way.
 func TestTransferWithTheFormerVersion(t *testing.T) {
-	list := inventory.Legacy{Discovery: "127.0.0.1:1", Seq: 41, Hosts: map[string]dispatch.Entry{
+	list := discovery.Legacy{Discovery: "127.0.0.1:1", Seq: 41, Hosts: map[string]dispatch.Entry{
 		"s-a": {Worker: topazfall.Worker{ID: "s-a", Zone: "hall", Weight: 2}, Addr: "127.0.0.1:2"}}}
 	core := dispatch.Legacy{Known: []string{"one", "tw\xffo"}}
 	require.Equal(t, formerState{List: list, Core: core},
@@ -143,13 +143,13 @@
 	s := topazfall.Settings{Dispatchers: 1, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "job", Deadline: 1e6, Aim: 1e6}},
 		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}
-	counts := &figures.Figures{}
+	counts := &metrics.Metrics{}
 	core, err := dispatch.New(s, counts)
 	require.NoError(t, err)
 	c := &config.Config{Sockets: 256, Settings: s}
 	out, in := bounds(c)
-	workers := south.New(core, south.Options{Conns: out, Figures: counts})
-	clients := north.New(ln, core, workers, &s, in)
+	workers := upstream.New(core, upstream.Options{Conns: out, Metrics: counts})
+	clients := frontend.New(ln, core, workers, &s, in)
 	h := &handover{config: c, workers: workers, clients: clients, predecessor: &takeover.Link{}}
 	for _, says := range []held{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
 		h.fromPredecessor(takeover.Frame{Kind: frameHeld, Body: encode(says)}, func() {})
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -17,14 +17,14 @@
 	"topazfall"
 	"topazfall/internal/config"
 	"topazfall/internal/decide/refresh"
+	"topazfall/internal/discovery"
 	"topazfall/internal/dispatch"
-	"topazfall/internal/figures"
-	"topazfall/internal/inventory"
+	"topazfall/internal/frontend"
 	"topazfall/internal/manage"
-	"topazfall/internal/north"
+	"topazfall/internal/metrics"
 	"topazfall/internal/peers"
-	"topazfall/internal/south"
 	"topazfall/internal/takeover"
+	"topazfall/internal/upstream"
 )
 
 const closeTime = time.Second // for what is still being written when all has its answer
@@ -36,8 +36,8 @@
 type Parts struct {
 	Config  *config.Config
 	Core    *dispatch.Core
-	Hosts   *south.Side
-	Figures *figures.Figures
+	Hosts   *upstream.Side
+	Metrics *metrics.Metrics
 	// SetTenants brings tenants into force beside those of the configuration; one that is in both is as it is here.
 	SetTenants func([]topazfall.Tenant)
 }
@@ -48,7 +48,7 @@
 // Extension is what other installations add to a dispatcher. It is started before the first list comes, and takes the
 // inventory's news in the core's place; its end is asked for when the dispatcher has left.
 type Extension interface {
-	inventory.Lister
+	discovery.Lister
 	Start(Parts) error
 	Close()
 }
@@ -57,18 +57,18 @@
 type dispatcher struct {
 	config    config.Config
 	extension Extension // nil for the bare one
-	figures   *figures.Figures
+	metrics   *metrics.Metrics
 
 	signals chan os.Signal // SIGTERM and SIGINT
 	hangups chan os.Signal // SIGHUP
 
 	core    *dispatch.Core
-	workers *south.Side
-	clients *north.Side
-	list    *inventory.Watch
+	workers *upstream.Side
+	clients *frontend.Side
+	list    *discovery.Watch
 	peers   *peers.Peers // nil where there are none
 	place   *handover
-	serving atomic.Pointer[north.Side] // clients, once the operators may see them
+	serving atomic.Pointer[frontend.Side] // clients, once the operators may see them
 
 	entrance
 	served chan error // why the accepting ended
@@ -95,7 +95,7 @@
 //  13. setReady: and only now may a successor come, which would else find a process that does not accept.
 //  14. wait for the end, and leave.
 func Run(x Extension) error {
-	d := &dispatcher{extension: x, figures: &figures.Figures{}, served: make(chan error, 1)}
+	d := &dispatcher{extension: x, metrics: &metrics.Metrics{}, served: make(chan error, 1)}
 	d.catchSignals()
 	if err := d.configure(); err != nil {
 		return err
@@ -104,7 +104,7 @@
 		return err
 	}
 	if d.config.Management != "" {
-		serveOperators(d.config.Management, d.ready, d.figures)
+		serveOperators(d.config.Management, d.ready, d.metrics)
 	}
 	if err := d.enter(); err != nil {
 		return err
@@ -163,11 +163,11 @@
 
 // build makes the core and the side of the workers.
 func (d *dispatcher) build() (err error) {
-	if d.core, err = dispatch.New(d.config.Settings, d.figures); err != nil {
+	if d.core, err = dispatch.New(d.config.Settings, d.metrics); err != nil {
 		return err
 	}
 	conns, _ := bounds(&d.config)
-	d.workers = south.New(d.core, south.Options{Times: times(&d.config), Conns: conns, Figures: d.figures,
+	d.workers = upstream.New(d.core, upstream.Options{Times: times(&d.config), Conns: conns, Metrics: d.metrics,
 		Seed: d.config.Settings.Seed})
 	return nil
 }
@@ -183,13 +183,13 @@
 func (d *dispatcher) assemble() {
 	settings := &d.config.Settings
 	_, clients := bounds(&d.config)
-	clients.Figures = d.figures
-	d.clients = north.New(d.listener, d.core, d.workers, settings, clients)
-	var news inventory.Lister = d.core
+	clients.Metrics = d.metrics
+	d.clients = frontend.New(d.listener, d.core, d.workers, settings, clients)
+	var news discovery.Lister = d.core
 	if d.extension != nil {
 		news = d.extension
 	}
-	d.list = inventory.New(d.config.Discovery, news, discoveryTerms(&d.config))
+	d.list = discovery.New(d.config.Discovery, news, discoveryTerms(&d.config))
 	d.list.SetHolder(d.core)
 	d.place = &handover{config: &d.config, path: takeover.Path(d.config.Name, d.config.Listen), listener: d.listener,
 		core: d.core, workers: d.workers, clients: d.clients, list: d.list}
@@ -227,7 +227,7 @@
 	if d.extension == nil {
 		return nil
 	}
-	return d.extension.Start(Parts{&d.config, d.core, d.workers, d.figures, d.place.setTenants})
+	return d.extension.Start(Parts{&d.config, d.core, d.workers, d.metrics, d.place.setTenants})
 }
 
 func (d *dispatcher) closeExtension() {
@@ -256,7 +256,7 @@
 	if d.extension == nil || d.config.Discovery != noDiscovery {
 		go d.list.Run()
 	}
-	go d.place.reload(d.hangups, d.figures)
+	go d.place.reload(d.hangups, d.metrics)
 }
 
 func (d *dispatcher) serve() { d.served <- d.clients.Serve() }
@@ -295,21 +295,21 @@
 }
 
 // times are the limits in time that the configuration sets for connections to hosts.
-func times(c *config.Config) south.Times {
-	return south.Times{DialTimeout: time.Duration(c.Settings.Allowed.DialTimeout) * time.Microsecond,
+func times(c *config.Config) upstream.Times {
+	return upstream.Times{DialTimeout: time.Duration(c.Settings.Allowed.DialTimeout) * time.Microsecond,
 		ConnIdle: c.ConnIdle, Probe: c.Settings.Allowed.Probe}
 }
 
 // discoveryTerms are what the configuration says of discovery.
 func discoveryTerms(c *config.Config) refresh.Terms {
-	terms := inventory.TermsOf(&c.Settings)
+	terms := discovery.TermsOf(&c.Settings)
 	terms.HoldOnRefusal = c.HoldOnRefusal
 	return terms
 }
 
 // reload takes a replaced configuration at each SIGHUP, also while the program is leaving: its settings and its
 // address of discovery, all or nothing. Addresses of our own, the name and the limits are those of the start.
-func (h *handover) reload(hangups <-chan os.Signal, counts *figures.Figures) {
+func (h *handover) reload(hangups <-chan os.Signal, counts *metrics.Metrics) {
 	now := h.config
 	for range hangups {
 		c, err := now.Reload(os.Getenv)
@@ -330,7 +330,7 @@
 }
 
 // serveOperators serves the second address. That it cannot be had now is no reason to serve no clients.
-func serveOperators(addr string, ready func() bool, counts *figures.Figures) {
+func serveOperators(addr string, ready func() bool, counts *metrics.Metrics) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		slog.Warn("manage", "listen", addr, "error", err)
--- a/internal/instance/leaving.go
+++ b/internal/instance/leaving.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"topazfall"
-	"topazfall/internal/north"
+	"topazfall/internal/frontend"
 )
 
 const (
@@ -86,7 +86,7 @@
 		return false
 	}
 	l.Send(frameKnownIDs, encode(h.core.Legacy().Known), nil)
-	h.clients.PassOn(func(k north.Kept) error {
+	h.clients.PassOn(func(k frontend.Kept) error {
 		return l.Send(frameConnection, encode(keptConnection{k.Proven, k.Client, k.More, k.Begun}), k.Conn)
 	})
 	return true
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -6,8 +6,8 @@
 	"syscall"
 
 	"topazfall/internal/config"
+	"topazfall/internal/frontend"
 	"topazfall/internal/manage"
-	"topazfall/internal/north"
 )
 
 // What one process needs descriptors for beside its connections with clients and workers: the most of each at a moment.
@@ -16,7 +16,7 @@
 	runtimeFiles    = 4 // the poller, its wake-up, and up to two files of the processor's quota
 	listeners       = 4 // clients', operators', the hand-over's, and the socket to other dispatchers
 	justAccepted    = 3 // one by each of the first three listeners, before it has a place or is closed
-	discoveryConns  = 8 // as many as internal/inventory opens at most
+	discoveryConns  = 8 // as many as internal/discovery opens at most
 	handoverLinks   = 3 // to the predecessor, to the successor, and to another process that asks meanwhile
 	passedOn        = 2 // a descriptor that comes over a link, and its copy
 	configFile      = 1 // read at SIGHUP
@@ -49,13 +49,13 @@
 // to hosts, the rest for what connects to us: two thirds of that for messages in hand, which is more than the
 // third that clients need, one for call-backs. A connection that is read takes some 25 kB, so that a crowd of
 // them may have less than half of the memory; a large request takes a quarter of a MiB, all a quarter of it.
-func bounds(c *config.Config) (out int, in north.Options) {
+func bounds(c *config.Config) (out int, in frontend.Options) {
 	sockets, memory := max(c.Sockets-reserved, 8), c.MemoryMB
 	if memory <= 0 {
 		memory = 1 << 10 // as good as unlimited
 	}
 	conns := min(sockets*3/4, max(memory*16, 6))
-	return sockets / 4, north.Options{Conns: conns, Messages: conns * 2 / 3, Large: memory}
+	return sockets / 4, frontend.Options{Conns: conns, Messages: conns * 2 / 3, Large: memory}
 }
 
 // within keeps the runtime within the limit on memory, or a share of it: it cannot see that by itself.
--- a/internal/instance/transfer.go
+++ b/internal/instance/transfer.go
@@ -5,9 +5,9 @@
 	"encoding/gob"
 	"log/slog"
 
+	"topazfall/internal/discovery"
 	"topazfall/internal/dispatch"
-	"topazfall/internal/inventory"
-	"topazfall/internal/south"
+	"topazfall/internal/upstream"
 )
 
 // The kinds of frames between a process and its successor, in the order in which they first come.
@@ -23,10 +23,10 @@
 // handoverState is what a successor starts with. Its fields' names are the format in which it travels between two
 // versions of the program: gob matches them by name, and passes over what only one side has.
 type handoverState struct {
-	List inventory.Legacy
+	List discovery.Legacy
 	Core dispatch.Legacy
 
-	Addresses south.Legacy // of the hosts
+	Addresses upstream.Legacy // of the hosts
 }
 
 // keptConnection is what comes with a connection: its fields' names are a format too.
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discoveryserver/discoveryserver.go
@@ -1,5 +1,5 @@
-// Package discovery is a stand-in for the inventory's source: it serves the list of hosts, and watches of it.
-package discovery
+// Package discoveryserver is a stand-in for the discovery service: it serves the list of workers, and watches of it.
+package discoveryserver
 
 import (
 	"net"
--- a/internal/lab/discovery/entrance_test.go
+++ b/internal/lab/discoveryserver/entrance_test.go
@@ -1,4 +1,4 @@
-package discovery
+package discoveryserver
 
 import (
 	"testing"
--- a/internal/lab/measure/addresses.go
+++ b/internal/lab/measure/addresses.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/report"
@@ -240,7 +240,7 @@
 		return nil, nil, 0, err
 	}
 	defer os.RemoveAll(dir)
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	if err != nil {
 		return nil, nil, 0, err
 	}
@@ -258,7 +258,7 @@
 		if single {
 			addresses = addresses[doorFour : doorFour+1]
 		}
-		list.Set(discovery.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small", Share: 1})
+		list.Set(discoveryserver.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small", Share: 1})
 	}
 	if c.begin != nil {
 		c.begin(s)
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -17,13 +17,13 @@
 	"topazfall/internal/decide/sources"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
 	"topazfall/internal/hostlist"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/report"
 	"topazfall/internal/lab/resolver"
+	"topazfall/internal/metrics"
 )
 
 // DNSOptions say how DNS as a source is measured.
@@ -126,7 +126,7 @@
 func measureMerge(_ context.Context, _ DNSOptions, _ string, _ *rand.Rand, r *report.Report) error {
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "a", Deadline: 60e6, Aim: 60e6}},
-		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}, &figures.Figures{})
+		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}, &metrics.Metrics{})
 	if err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 
 // measureDrains lets the roster drain and take away a host that DNS keeps listing, under load.
 func measureDrains(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	if err != nil {
 		return err
 	}
@@ -280,9 +280,9 @@
 		return err
 	}
 	defer s.close()
-	entry := func(health string) discovery.Entry {
+	entry := func(health string) discoveryserver.Entry {
 		h := s.hosts[0]
-		return discovery.Entry{Host: h.Name(), Dial: h.Addresses()[0], Site: "hall-a", Class: "small", Share: 1,
+		return discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[0], Site: "hall-a", Class: "small", Share: 1,
 			Health: health}
 	}
 	const rate = 1000
--- a/internal/lab/measure/settings.go
+++ b/internal/lab/measure/settings.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	pb "topazfall/internal/control/controlpb"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/report"
 )
 
@@ -34,12 +34,12 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	if err != nil {
 		return nil, err
 	}
 	defer list.Close()
-	list.Set(discovery.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	list.Set(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	r := report.New("settings", o.Seed, "measurement", "figure", "unit")
 	fmt.Fprintln(w, "32 writers and 8 watchers")
 	if err := measureWriters(ctx, o, dir, list.Address(), r); err != nil {
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazfall/internal/instance"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 )
 
@@ -28,10 +28,10 @@
 const patience = 20 * time.Second
 
 func start(t *testing.T, names ...string) *Rig {
-	list, err := discovery.Start()
+	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
-	list.Set(discovery.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	list.Set(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	r, err := Start(Options{Dir: t.TempDir(), Names: names, Args: func(Member) ([]string, error) { return nil, nil },
 		Program: program.Options{Path: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"}, Discovery: list.Address()}})
 	require.NoError(t, err)
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 )
 
 // The operators' figures for control, of each dispatcher.
@@ -94,7 +94,7 @@
 		{l.Reweighs, figureReweighB, axisWorkers, sizeWorkers, 1}, {l.Lists, figureLoadBytes, axisWorkers,
 			sizeWorkers, kilo},
 		{l.Revisions, figureReloadBytes, axisTeams, sizeTeams, 1}})
-	return sum + l.Words*(hearsay.Size+datagramOverhead), err
+	return sum + l.Words*(gossip.Size+datagramOverhead), err
 }
 
 // margin is by how much the cost of a hollow dispatcher may differ from that of a real one, as a part of the latter.
--- a/internal/lab/scale/configuration.go
+++ b/internal/lab/scale/configuration.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	pb "topazfall/internal/control/controlpb"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 )
 
@@ -241,7 +241,7 @@
 // SerialApply is what there is without a carrier: a call of the control API at one agent after the other, as an
 // operator makes it with topazctl.
 type SerialApply struct {
-	list   *discovery.Server
+	list   *discoveryserver.Server
 	agents []*program.Agent
 }
 
@@ -256,7 +256,7 @@
 
 // Start implements Carrier.
 func (s *SerialApply) Start(_ context.Context, b *Bench, dir string, instances int) (err error) {
-	if s.list, err = discovery.Start(); err != nil {
+	if s.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
 	s.list.Set()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -15,11 +15,11 @@
 
 	"topazfall"
 	"topazfall/internal/config"
+	"topazfall/internal/discovery"
 	"topazfall/internal/dispatch"
-	"topazfall/internal/figures"
-	"topazfall/internal/inventory"
+	"topazfall/internal/metrics"
 	"topazfall/internal/peers"
-	"topazfall/internal/south"
+	"topazfall/internal/upstream"
 )
 
 // HollowSpec says which hollow dispatchers a process holds. A hollow dispatcher has the decision module, its
@@ -58,11 +58,11 @@
 // hollowDispatcher is a running one. As a lister it counts what the watch tells, and hands it on.
 type hollowDispatcher struct {
 	core    *dispatch.Core
-	counts  *figures.Figures
+	counts  *metrics.Metrics
 	entries atomic.Int64
 }
 
-// List implements inventory.Lister.
+// List implements discovery.Lister.
 func (h *hollowDispatcher) List(kind topazfall.EventKind, entries []dispatch.Entry) {
 	h.entries.Add(int64(len(entries)))
 	h.core.List(kind, entries)
@@ -70,15 +70,15 @@
 
 func startHollow(settings topazfall.Settings, d HollowDispatcher, words string) (*hollowDispatcher, error) {
 	settings.Me, settings.Seed = d.Number, settings.Seed+uint64(d.Number)
-	h := &hollowDispatcher{counts: &figures.Figures{}}
+	h := &hollowDispatcher{counts: &metrics.Metrics{}}
 	core, err := dispatch.New(settings, h.counts)
 	if err != nil {
 		return nil, err
 	}
 	h.core = core
-	workers := south.New(core, south.Options{Times: south.Times{DialTimeout: dialLimit, ConnIdle: idleLimit},
-		Conns: hollowConns, Figures: h.counts, Seed: settings.Seed})
-	list := inventory.New(d.Discovery, h, inventory.TermsOf(&settings))
+	workers := upstream.New(core, upstream.Options{Times: upstream.Times{DialTimeout: dialLimit, ConnIdle: idleLimit},
+		Conns: hollowConns, Metrics: h.counts, Seed: settings.Seed})
+	list := discovery.New(d.Discovery, h, discovery.TermsOf(&settings))
 	if words != "" {
 		others, err := peers.New(peers.Addresses{Listen: d.Listen, Peers: []string{words}, All: words}, core)
 		if err != nil {
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -11,7 +11,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 )
 
@@ -47,12 +47,12 @@
 type Installation struct {
 	setup   Setup
 	dir     string
-	list    *discovery.Server
-	doors   map[kind][]*discovery.Entrance // by region
+	list    *discoveryserver.Server
+	doors   map[kind][]*discoveryserver.Entrance // by region
 	real    []*program.Process
 	hollow  []*hollowProcess
 	words   *wordSource
-	entries []discovery.Entry
+	entries []discoveryserver.Entry
 	chance  *rand.Rand
 }
 
@@ -65,11 +65,11 @@
 )
 
 // Fleet is a list of so many workers, spread over regions, zones and racks as they come.
-func Fleet(workers int, now time.Time) []discovery.Entry {
-	list := make([]discovery.Entry, workers)
+func Fleet(workers int, now time.Time) []discoveryserver.Entry {
+	list := make([]discoveryserver.Entry, workers)
 	for i := range list {
 		region, zone := i%regions, i/regions%zones
-		list[i] = discovery.Entry{Host: fmt.Sprintf("worker-%05d.region-%d", i, region),
+		list[i] = discoveryserver.Entry{Host: fmt.Sprintf("worker-%05d.region-%d", i, region),
 			Dial: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Site: fmt.Sprintf("region-%d%c",
 				region, 'a'+rune(zone)),
 			Class: "small", Block: i / rackOf, Health: "up", Share: cores, Born: now.Add(-time.Hour).UnixMilli()}
@@ -111,7 +111,7 @@
 func Start(ctx context.Context, programs Programs, setup Setup, seed uint64) (in *Installation, err error) {
 	in = &Installation{setup: setup, chance: rand.New(rand.NewPCG(seed, uint64(setup.Workers))),
 		entries: Fleet(setup.Workers, time.Now()),
-		doors:   map[kind][]*discovery.Entrance{}}
+		doors:   map[kind][]*discoveryserver.Entrance{}}
 	defer func() {
 		if err != nil {
 			in.Close()
@@ -120,7 +120,7 @@
 	if in.dir, err = os.MkdirTemp("", "topazlab-scale"); err != nil {
 		return nil, err
 	}
-	if in.list, err = discovery.Start(); err != nil {
+	if in.list, err = discoveryserver.Start(); err != nil {
 		return nil, err
 	}
 	if setup.Draining {
--- a/internal/lab/scale/losses.go
+++ b/internal/lab/scale/losses.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 )
@@ -59,7 +59,7 @@
 		return err
 	}
 	for _, lost := range []int{1, rackSize, zoneSize / 2, zoneSize, regionSize} {
-		gone := append([]discovery.Entry(nil), in.entries[:lost]...)
+		gone := append([]discoveryserver.Entry(nil), in.entries[:lost]...)
 		for i := range gone {
 			gone[i].Health = "removed"
 		}
@@ -143,7 +143,7 @@
 type serving struct {
 	in      *Installation
 	workers []*host.Host
-	entries []discovery.Entry
+	entries []discoveryserver.Entry
 	dead    atomic.Int64 // workers that have died, the first ones
 }
 
@@ -162,7 +162,7 @@
 			return nil, err
 		}
 		s.workers = append(s.workers, h)
-		s.entries = append(s.entries, discovery.Entry{Host: h.Name(), Dial: h.Addresses()[0],
+		s.entries = append(s.entries, discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[0],
 			Site: s.in.entries[i].Site, Class: "small",
 			Share: cores})
 	}
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -10,8 +10,8 @@
 
 	"topazfall"
 	"topazfall/internal/config"
-	"topazfall/internal/decide/hearsay"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/decide/gossip"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 )
 
@@ -100,7 +100,7 @@
 	return p, nil
 }
 
-func workerOf(e discovery.Entry) topazfall.Worker {
+func workerOf(e discoveryserver.Entry) topazfall.Worker {
 	return topazfall.Worker{ID: e.Host, Zone: e.Site, Kind: e.Class, Cell: e.Block, Weight: e.Share,
 		StartedAt: e.Born * 1000}
 }
@@ -137,9 +137,9 @@
 }
 
 func (p *player) word() {
-	op := []hearsay.Op{hearsay.Sent, hearsay.Ended}[p.request%2]
+	op := []gossip.Op{gossip.Sent, gossip.Ended}[p.request%2]
 	p.request++
-	word := hearsay.Word{Op: op, At: p.now, Host: hearsay.Name(p.fleet[p.chance.IntN(len(p.fleet))].ID),
+	word := gossip.Word{Op: op, At: p.now, Host: gossip.Name(p.fleet[p.chance.IntN(len(p.fleet))].ID),
 		Work: requestTicks}
 	p.on(topazfall.Event{Kind: topazfall.PeerMessage, From: 0, Data: word.Append(nil)})
 }
--- a/internal/lab/scale/regions.go
+++ b/internal/lab/scale/regions.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 )
 
 // Regions measures what a cut of regions from discovery costs, and how soon what changed meanwhile is known after it.
@@ -56,7 +56,8 @@
 }
 
 // heal lists further workers one by one, ends the cut, and measures the time until all know them.
-func (in *Installation) heal(ctx context.Context, b *Bench, x float64, regionsCut int, more []discovery.Entry) error {
+func (in *Installation) heal(ctx context.Context, b *Bench, x float64, regionsCut int,
+	more []discoveryserver.Entry) error {
 	for _, e := range more {
 		in.list.Set(e)
 	}
--- a/internal/lab/scale/roster.go
+++ b/internal/lab/scale/roster.go
@@ -16,7 +16,7 @@
 	"topazfall/internal/control/client"
 	pb "topazfall/internal/control/controlpb"
 	"topazfall/internal/control/controlpb/controlpbconnect"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/rig"
 )
@@ -33,7 +33,7 @@
 // SharedRoster is agents on one roster: an Apply at one origin is passed on by the instances themselves
 // (decide/configlog, configsync). Followers are counted first, the origins are the last ones.
 type SharedRoster struct {
-	list    *discovery.Server
+	list    *discoveryserver.Server
 	rig     *rig.Rig
 	names   []string
 	origins []string
@@ -56,7 +56,7 @@
 
 // Start implements Carrier. Up to three instances have one origin.
 func (s *SharedRoster) Start(ctx context.Context, b *Bench, dir string, instances int) (err error) {
-	if s.list, err = discovery.Start(); err != nil {
+	if s.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
 	s.list.Set()
--- a/internal/lab/scale/window.go
+++ b/internal/lab/scale/window.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/program"
 )
 
@@ -135,10 +135,10 @@
 	return list, nil
 }
 
-func (in *Installation) traffic() map[kind]discovery.Traffic {
-	sums := map[kind]discovery.Traffic{}
+func (in *Installation) traffic() map[kind]discoveryserver.Traffic {
+	sums := map[kind]discoveryserver.Traffic{}
 	for k, doors := range in.doors {
-		var sum discovery.Traffic
+		var sum discoveryserver.Traffic
 		for _, door := range doors {
 			t := door.Traffic()
 			sum.In, sum.Out = sum.In+t.In, sum.Out+t.Out
--- a/internal/lab/scale/words.go
+++ b/internal/lab/scale/words.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 )
 
 // wordSource stands for the other dispatchers: the datagrams that they send of the workers they share.
@@ -32,11 +32,11 @@
 // say sends each dispatcher a word about a worker: that a request was sent there or, every second time, that it has
 // ended, so that nothing piles up.
 func (w *wordSource) say(worker string) error {
-	op := hearsay.Sent
+	op := gossip.Sent
 	if w.sent.Load()%2 == 1 {
-		op = hearsay.Ended
+		op = gossip.Ended
 	}
-	data := hearsay.Word{Op: op, At: time.Now().UnixMicro(), Host: hearsay.Name(worker), Work: 1_000_000}.Append(nil)
+	data := gossip.Word{Op: op, At: time.Now().UnixMicro(), Host: gossip.Name(worker), Work: 1_000_000}.Append(nil)
 	for _, to := range w.to {
 		if _, err := w.conn.WriteToUDPAddrPort(data, to); err != nil {
 			return err
--- a/internal/lab/soak/acts.go
+++ b/internal/lab/soak/acts.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 )
@@ -310,7 +310,7 @@
 		from := time.Now()
 		i.list.SetFault(s.Fault)
 		sleep(ctx, s.For)
-		i.list.SetFault(discovery.None)
+		i.list.SetFault(discoveryserver.None)
 		i.note(func(now time.Time) { i.history.Outages = append(i.history.Outages, Outage{from, now}) })
 	}
 	return nil
--- a/internal/lab/soak/goroutines.go
+++ b/internal/lab/soak/goroutines.go
@@ -23,7 +23,7 @@
 
 // onConnection is in the stacks of goroutines that wait for bytes on a connection from outside. Each has a descriptor,
 // which is counted: the run's own workers keep connections for their next call-back.
-const onConnection = "topazfall/internal/north.(*conn)"
+const onConnection = "topazfall/internal/frontend.(*conn)"
 
 // running tells of a part of a dump whether it is a goroutine that neither rests in the HTTP library nor waits on an
 // open connection.
--- a/internal/lab/soak/installation.go
+++ b/internal/lab/soak/installation.go
@@ -12,7 +12,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 	"topazfall/internal/lab/program"
 	"topazfall/internal/lab/rig"
@@ -27,8 +27,8 @@
 // installation is what a run is played on.
 type installation struct {
 	plan    Plan
-	list    *discovery.Server
-	doors   [2]*discovery.Entrance // the addresses of discovery
+	list    *discoveryserver.Server
+	doors   [2]*discoveryserver.Entrance // the addresses of discovery
 	workers []*host.Host
 	rig     *rig.Rig
 	members []*member
@@ -62,7 +62,7 @@
 }
 
 func (i *installation) prepare(o Options, dir string) (err error) {
-	if i.list, err = discovery.Start(); err != nil {
+	if i.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
 	i.list.TellWhole(i.plan.Whole)
@@ -167,8 +167,8 @@
 	i.note(func(now time.Time) {
 		i.history.Listings = append(i.history.Listings, Listing{At: now, Worker: h.Name(), Wanted: health == "up"})
 	})
-	i.list.Set(discovery.Entry{Host: h.Name(), Dial: h.Addresses()[onAddress], Site: "hall-a", Class: "small", Share: 1,
-		Health: health, Born: millis})
+	i.list.Set(discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[onAddress], Site: "hall-a", Class: "small",
+		Share: 1, Health: health, Born: millis})
 }
 
 // note changes the history.
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"topazfall/internal/lab/client"
-	"topazfall/internal/lab/discovery"
+	"topazfall/internal/lab/discoveryserver"
 	"topazfall/internal/lab/host"
 )
 
@@ -101,7 +101,7 @@
 // DiscoveryStep is a fault of discovery.
 type DiscoveryStep struct {
 	At, For time.Duration
-	Fault   discovery.Fault
+	Fault   discoveryserver.Fault
 }
 
 // The ranges that plans are drawn from.
@@ -199,9 +199,9 @@
 
 // outages draws faults of discovery that leave it some time between them.
 func (d drawer) outages(p *Plan) {
-	faults := []discovery.Fault{discovery.Silent}
+	faults := []discoveryserver.Fault{discoveryserver.Silent}
 	if p.Asked {
-		faults = []discovery.Fault{discovery.Silent, discovery.Slow, discovery.Refuse}
+		faults = []discoveryserver.Fault{discoveryserver.Silent, discoveryserver.Slow, discoveryserver.Refuse}
 	}
 	for at := d.between(2*time.Second, 10*time.Second); at < p.Length; at += d.between(12*time.Second, 20*time.Second) {
 		p.Discovery = append(p.Discovery,
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 // Places is how many connections may be open here at a time.
@@ -19,7 +19,7 @@
 const callTime = time.Second // for a call to come, and for its answer to be read
 
 // Serve answers calls on ln until it is closed.
-func Serve(ln net.Listener, ready func() bool, f *figures.Figures) error {
+func Serve(ln net.Listener, ready func() bool, f *metrics.Metrics) error {
 	s := &fasthttp.Server{
 		Handler: func(ctx *fasthttp.RequestCtx) { answer(ctx, ready, f) }, Logger: quiet{},
 		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, Concurrency: 4 * Places,
@@ -28,7 +28,7 @@
 	return s.Serve(&places{Listener: ln, open: list.New()})
 }
 
-func answer(ctx *fasthttp.RequestCtx, ready func() bool, f *figures.Figures) {
+func answer(ctx *fasthttp.RequestCtx, ready func() bool, f *metrics.Metrics) {
 	path := string(ctx.Request.URI().PathOriginal())
 	switch {
 	case path != "/-/ready" && path != "/-/metrics":
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 func serve(t *testing.T, ready bool) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	go Serve(ln, func() bool { return ready }, &figures.Figures{})
+	go Serve(ln, func() bool { return ready }, &metrics.Metrics{})
 	return ln.Addr().String()
 }
 
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures holds what the program counts of itself. The parts write, the second address reads: all are
-// atomics, so that a reader never waits for the load it asks about.
-package figures
+// Package metrics holds the counters and gauges of the process. The other packages write them and the management
+// address reads them: all are atomics, so that a reader never waits for the load it asks about.
+package metrics
 
 import (
 	"fmt"
@@ -24,8 +24,8 @@
 
 var names = [endings]string{"succeeded", "declined", "aborted"}
 
-// Figures are the counts of one process. The zero value counts no class yet.
-type Figures struct {
+// Metrics are the counts of one process. The zero value counts no class yet.
+type Metrics struct {
 	Outstanding, Discovered, Ejected      atomic.Int64 // as they are now
 	Forwards, HangupsTaken, HangupsFailed atomic.Int64 // since the start; the latter are files read at SIGHUP
 
@@ -47,7 +47,7 @@
 
 // AddClasses makes classes count from now on, each by the place in which it was first named. A class that is known
 // keeps its place and its counts; one that is no longer used keeps its line.
-func (f *Figures) AddClasses(names ...string) {
+func (f *Metrics) AddClasses(names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []*class
@@ -63,14 +63,14 @@
 }
 
 // Extend has another part of the program write its figures behind these.
-func (f *Figures) Extend(write func(io.Writer)) {
+func (f *Metrics) Extend(write func(io.Writer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.parts = append(f.parts, write)
 }
 
 // End counts a job of the class at that place.
-func (f *Figures) End(class int, e Ending) {
+func (f *Metrics) End(class int, e Ending) {
 	if all := f.classes.Load(); all != nil && class >= 0 && class < len(*all) {
 		(*all)[class].ended[e].Add(1)
 	}
@@ -80,7 +80,7 @@
 var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // Write writes all figures in the text exposition format.
-func (f *Figures) Write(w io.Writer) {
+func (f *Metrics) Write(w io.Writer) {
 	var all []*class
 	if p := f.classes.Load(); p != nil {
 		all = *p
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *Figures) writeAddresses(w io.Writer) {
+func (f *Metrics) writeAddresses(w io.Writer) {
 	if !f.Several.Load() {
 		return
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 
 // All classes show 0 from the start. A class that went keeps its line and its place, one that came has its own.
 func TestClassesKeepTheirLines(t *testing.T) {
-	f := &Figures{}
+	f := &Metrics{}
 	f.End(0, Declined) // nobody's
 	f.AddClasses("lookup", "report")
 	f.End(1, Succeeded)
--- a/internal/south/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"topazfall"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 type noInventory struct{}
@@ -55,13 +55,13 @@
 	}()
 	for _, once := range []bool{false, true} {
 		b.Run(map[bool]string{false: "kept", true: "new"}[once], func(b *testing.B) {
-			f := &figures.Figures{}
+			f := &metrics.Metrics{}
 			core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 				Classes: []topazfall.Class{{Name: "a", Deadline: 60e6, Aim: 60e6, Repeat: topazfall.Safe}},
 				Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3, Cancel: true}}, f)
 			require.NoError(b, err)
 			s := New(core,
-				Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Minute}, Conns: 64, Figures: f})
+				Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Minute}, Conns: 64, Metrics: f})
 			go core.Run(s, noInventory{})
 			core.List(topazfall.ListStale,
 				[]dispatch.Entry{{Addr: ln.Addr().String(), Worker: topazfall.Worker{ID: "h", Zone: "z", Kind: "k"}}})
--- a/internal/south/call.go
+++ b/internal/upstream/call.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 // How a call is made on a connection to a host.
 
@@ -79,7 +79,7 @@
 	n, err = l.Write(bytes)
 	l.used = true
 	if c.relay != nil && n == len(bytes) {
-		s.o.Figures.Forwards.Add(1)
+		s.o.Metrics.Forwards.Add(1)
 	}
 	in := client.AcquireReader(l)
 	defer client.ReleaseReader(in)
--- a/internal/south/callback.go
+++ b/internal/upstream/callback.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"bytes"
--- a/internal/south/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 const patience = 20 * time.Second // no verdict hangs on how fast a machine is
@@ -72,10 +72,10 @@
 		}
 	}()
 	h.core, err = dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
-		Allowed: topazfall.Allowed{Attempts: 1}}, &figures.Figures{})
+		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
 	h.Side = New(h.core,
-		Options{Times: Times{DialTimeout: time.Minute, ConnIdle: time.Hour}, Conns: 9, Figures: &figures.Figures{}})
+		Options{Times: Times{DialTimeout: time.Minute, ConnIdle: time.Hour}, Conns: 9, Metrics: &metrics.Metrics{}})
 	return h
 }
 
@@ -226,7 +226,7 @@
 			require.False(t, take(t, end).ended)
 			require.Eventually(t, func() bool { return h.conns.Load() == 0 }, patience, time.Millisecond)
 			require.Empty(t, h.got)
-			require.Zero(t, h.o.Figures.Resets.Load(), "its address has lost nothing")
+			require.Zero(t, h.o.Metrics.Resets.Load(), "its address has lost nothing")
 		}
 	}
 }
--- a/internal/south/line_test.go
+++ b/internal/upstream/line_test.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"topazfall"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 // A connection is kept and used again while it is good; one that the host has closed is replaced before
@@ -38,7 +38,7 @@
 		}
 	}()
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
-		Allowed: topazfall.Allowed{Attempts: 1}}, &figures.Figures{})
+		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
 	s := New(core, Options{Times: Times{DialTimeout: time.Minute, ConnIdle: time.Hour}, Conns: 1})
 	call := func() error {
--- a/internal/south/route.go
+++ b/internal/upstream/route.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"context"
@@ -46,7 +46,7 @@
 	}
 	s.mu.Unlock()
 	if rt != nil {
-		s.o.Figures.Several.Store(true)
+		s.o.Metrics.Several.Store(true)
 		rt.keep(list)
 	}
 }
@@ -157,7 +157,7 @@
 		switch step.Move {
 		case addresses.Use:
 			if w.started > 1 {
-				w.s.o.Figures.Moved.Add(1)
+				w.s.o.Metrics.Moved.Add(1)
 			}
 			return step.Address, won, nil
 		case addresses.GiveUp:
@@ -205,12 +205,12 @@
 	for {
 		cc, err := client.AcquireConn(0, false)
 		if err != nil {
-			s.o.Figures.Unopened.Add(1)
+			s.o.Metrics.Unopened.Add(1)
 			return nil, err
 		}
 		l := cc.Conn().(*line)
 		if l.born >= began {
-			s.o.Figures.Opened.Add(1)
+			s.o.Metrics.Opened.Add(1)
 		}
 		dead := s.spent(l)
 		if !dead && !(fresh && l.used) {
@@ -262,7 +262,7 @@
 
 // prove tries an address beside the messages.
 func (s *Side) prove(rt *route, a addresses.Address, how addresses.Proof) {
-	s.o.Figures.Trials.Add(1)
+	s.o.Metrics.Trials.Add(1)
 	began, t := s.core.Now(), s.timesNow()
 	rt.mu.Lock()
 	client := s.pool(rt, a, t)
@@ -329,7 +329,7 @@
 		case err == errNotSent || isTimeout(err): // no word on the address
 		case c.relay != nil && (c.relay.Ended() || c.relay.Accepted()): // nor this
 		case n > 0 && fresh:
-			s.o.Figures.Resets.Add(1)
+			s.o.Metrics.Resets.Add(1)
 			rt.set.Reset(now, a, began, c.once)
 		case n > 0:
 			rt.set.Broke(a)
--- a/internal/south/route_test.go
+++ b/internal/upstream/route_test.go
@@ -1,4 +1,4 @@
-package south
+package upstream
 
 import (
 	"net"
@@ -11,8 +11,8 @@
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
 	"topazfall/internal/lab/host"
+	"topazfall/internal/metrics"
 )
 
 // A list that changes keeps what was learned, and the connections, of the addresses that stay, closes those of the
@@ -23,10 +23,10 @@
 	require.NoError(t, err)
 	defer h.Close()
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
-		Allowed: topazfall.Allowed{Attempts: 1}}, &figures.Figures{})
+		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
 	s := New(core,
-		Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Hour}, Conns: 9, Figures: &figures.Figures{}})
+		Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Hour}, Conns: 9, Metrics: &metrics.Metrics{}})
 	both, faults := addresses.List(h.Addresses())
 	require.Empty(t, faults)
 	s.Readdress("h", both)
--- a/internal/south/south.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package south speaks with the south side hosts: it carries relays to them, takes their call-backs, calls
-// off and probes. Every relay is written once at most; nothing here sends again by itself.
-package south
+// Package upstream talks to the workers: it forwards requests to them, receives their callbacks, cancels jobs and
+// probes them. Every attempt is written at most once; this package never retries by itself.
+package upstream
 
 import (
 	"errors"
@@ -18,14 +18,14 @@
 	"topazfall/internal/decide/addresses"
 	"topazfall/internal/dispatch"
 	"topazfall/internal/exchange"
-	"topazfall/internal/figures"
+	"topazfall/internal/metrics"
 )
 
 // Options bound what the south side uses.
 type Options struct {
 	Times
 	Conns   int // most connections at a time
-	Figures *figures.Figures
+	Metrics *metrics.Metrics
 	Seed    uint64
 }
 
--- a/state.go
+++ b/state.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"topazfall/internal/decide/affinity"
-	"topazfall/internal/decide/hearsay"
+	"topazfall/internal/decide/gossip"
 	"topazfall/internal/decide/ramp"
 	"topazfall/internal/decide/share"
 )
@@ -78,10 +78,10 @@
 type worker struct {
 	Worker
 	rank      string // its place in the common order
-	name      uint32 // in hearsay
+	name      uint32 // in gossip
 	listed    bool
-	told      hearsay.Tally // what others have done here since the report
-	reportOf  int64         // the time that the last report is of
+	told      gossip.Tally // what others have done here since the report
+	reportOf  int64        // the time that the last report is of
 	kind      *kind
 	inHand    float64 // jobs, by the last live weight; below 0 where it could not tell
 	held      float64 // jobs waiting by the last report that moved x; below 0: free slots
