--- a/balancer.go
+++ b/balancer.go
@@ -35,8 +35,8 @@
 	job := float64(s.Classes[0].Deadline) / 10 // until jobs tell better
 	return &Balancer{s: s, startLag: float64(5 * max(s.Tick, 1000)), jobTime: job, least: job,
 		copies: 1, requests: map[uint64]*request{}, workers: map[string]*worker{}, kinds: map[string]*kind{},
-		patience: make([]int64, len(s.Classes)), shares: share.Shares{Quotas: s.quotas(), Part: s.part()},
-		circle: ramp.NewCircle(s.Dispatchers)}, nil
+		patience: make([]int64, len(s.Classes)), shares: share.Shares{Quotas: s.quotas(), Fraction: s.part()},
+		circle: ramp.NewRotation(s.Dispatchers)}, nil
 }
 
 // Handle takes one event and appends the actions it calls for to out. What is unknown to it is ignored.
@@ -50,7 +50,7 @@
 		b.arrive(e)
 	case AttemptDone:
 		b.finish(e)
-	case JobStarted, JobProgress, StreamBegan:
+	case JobStarted, JobProgress, StreamStarted:
 		b.sign(e)
 	case ClientGone:
 		b.close(b.requests[e.Request])
@@ -60,7 +60,7 @@
 		b.hear(e)
 	case TimerDue:
 		b.timerDue(e.Token)
-	case ListPatch, ListWhole, ListStale, ListBroken:
+	case ListPatch, ListSnapshot, ListRestored, ListFailed:
 		b.list(e)
 	case HandedOver, Resumed, Replaced, NewSettings:
 		b.succession(e)
@@ -113,7 +113,7 @@
 // probe asks the buddies not heard of for so long, where reports come only so and no list tells of all: whom
 // one with live weights does not name has not changed. It tells whether it did.
 func (b *Balancer) probe(age int64) (asked bool) {
-	may := b.s.ReportsIn == ReportsInProbes && b.s.Allowed.Probe && (!b.s.LiveWeights || b.unheard)
+	may := b.s.LoadReports == ReportsInProbes && b.s.Allowed.Probe && (!b.s.LiveWeights || b.unheard)
 	for _, w := range b.buddies {
 		if may && b.now-w.heardAt >= age {
 			b.do(Action{Kind: ProbeWorker, Worker: w.ID})
@@ -165,7 +165,7 @@
 func (b *Balancer) follow(r *request, a *attempt) {
 	slack, wait := float64(r.aim-a.sent)-r.hint*a.w.pace, float64(a.sent-b.now)+a.wait
 	a.doubt = b.now + int64(wait+min(b.jobTime, max(3*b.startLag, slack/2)))
-	if b.s.TellsStart {
+	if b.s.ReportsStart {
 		b.look(r, float64(a.doubt-b.now)+1)
 		b.look(r, wait+b.jobTime+1)
 		b.look(r, float64(r.aim-b.now)-r.hint*a.w.pace+r.hint)
@@ -178,7 +178,7 @@
 		return
 	}
 	r := a.r
-	a.done, a.notRun, a.broken, r.out = true, e.Outcome.NotRun(), e.Outcome == Severed, r.out-1
+	a.done, a.notRun, a.broken, r.out = true, e.Outcome.NotRun(), e.Outcome == ConnectionLost, r.out-1
 	b.tell(gossip.Ended, a)
 	b.judge(a, e)
 	a.w.own = slices.DeleteFunc(a.w.own, func(o *attempt) bool { return o == a })
@@ -279,7 +279,7 @@
 	switch {
 	case late && float64(r.aim-b.now)+r.hint < r.hint*w.pace && r.class.LateWorth < b.loss:
 		b.giveUp(r)
-	case !b.s.Allowed.SecondCopies || r.class.Repeat == Unsafe || b.now <= newest.doubt || w.silent == 0 ||
+	case !b.s.Allowed.HedgedRequests || r.class.Repeat == Unsafe || b.now <= newest.doubt || w.silent == 0 ||
 		w.silent > newest.sent || b.copies < 1:
 	case r.out > 1 && len(r.tries) < b.s.Allowed.Attempts:
 		b.recall(r, newest) // its outcome brings us here again
@@ -353,7 +353,7 @@
 		return false
 	case r.class.Kind != "" && r.class.Kind != w.Kind:
 		return false
-	case r.out > 1 || r.out == 1 && !b.s.Allowed.SecondCopies:
+	case r.out > 1 || r.out == 1 && !b.s.Allowed.HedgedRequests:
 		return false
 	}
 	return !b.barred(r, w) && (!b.cold(w) || r.work <= b.coldShare(w))
@@ -384,7 +384,7 @@
 		return 0
 	}
 	spent, _ := w.sent.Since(max(b.now-b.s.Contract.FallTime, w.StartedAt-1))
-	if _, own := w.sent.Since(max(turn.Began, w.StartedAt) - 1); own > 0 {
+	if _, own := w.sent.Since(max(turn.Start, w.StartedAt) - 1); own > 0 {
 		return min(rule/2-spent, part-own)
 	}
 	return rule/2 - spent
@@ -496,7 +496,7 @@
 func (b *Balancer) judge(a *attempt, e *Event) {
 	w, lost := a.w, 1.0
 	switch e.Outcome {
-	case Recalled, Superseded: // our own doing
+	case Cancelled, NeverSent: // our own doing
 		return
 	case Unusable: // says nothing of the worker, unless another one can use it
 		a.unusable = true
@@ -529,11 +529,11 @@
 		}
 	case Saturated:
 		w.held, w.heardAt = max(w.held, 4*w.kind.slots), b.now
-	case Severed: // one connection that breaks is chance as well
+	case ConnectionLost: // one connection that breaks is chance as well
 		if a.started == 0 {
 			b.fault(w)
 		}
-	case RefusedConn, Overdue:
+	case ConnectionRefused, TimedOut:
 		if a.started == 0 { // it does not even begin jobs
 			b.rest(w)
 		}
@@ -541,7 +541,7 @@
 	if lost > 0 {
 		w.sample(a.region, columns-1)
 	}
-	if e.Outcome != Severed && e.Outcome != RefusedConn { // a broken worker, not a queue, is to blame
+	if e.Outcome != ConnectionLost && e.Outcome != ConnectionRefused { // a broken worker, not a queue, is to blame
 		b.loss += (lost - b.loss) / 16
 	}
 	b.report(w, e.Load)
@@ -602,7 +602,7 @@
 func (b *Balancer) beat() {
 	b.timer(b.pulse(), tokenPulse)
 	if b.unheard { // not at once: that would only feed a jam
-		b.do(Action{Kind: FollowList})
+		b.do(Action{Kind: WatchList})
 	}
 	b.probe(b.pulse())
 	b.refill() // who has rested is a buddy again
@@ -621,8 +621,8 @@
 // ---- the list of workers and the buddy set ----
 
 func (b *Balancer) list(e *Event) {
-	b.unheard = e.Kind == ListBroken // what is known stays; the next pulse asks again
-	if e.Kind == ListWhole || e.Kind == ListStale {
+	b.unheard = e.Kind == ListFailed // what is known stays; the next pulse asks again
+	if e.Kind == ListSnapshot || e.Kind == ListRestored {
 		for _, w := range b.ranked {
 			w.listed = false
 		}
@@ -634,8 +634,8 @@
 	b.ranked = slices.DeleteFunc(b.ranked, func(w *worker) bool { return !w.listed })
 	slices.SortFunc(b.ranked, func(v, w *worker) int { return strings.Compare(v.rank, w.rank) })
 	b.refill()
-	if e.Kind == ListStale && b.s.AskForList {
-		b.do(Action{Kind: FollowList})
+	if e.Kind == ListRestored && b.s.ListOnRequest {
+		b.do(Action{Kind: WatchList})
 	}
 }
 
@@ -643,7 +643,7 @@
 	w := b.workers[l.ID]
 	if w == nil {
 		k := b.kind(l.Kind)
-		w = &worker{kind: k, pace: k.pace, held: -1, rank: b.rank(l), name: gossip.Name(l.ID)}
+		w = &worker{kind: k, pace: k.pace, held: -1, rank: b.rank(l), name: gossip.HostHash(l.ID)}
 		w.p, w.tails = k.p, k.tails
 		b.workers[l.ID] = w
 	}
@@ -681,7 +681,7 @@
 	if b.s.LiveWeights { // the list keeps more of them fresh than own jobs can
 		size = max(size, 2*smallest)
 	}
-	start := gossip.Window(b.s.Me, b.s.Dispatchers, len(b.ranked))
+	start := gossip.SubsetStart(b.s.Me, b.s.Dispatchers, len(b.ranked))
 	have := map[string]bool{}
 	b.buddies, b.others, b.reach = b.buddies[:0], b.others[:0], 0
 	for i := range b.ranked {
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -86,14 +86,14 @@
 	id, acts := r.arrive(celled)
 	first := r.sends(acts)
 	r.now += 4e6 + 1
-	acts = r.done(id, 0, first.Worker, Severed)
+	acts = r.done(id, 0, first.Worker, ConnectionLost)
 	if n, _ := count(acts, Fail); n != 1 {
 		t.Errorf("after its window a keyed job must fail, not be refused or sent: %+v", acts)
 	}
 	id, acts = r.arrive(keyed)
 	first = r.sends(acts)
 	r.now += 4e6 + 1
-	if n, _ := count(r.done(id, 0, first.Worker, Severed), Refuse); n != 1 {
+	if n, _ := count(r.done(id, 0, first.Worker, ConnectionLost), Refuse); n != 1 {
 		t.Errorf("a job keyed everywhere may be refused: %+v", acts)
 	}
 }
@@ -215,7 +215,7 @@
 		class int
 		o     Outcome
 		again int
-	}{{safe, Severed, 1}, {keyed, Severed, 1}, {unsafe, Severed, 0}, {safe, RefusedConn, 0}, {safe, Saturated, 0}} {
+	}{{safe, ConnectionLost, 1}, {keyed, ConnectionLost, 1}, {unsafe, ConnectionLost, 0}, {safe, ConnectionRefused, 0}, {safe, Saturated, 0}} {
 		r := newRig(t, settings(), fleet(1)...)
 		id, acts := r.arrive(c.class)
 		w := r.sends(acts).Worker
@@ -231,7 +231,7 @@
 	w := r.sends(acts).Worker
 	r.done(id, 0, w, Completed)
 	for _, acts := range [][]Action{
-		r.done(id, 0, w, Completed), r.done(id, 7, w, Errored), r.done(999, 0, "nobody", Severed),
+		r.done(id, 0, w, Completed), r.done(id, 7, w, Errored), r.done(999, 0, "nobody", ConnectionLost),
 		r.on(Event{Kind: JobStarted, Request: 999}), r.on(Event{Kind: ClientGone, Request: id}),
 		r.on(Event{Kind: ProbeDone, Worker: "nobody"}), r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}),
 		r.on(Event{Kind: Arrival, Request: 5, Class: 99}), r.on(Event{Kind: PeerMessage}),
@@ -248,7 +248,7 @@
 			s := settings()
 			s.Dispatchers = n
 			bal, _ := New(s)
-			acts := bal.Handle(1, &Event{Kind: ListStale, List: fleet(n)}, nil)
+			acts := bal.Handle(1, &Event{Kind: ListRestored, List: fleet(n)}, nil)
 			now := int64(1)
 			b.ReportAllocs()
 			for i := range b.N {
@@ -266,7 +266,7 @@
 
 func TestFreshLookBeforeAFinalChoice(t *testing.T) {
 	s := settings()
-	s.ReportsIn, s.Allowed.Probe = ReportsInProbes, true
+	s.LoadReports, s.Allowed.Probe = ReportsInProbes, true
 	r := newRig(t, s, fleet(6)...)
 	_, acts := r.arrive(unsafe)
 	probes, _ := count(acts, ProbeWorker)
@@ -295,7 +295,7 @@
 		if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), ProbeWorker); n != want {
 			t.Errorf("%d probes beside a list with live weights, want %d", n, want)
 		}
-		r.on(Event{Kind: ListBroken})
+		r.on(Event{Kind: ListFailed})
 		r.now += 60e6
 	}
 	s.Allowed.Probe, s.LiveWeights = false, false
@@ -365,7 +365,7 @@
 			r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{-1, -1, c.free, 1}})
 		}
 		for range 100 {
-			r.b.shares.Within(r.now, 0)
+			r.b.shares.IsWithin(r.now, 0)
 		}
 		r.b.jobTime = 100e3
 		r.id++
@@ -397,7 +397,7 @@
 	r := newRig(t, settings(), fleet(6)...)
 	id, acts := r.arrive(safe)
 	w := r.sends(acts).Worker
-	r.on(Event{Kind: StreamBegan, Request: id, Worker: w})
+	r.on(Event{Kind: StreamStarted, Request: id, Worker: w})
 	r.now += 20e6
 	r.b.loss = 1
 	if acts := r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}); len(acts) != 0 {
@@ -479,7 +479,7 @@
 	id, acts := r.arrive(safe)
 	first := r.sends(acts)
 	r.now += 1e3
-	again := r.sends(r.done(id, 0, first.Worker, Severed))
+	again := r.sends(r.done(id, 0, first.Worker, ConnectionLost))
 	for range 200 { // far beyond the time at which its worker is doubted
 		r.now += 40e3
 		if n, _ := count(r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}), Send); n != 0 {
--- a/bench_test.go
+++ b/bench_test.go
@@ -24,7 +24,7 @@
 			}
 			now := int64(100e6)
 			on := func(e Event) []Action { return m.Handle(now, &e, nil) }
-			on(Event{Kind: ListWhole, List: ws})
+			on(Event{Kind: ListSnapshot, List: ws})
 			type job struct {
 				id     uint64
 				worker string
--- a/cmd/topazctl/main_test.go
+++ b/cmd/topazctl/main_test.go
@@ -22,8 +22,8 @@
 type hosts struct{}
 
 func (hosts) Now() int64 { return 0 }
-func (hosts) Hosts() ([]sources.Info, map[string]string) {
-	return []sources.Info{{Entry: sources.Entry{Addr: "10.0.0.1:9000", Worker: topazfall.Worker{ID: "w1.example"}},
+func (hosts) Hosts() ([]sources.Host, map[string]string) {
+	return []sources.Host{{Entry: sources.Entry{Addr: "10.0.0.1:9000", Worker: topazfall.Worker{ID: "w1.example"}},
 		Sources: []string{"srv:x"}}}, map[string]string{"x": "timeout"}
 }
 
--- a/cmd/topazfall/restart_test.go
+++ b/cmd/topazfall/restart_test.go
@@ -49,7 +49,7 @@
 
 // linkPath is where a process of the name and address that the stand-in for the program gives is found by others.
 func linkPath(dir, listen string) string {
-	return filepath.Join(dir, filepath.Base(takeover.Path("n0", listen)))
+	return filepath.Join(dir, filepath.Base(takeover.SocketPath("n0", listen)))
 }
 
 // fakePredecessor has the address and the link of a process that is to be replaced, and does with who comes what
@@ -80,10 +80,10 @@
 			if err != nil {
 				return
 			}
-			a := asking{f, takeover.New(c), c}
+			a := asking{f, takeover.NewLink(c), c}
 			t.Cleanup(func() { a.Close() })
 			go func() {
-				if first, err := a.Next(); err == nil && first.Kind == 'h' {
+				if first, err := a.ReadFrame(); err == nil && first.Kind == 'h' {
 					behave(a)
 				}
 			}()
@@ -200,7 +200,7 @@
 	require.NoError(t, err)
 	defer hung.Close()
 	require.NoError(t, hung.Send('h', nil, nil))
-	f, err := hung.Next()
+	f, err := hung.ReadFrame()
 	require.NoError(t, err)
 	require.NotNil(t, f.File)
 	f.File.Close()
@@ -208,7 +208,7 @@
 	took, err := next.AwaitReady(patience)
 	require.NoError(t, err)
 	require.Less(t, took, readyWithin)
-	_, err = hung.Next()
+	_, err = hung.ReadFrame()
 	require.Error(t, err, "it is told that its time is over")
 	require.NoError(t, p.Term())
 	require.NoError(t, p.Wait(patience))
--- a/coldfleet_test.go
+++ b/coldfleet_test.go
@@ -211,7 +211,7 @@
 		f.all = append(f.all, &fleetDispatcher{b: b,
 			works: map[uint64]float64{}, open: map[uint64]bool{}, tries: map[uint64]int{},
 			jobs: map[[2]uint64]*fleetJob{}, homes: map[[2]uint64]*fleetWorker{}})
-		f.handle(me, Event{Kind: ListWhole, List: f.list()})
+		f.handle(me, Event{Kind: ListSnapshot, List: f.list()})
 		if float64(me%10) < 10*c.restarted {
 			f.at(fleetRestart+c.rampTime/6, func() { f.kill(t, me) })
 		}
@@ -245,7 +245,7 @@
 	}
 	d.b, d.works, d.open, d.tries = b, map[uint64]float64{}, map[uint64]bool{}, map[uint64]int{}
 	d.jobs, d.homes = map[[2]uint64]*fleetJob{}, map[[2]uint64]*fleetWorker{}
-	f.handle(me, Event{Kind: ListWhole, List: f.list()})
+	f.handle(me, Event{Kind: ListSnapshot, List: f.list()})
 }
 
 func (f *fleetSim) at(at int64, do func()) {
@@ -303,7 +303,7 @@
 		f.count(w)
 		w.up, w.State = false, Gone
 		for _, j := range slices.Concat(w.queue, w.running) {
-			f.done(w, j, Severed)
+			f.done(w, j, ConnectionLost)
 		}
 		w.queue, w.running = nil, nil
 		f.tell([]Worker{w.Worker}, f.c.lateTold)
@@ -392,7 +392,7 @@
 			if j := d.jobs[key]; j != nil {
 				f.later(func() { f.cancel(d.homes[key], j) })
 			}
-		case TellPeer:
+		case SendToPeer:
 			if f.random.Float64() >= f.c.lost {
 				f.later(func() { f.handle(a.Peer, Event{Kind: PeerMessage, From: me, Data: a.Data}) })
 			}
@@ -408,7 +408,7 @@
 	d.jobs[key], d.homes[key] = j, w
 	f.later(func() {
 		if !w.up {
-			f.done(w, j, RefusedConn)
+			f.done(w, j, ConnectionRefused)
 			return
 		}
 		if w.StartedAt > 0 && f.now < w.StartedAt+f.c.rampTime {
@@ -448,7 +448,7 @@
 	is := func(o *fleetJob) bool { return o == j }
 	if !j.over && (slices.Contains(w.queue, j) || slices.Contains(w.running, j)) {
 		w.queue, w.running = slices.DeleteFunc(w.queue, is), slices.DeleteFunc(w.running, is)
-		f.done(w, j, Recalled)
+		f.done(w, j, Cancelled)
 		f.work(w)
 	}
 }
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -138,7 +138,7 @@
 
 // Jobs that die with their workers do not raise the price at which others are refused as too late.
 func TestBrokenWorkersSetNoPrice(t *testing.T) {
-	for o, want := range map[Outcome]bool{Severed: false, RefusedConn: false, Overdue: true} {
+	for o, want := range map[Outcome]bool{ConnectionLost: false, ConnectionRefused: false, TimedOut: true} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(unsafe)
 		r.done(id, 0, r.sends(acts).Worker, o)
--- a/example_test.go
+++ b/example_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	feed(topazfall.Event{Kind: topazfall.ListWhole,
+	feed(topazfall.Event{Kind: topazfall.ListSnapshot,
 		List: []topazfall.Worker{{ID: "worker-1", Zone: "here", Kind: "std"}}})
 	feed(topazfall.Event{Kind: topazfall.Arrival, Request: 7, Tenant: -1, Due: clock + 5e6, Hint: 200e3})
 	clock += 220e3
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -46,11 +46,11 @@
 		ws := fleet(6)
 		r := newRig(t, s)
 		weigh(ws, 3)
-		r.on(Event{Kind: ListWhole, List: ws}) // all idle
-		weigh(ws, 3/(1+5./3))                  // five jobs on three cores
+		r.on(Event{Kind: ListSnapshot, List: ws}) // all idle
+		weigh(ws, 3/(1+5./3))                     // five jobs on three cores
 		ws[idle].Weight = 3 / (1 + 1./3)
 		r.now += 1e6
-		r.on(Event{Kind: ListWhole, List: ws})
+		r.on(Event{Kind: ListSnapshot, List: ws})
 		_, acts := r.arrive(unsafe)
 		if got := r.sends(acts).Worker; got != ws[idle].ID {
 			t.Errorf("sent to %s, though only %s has free slots", got, ws[idle].ID)
@@ -132,7 +132,7 @@
 func (a *tier) spread(from int, acts []Action) (words int) {
 	for _, act := range acts {
 		for to, r := range a.rigs {
-			if act.Kind == TellPeer && to != from && (act.Peer == to || act.Peer == AllPeers) {
+			if act.Kind == SendToPeer && to != from && (act.Peer == to || act.Peer == AllPeers) {
 				r.on(Event{Kind: PeerMessage, From: from, Data: act.Data})
 				words++
 			}
@@ -202,7 +202,7 @@
 		acts := r.on(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 5e6,
 			Hint: c.work*150e3 + 1000})
 		r.sends(acts)
-		if n, _ := count(acts, TellPeer); n > 0 != c.told {
+		if n, _ := count(acts, SendToPeer); n > 0 != c.told {
 			t.Errorf("%v in hand, %d job times: %d words", c.inHand, c.work, n)
 		}
 	}
@@ -252,7 +252,7 @@
 	r.b.blame(w)
 	heir := newRig(t, settings(), fleet(6)...)
 	heir.on(Event{Kind: TimerDue, Token: tokenPulse})
-	heir.b.Inherit(heir.now, r.b.Memory())
+	heir.b.Restore(heir.now, r.b.Memory())
 	if got := heir.b.workers["w0"]; got.failures != 2 || got.errors != 1 {
 		t.Errorf("inherited %d failures and %d errors", got.failures, got.errors)
 	}
@@ -266,7 +266,7 @@
 		r := newRig(t, s, fleet(6)...)
 		id, acts := r.arrive(unsafe)
 		acts = append(acts, r.done(id, 0, r.sends(acts).Worker, Errored)...)
-		if n, _ := count(acts, TellPeer); (n > 0) != (dispatchers > cover) {
+		if n, _ := count(acts, SendToPeer); (n > 0) != (dispatchers > cover) {
 			t.Errorf("%d dispatchers: %d words", dispatchers, n)
 		}
 	}
@@ -278,12 +278,12 @@
 	s.Allowed.PeerMessages = true
 	r := newRig(t, s, fleet(6)...)
 	word := func(op gossip.Op, at int64, host string) []byte {
-		return gossip.Word{Op: op, At: at, Host: gossip.Name(host)}.Append(nil)
+		return gossip.Message{Op: op, At: at, Host: gossip.HostHash(host)}.Append(nil)
 	}
 	odd := []Event{
 		{From: 1}, {From: 1, Data: []byte("x")}, {From: 1, Data: make([]byte, 256)},
 		{From: 1, Data: word(gossip.Failed, r.now, "unknown")}, {From: 1, Data: word(9, r.now, "w0")},
-		{From: 1, Data: word(gossip.Failed, r.now-gossip.Oldest-100e3, "w0")},
+		{From: 1, Data: word(gossip.Failed, r.now-gossip.MaxAge-100e3, "w0")},
 		{From: 0, Data: word(gossip.Sent, r.now, "w0")},
 		{From: -1, Data: word(gossip.Failed, r.now, "w0")},
 	}
@@ -294,8 +294,8 @@
 		}
 	}
 	w := r.b.workers["w0"]
-	if r.b.Unheeded() != len(odd) || w.errors != 0 || w.told.Since(0) != 0 {
-		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.Unheeded(), len(odd), w.errors, w.told.Since(0))
+	if r.b.DroppedMessages() != len(odd) || w.errors != 0 || w.told.Since(0) != 0 {
+		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.DroppedMessages(), len(odd), w.errors, w.told.Since(0))
 	}
 	for range 1000 { // a forger makes a worker look busy until the next list, and no more
 		r.on(Event{Kind: PeerMessage, From: 1, Data: word(gossip.Sent, r.now, "w0")})
@@ -472,7 +472,7 @@
 		teller.b.fault(teller.b.workers[cold.ID])
 		told := 0
 		for _, act := range teller.b.out {
-			if act.Kind == TellPeer {
+			if act.Kind == SendToPeer {
 				told++
 				delete(uses, act.Peer)
 			}
@@ -492,10 +492,10 @@
 	for range 3 {
 		for _, w := range r.b.ranked {
 			r.on(Event{Kind: PeerMessage, From: 1,
-				Data: gossip.Word{Op: gossip.Failed, At: r.now, Host: w.name}.Append(nil)})
+				Data: gossip.Message{Op: gossip.Failed, At: r.now, Host: w.name}.Append(nil)})
 		}
 	}
-	if n := r.b.Avoided(r.now); n != 30/restByWord {
+	if n := r.b.UnavailableWorkers(r.now); n != 30/restByWord {
 		t.Errorf("%d of 30 workers rest because of words", n)
 	}
 	_, acts := r.arrive(unsafe)
@@ -565,7 +565,7 @@
 					dials[w]++
 					all++
 				}
-				n, _ := count(acts, TellPeer)
+				n, _ := count(acts, SendToPeer)
 				words += n
 			}
 		}
--- a/gossip.go
+++ b/gossip.go
@@ -35,7 +35,7 @@
 // inform lets those know of an attempt who may send to its worker as well: its users of this turn and of the next,
 // where it was cold, else its sharers.
 func (b *Balancer) inform(op gossip.Op, a *attempt) {
-	word := gossip.Word{Op: op, At: b.now, Host: a.w.name, Work: int64(a.r.work)}
+	word := gossip.Message{Op: op, At: b.now, Host: a.w.name, Work: int64(a.r.work)}
 	if op == gossip.Sent && b.cold(a.w) {
 		a.turn, _, _ = b.coldTurn(a.w)
 		a.turn.Users++ // the first of the next turn
@@ -47,20 +47,20 @@
 	data := word.Append(nil)
 	b.circle.Each(a.turn, func(peer int) {
 		if peer != b.s.Me && a.w.listed {
-			b.do(Action{Kind: TellPeer, Peer: peer, Data: data})
+			b.do(Action{Kind: SendToPeer, Peer: peer, Data: data})
 		}
 	})
 }
 
 // informSharers lets those know who have a worker among their buddies, if as many are out for them as for this one.
-func (b *Balancer) informSharers(word gossip.Word, w *worker) {
+func (b *Balancer) informSharers(word gossip.Message, w *worker) {
 	if !w.listed {
 		return
 	}
 	data := word.Append(nil)
 	place := slices.Index(b.ranked, w)
-	gossip.Sharers(place, len(b.ranked), b.reach, b.s.Me, b.s.Dispatchers, func(peer int) {
-		b.do(Action{Kind: TellPeer, Peer: peer, Data: data})
+	gossip.ForEachSharer(place, len(b.ranked), b.reach, b.s.Me, b.s.Dispatchers, func(peer int) {
+		b.do(Action{Kind: SendToPeer, Peer: peer, Data: data})
 	})
 }
 
@@ -72,7 +72,7 @@
 // price at each of hundreds, of whom a dozen or two will ever send there.
 func (b *Balancer) fault(w *worker) {
 	if b.hasPeers() {
-		b.informSharers(gossip.Word{Op: gossip.Failed, At: b.now, Host: w.name}, w)
+		b.informSharers(gossip.Message{Op: gossip.Failed, At: b.now, Host: w.name}, w)
 	}
 	b.blame(w)
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-func (b *Balancer) heed(word gossip.Word, w *worker) {
+func (b *Balancer) heed(word gossip.Message, w *worker) {
 	switch word.Op {
 	case gossip.Sent:
 		w.told.Add(word.At, 1)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Unheeded is how many words of other dispatchers were dropped.
-func (b *Balancer) Unheeded() int { return b.unheeded }
+// DroppedMessages is how many words of other dispatchers were dropped.
+func (b *Balancer) DroppedMessages() int { return b.unheeded }
 
 // foldHearsay makes held what it was at a later time, by what was told, and returns what has come since then.
 func (w *worker) foldHearsay(of int64) (since float64) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -46,7 +46,7 @@
 // Agent is an extension of a dispatcher.
 type Agent struct {
 	o      Options
-	parts  instance.Parts
+	parts  instance.Dependencies
 	list   *hostlist.List
 	source *srv.Source
 	store  *settings.Store
@@ -65,7 +65,7 @@
 func New(o Options) *Agent { return &Agent{o: o} }
 
 // Start opens what is saved, follows it, and serves the control API.
-func (a *Agent) Start(p instance.Parts) error {
+func (a *Agent) Start(p instance.Dependencies) error {
 	a.parts = p
 	store, fault, err := settings.Open(a.o.State)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	a.list = hostlist.New(p.Core)
 	a.source = srv.New(a.list)
-	now, readOnly := store.Now()
+	now, readOnly := store.Current()
 	if readOnly != "" {
 		slog.Warn("settings", "state", "read-only", "reason", readOnly)
 	}
@@ -121,9 +121,9 @@
 	if err != nil {
 		return err
 	}
-	a.store.Manage()
+	a.store.SetManaged()
 	a.shared = i
-	a.parts.Metrics.Extend(i.sync.WriteMetrics)
+	a.parts.Metrics.AddWriter(i.sync.WriteMetrics)
 	return nil
 }
 
@@ -133,7 +133,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-a.store.Owned():
+	case <-a.store.LockAcquired():
 	}
 	a.shared.sync.Start()
 	<-ctx.Done()
@@ -148,8 +148,10 @@
 	return configsync.Descriptors(a.o.Roster, name)
 }
 
-// List takes the inventory's news.
-func (a *Agent) List(kind topazfall.EventKind, entries []dispatch.Entry) { a.list.List(kind, entries) }
+// ApplyList takes the inventory's news.
+func (a *Agent) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+	a.list.ApplyList(kind, entries)
+}
 
 // Close ends it, and lets another process have what it keeps.
 func (a *Agent) Close() {
@@ -165,9 +167,9 @@
 // follow brings each revision into force.
 func (a *Agent) follow(ctx context.Context, last uint64) {
 	for {
-		r, err := a.store.After(ctx, last)
+		r, err := a.store.NextAfter(ctx, last)
 		if err != nil && ctx.Err() == nil {
-			r, _ = a.store.Now() // some were left out: the last is what counts
+			r, _ = a.store.Current() // some were left out: the last is what counts
 		} else if err != nil {
 			return
 		}
@@ -179,7 +181,7 @@
 
 func (a *Agent) configure(r *pb.Revision) {
 	e := settings.Effective(r.Settings)
-	knobs, set := settings.Merge(e)
+	knobs, set := settings.MergeSettings(e)
 	var names []string
 	for name := range set {
 		names = append(names, name)
@@ -188,7 +190,7 @@
 	a.mu.Lock()
 	a.names = names
 	a.mu.Unlock()
-	a.parts.SetTenants(settings.Teams(e))
+	a.parts.SetTenants(settings.Tenants(e))
 	a.parts.Hosts.SetAddressLimits(settings.AddressLimits(e))
 	if proto.Equal(a.asked, e.Sources) { // to ask anew for what has not changed would cost the resolvers
 		return
@@ -197,7 +199,7 @@
 	a.list.Configure(knobs, set)
 	s := e.Sources
 	a.source.Configure(srv.Options{Resolvers: s.Resolvers, Timeout: s.Timeout.AsDuration(),
-		Least: s.LeastLifetime.AsDuration(), Most: s.MostLifetime.AsDuration()}, names)
+		MinLifetime: s.LeastLifetime.AsDuration(), MaxLifetime: s.MostLifetime.AsDuration()}, names)
 }
 
 // record is a record as it is saved.
@@ -224,13 +226,13 @@
 	for _, name := range a.names {
 		var records []sources.Record
 		for _, r := range saved[name] {
-			list, _ := addresses.List(r.Addresses)
+			list, _ := addresses.ParseList(r.Addresses)
 			records = append(records,
 				sources.Record{Target: r.Target, Port: r.Port, Priority: r.Priority, Weight: r.Weight, Addresses: list})
 		}
 		if len(records) > 0 {
 			slog.Warn("sources", "name", name, "state", "old", "hosts", len(records))
-			a.list.Old(name, records)
+			a.list.RestoreRecords(name, records)
 		}
 	}
 }
@@ -248,14 +250,14 @@
 }
 
 func (a *Agent) save() {
-	if _, readOnly := a.store.Now(); readOnly != "" { // another process keeps them
+	if _, readOnly := a.store.Current(); readOnly != "" { // another process keeps them
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	saved := map[string][]record{}
 	for _, name := range a.names {
-		for _, r := range a.list.Known(name) {
+		for _, r := range a.list.KnownRecords(name) {
 			texts := make([]string, len(r.Addresses))
 			for i, one := range r.Addresses {
 				texts[i] = one.String()
--- a/internal/agent/installation.go
+++ b/internal/agent/installation.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return since, err
 	}
-	return i.store.Take(revisionOf(r, doc))
+	return i.store.ApplyManaged(revisionOf(r, doc))
 }
 
 // revisionOf is a revision of the log as the store has it.
@@ -108,11 +108,11 @@
 	ctx, cancel := context.WithTimeout(ctx, localTime)
 	defer cancel()
 	for {
-		now, _ := i.store.Now()
+		now, _ := i.store.Current()
 		if now.Number >= number {
 			return
 		}
-		if _, err := i.store.After(ctx, now.Number); err != nil {
+		if _, err := i.store.NextAfter(ctx, now.Number); err != nil {
 			return
 		}
 	}
@@ -123,7 +123,7 @@
 	if faults := settings.Check(doc); len(faults) > 0 {
 		return nil, faults
 	}
-	entries, err := settings.Entries(doc)
+	entries, err := settings.ToEntries(doc)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 	MemoryMB, Sockets       int
 	PeerListen, PeersAll    string   // where dispatchers tell each other of hosts; empty where they may not
 	Peers                   []string // of each dispatcher by its number
-	Known                   []byte   // the list of hosts as last had, in discovery's form; may be empty
+	KnownHosts              []byte   // the list of hosts as last had, in discovery's form; may be empty
 	Settings                topazfall.Settings
 	ConnIdle                time.Duration // a host closes a connection once it has been idle for so long
 	HoldOnRefusal           bool          // a refusal of discovery shows that it could be reached; see package refresh
@@ -158,7 +158,7 @@
 		Discovery: first(env("LB_DISCOVERY"), f.Discovery), Management: first(env("LB_MANAGEMENT"), f.Manage),
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
 		PeerListen: others.Listen, Peers: others.Peers, PeersAll: others.All, HoldOnRefusal: others.HoldOnRefusal,
-		Sockets: f.Limits.Sockets, Known: f.Known,
+		Sockets: f.Limits.Sockets, KnownHosts: f.Known,
 		ConnIdle: time.Duration(f.Settings.Allowed.ConnIdle) * time.Microsecond}
 	if c.Listen == "" || c.Discovery == "" {
 		return Config{}, errors.New("listen and discovery must be given")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, time.Minute, c.ConnIdle)
 	require.Equal(t, 1024, c.Sockets)
 	require.Equal(t, int64(2e6), c.Settings.Allowed.MaxRetryAfter)
-	require.Contains(t, string(c.Known), `"hosts"`)
+	require.Contains(t, string(c.KnownHosts), `"hosts"`)
 }
 
 // The environment still names the discovery of the start when the file has been replaced.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -123,8 +123,8 @@
 	}
 	s = topazfall.Settings{
 		Seed: seed, Me: p.Me, Dispatchers: p.Replicas, Zone: p.MyZone, Zones: p.Areas, Kinds: p.Skus,
-		Tick: p.TickMicros, ReportsIn: source, TellsStart: p.Domain.TellsStart,
-		Progress: p.Domain.Progress, AskForList: p.Discovery == "subscribe", OverShare: 1,
+		Tick: p.TickMicros, LoadReports: source, ReportsStart: p.Domain.TellsStart,
+		Progress: p.Domain.Progress, ListOnRequest: p.Discovery == "subscribe", OverShare: 1,
 		CrossZone:   p.Deductions.CrossZone,
 		LiveWeights: p.WeightKind == "live",
 		Contract: topazfall.Contract{
@@ -133,7 +133,7 @@
 			FallMultiple: p.Contract.FallMultiple, FallTime: p.Contract.FallTime},
 		Allowed: topazfall.Allowed{
 			Cancel: p.Allowed.Cancel, Probe: p.Allowed.MayProbe, PeerMessages: p.Allowed.PeerMessages,
-			SecondCopies: p.Allowed.ParallelTries, RetryAfter: p.Allowed.RetryAfter,
+			HedgedRequests: p.Allowed.ParallelTries, RetryAfter: p.Allowed.RetryAfter,
 			MaxRetryAfter: p.Allowed.MaxRetryAfter, Attempts: p.Allowed.SendCap, DialTimeout: p.Allowed.DialTimeout},
 	}
 	if p.OverShare != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -41,7 +41,7 @@
 
 // Hosts is the merged list, and what is wrong with each source.
 type Hosts interface {
-	Hosts() ([]sources.Info, map[string]string)
+	Hosts() ([]sources.Host, map[string]string)
 	Now() int64
 }
 
@@ -166,7 +166,7 @@
 
 // Get returns the revision in force.
 func (s *Server) Get(context.Context, *connect.Request[pb.GetRequest]) (*connect.Response[pb.GetResponse], error) {
-	r, readOnly := s.options.Store.Now()
+	r, readOnly := s.options.Store.Current()
 	return connect.NewResponse(&pb.GetResponse{Revision: r, Effective: settings.Effective(r.Settings),
 		ReadOnly: readOnly}), nil
 }
@@ -246,7 +246,7 @@
 		return err
 	}
 	for last := r.Msg.After; ; {
-		next, err := s.options.Store.After(ctx, last)
+		next, err := s.options.Store.NextAfter(ctx, last)
 		switch {
 		case errors.Is(err, settings.ErrGap):
 			return connect.NewError(connect.CodeOutOfRange, err)
@@ -271,7 +271,7 @@
 	now := s.options.Hosts.Now()
 	count := map[string]uint32{}
 	for _, h := range hosts {
-		one := &pb.Host{Name: h.ID, Sources: h.Sources, State: "up", Why: h.Why, Zone: h.Zone, Kind: h.Kind,
+		one := &pb.Host{Name: h.ID, Sources: h.Sources, State: "up", Why: h.Reason, Zone: h.Zone, Kind: h.Kind,
 			Share: h.Weight}
 		if h.State != topazfall.Ready {
 			one.State = "draining"
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -25,9 +25,9 @@
 type hosts struct{}
 
 func (hosts) Now() int64 { return 1e6 }
-func (hosts) Hosts() ([]sources.Info, map[string]string) {
+func (hosts) Hosts() ([]sources.Host, map[string]string) {
 	entry := sources.Entry{Addr: "10.0.0.1:9000", Worker: topazfall.Worker{ID: "a", State: topazfall.Draining}}
-	return []sources.Info{{Entry: entry, Sources: []string{"roster", "srv:x"}, Why: "drains", Expires: 3e6}},
+	return []sources.Host{{Entry: entry, Sources: []string{"roster", "srv:x"}, Reason: "drains", Expires: 3e6}},
 		map[string]string{"x": "timeout"}
 }
 
--- a/internal/decide/addresses/address.go
+++ b/internal/decide/addresses/address.go
@@ -11,25 +11,25 @@
 	"strings"
 )
 
-// Most is how many addresses of a host are used; what a list names beyond that is left out.
-const Most = 8
+// MaxAddresses is how many addresses of a host are used; what a list names beyond that is left out.
+const MaxAddresses = 8
 
 // longestPath is what fits into a socket address of Linux (unix(7): 108 bytes with the closing zero).
 const longestPath = 107
 
-// Kind is the family of an address.
-type Kind uint8
+// Family is the family of an address.
+type Family uint8
 
 // The kinds.
 const (
-	Local Kind = iota // a Unix socket on this machine
+	Unix Family = iota // a Unix socket on this machine
 	IPv6
 	IPv4
 )
 
 // Address is one way to reach a host, in its canonical form, so that two that mean the same are equal by ==.
 type Address struct {
-	kind Kind
+	kind Family
 	text string // as net.Dial takes it
 }
 
@@ -45,7 +45,7 @@
 		case len(clean) > longestPath:
 			return Address{}, fmt.Errorf("the path of a socket is longer than %d bytes", longestPath)
 		default:
-			return Address{Local, clean}, nil
+			return Address{Unix, clean}, nil
 		}
 	}
 	ap, err := netip.ParseAddrPort(text)
@@ -68,7 +68,7 @@
 
 // Network is the network's name for net.Dial.
 func (a Address) Network() string {
-	if a.kind == Local {
+	if a.kind == Unix {
 		return "unix"
 	}
 	return "tcp"
@@ -79,7 +79,7 @@
 
 // String is the form that Parse reads.
 func (a Address) String() string {
-	if a.kind == Local {
+	if a.kind == Unix {
 		return "unix:" + a.text
 	}
 	return a.text
@@ -94,32 +94,32 @@
 	return err
 }
 
-// Fault is an entry of a host's list that cannot be used, and why.
-type Fault struct {
+// InvalidEntry is an entry of a host's list that cannot be used, and why.
+type InvalidEntry struct {
 	Text string
 	Err  error
 }
 
 var (
 	errTwice = errors.New("listed twice")
-	errMore  = fmt.Errorf("more than %d addresses", Most)
+	errMore  = fmt.Errorf("more than %d addresses", MaxAddresses)
 )
 
-// List reads a host's list. A bad entry costs that entry only; of the good ones the first Most are used.
-func List(texts []string) (list []Address, faults []Fault) {
+// ParseList reads a host's list. A bad entry costs that entry only; of the good ones the first Most are used.
+func ParseList(texts []string) (list []Address, faults []InvalidEntry) {
 	for _, text := range texts {
 		a, err := Parse(text)
 		switch {
 		case err != nil:
 		case has(list, a):
 			err = errTwice
-		case len(list) == Most:
+		case len(list) == MaxAddresses:
 			err = errMore
 		}
 		if err == nil {
 			list = append(list, a)
-		} else if len(faults) < 2*Most { // a hostile list must not fill the log
-			faults = append(faults, Fault{text[:min(len(text), 128)], err})
+		} else if len(faults) < 2*MaxAddresses { // a hostile list must not fill the log
+			faults = append(faults, InvalidEntry{text[:min(len(text), 128)], err})
 		}
 	}
 	return list, faults
@@ -134,16 +134,16 @@
 	return false
 }
 
-// Order returns the addresses in the order in which they are tried while nothing is known of them: sockets of this
+// Interleave returns the addresses in the order in which they are tried while nothing is known of them: sockets of this
 // machine first, then the two families in turns, beginning with that of the host's first (RFC 8305, section 4); within
 // a kind the host's own order holds.
-func Order(list []Address) []Address {
+func Interleave(list []Address) []Address {
 	out := make([]Address, 0, len(list))
 	var families [2][]Address // the first one's family, and the other
-	var first Kind
+	var first Family
 	for _, a := range list {
 		switch {
-		case a.kind == Local:
+		case a.kind == Unix:
 			out = append(out, a)
 		case len(families[0]) == 0 || a.kind == first:
 			first = a.kind
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -58,10 +58,10 @@
 	for i := range 1000 {
 		texts = append(texts, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
-	list, faults := List(texts)
-	require.Len(t, list, Most)
+	list, faults := ParseList(texts)
+	require.Len(t, list, MaxAddresses)
 	require.Equal(t, "127.0.0.1:8", list[7].String())
-	require.Len(t, faults, 2*Most)
+	require.Len(t, faults, 2*MaxAddresses)
 	require.Equal(t, "odd", faults[0].Text)
 	require.Equal(t, errTwice, faults[1].Err)
 	require.Equal(t, errMore, faults[len(faults)-1].Err)
@@ -69,28 +69,28 @@
 
 func TestOrder(t *testing.T) {
 	a, b, c, d := must("10.0.0.1:1"), must("10.0.0.2:1"), must("[fd00::1]:1"), must("[fd00::2]:1")
-	require.Equal(t, []Address{local, a, c, b, d}, Order([]Address{a, b, c, local, d}))
-	require.Equal(t, []Address{c, a, d, b}, Order([]Address{c, d, a, b}))
-	require.Empty(t, Order(nil))
+	require.Equal(t, []Address{local, a, c, b, d}, Interleave([]Address{a, b, c, local, d}))
+	require.Equal(t, []Address{c, a, d, b}, Interleave([]Address{c, d, a, b}))
+	require.Empty(t, Interleave(nil))
 }
 
 func TestClaims(t *testing.T) {
 	c := NewClaims()
 	c.Set("b", []Address{four, six}, "")
 	c.Set("a", []Address{four, local}, "")
-	changed, conflicts := c.Settle()
+	changed, conflicts := c.Resolve()
 	require.Equal(t, []string{"a", "b"}, changed)
 	require.Equal(t, []Conflict{{four, "b", "a"}}, conflicts, "of two that are new the order of names decides")
 	own, listed := c.Usable("b")
 	require.True(t, listed)
 	require.Equal(t, []Address{six}, own)
 
-	changed, conflicts = c.Settle()
+	changed, conflicts = c.Resolve()
 	require.Empty(t, changed)
 	require.Empty(t, conflicts, "said once")
 
 	c.Set("0", []Address{four}, "") // would come before a, but a has it
-	_, conflicts = c.Settle()
+	_, conflicts = c.Resolve()
 	require.Equal(t, []Conflict{{four, "0", "a"}}, conflicts)
 	own, listed = c.Usable("0")
 	require.True(t, listed)
@@ -99,13 +99,13 @@
 	c.Set("b", []Address{four, six}, "") // a move within one list, the new owner's news first
 	c.Remove("0")
 	c.Set("a", []Address{local}, "")
-	changed, _ = c.Settle()
+	changed, _ = c.Resolve()
 	require.Equal(t, []string{"0", "a", "b"}, changed)
 	own, _ = c.Usable("b")
 	require.Equal(t, []Address{four, six}, own)
 
 	c.Set("d", nil, "[::1]:9000") // what is named by dial alone stays exactly as it was
-	changed, conflicts = c.Settle()
+	changed, conflicts = c.Resolve()
 	require.Equal(t, []string{"b"}, changed)
 	require.Equal(t, []Conflict{{six, "b", "d"}}, conflicts)
 	_, listed = c.Usable("d")
@@ -115,42 +115,42 @@
 
 // first is the address that a race begins with, which then comes up or fails.
 func first(t *testing.T, s *Set, now int64, once bool, why Failure) Address {
-	r := s.Race(now, now+250*ms, once)
+	r := s.NewRace(now, now+250*ms, once)
 	step := r.Step(now)
-	require.Equal(t, Open, step.Move)
-	if why != Fine {
+	require.Equal(t, Open, step.Action)
+	if why != NoFailure {
 		r.Failed(now+ms, step.Address, why)
 		return step.Address
 	}
 	require.True(t, r.Opened(now+ms, step.Address, ms, false))
-	require.Equal(t, Step{Move: Use, Address: step.Address}, r.Step(now+ms))
-	require.Equal(t, Wait, r.Step(now+ms).Move, "used once")
-	r.Settle()
+	require.Equal(t, Step{Action: Use, Address: step.Address}, r.Step(now+ms))
+	require.Equal(t, Wait, r.Step(now+ms).Action, "used once")
+	r.Finish()
 	return step.Address
 }
 
 // While the first address is good there is no race, and it is kept to; a failure is passed by, and rests.
 func TestStickyAndRest(t *testing.T) {
 	s := newSet(1, six, four)
-	require.Equal(t, six, first(t, s, ms, true, Refused))
-	require.Equal(t, four, first(t, s, 3*ms, true, Fine))
+	require.Equal(t, six, first(t, s, ms, true, ConnectionRefused))
+	require.Equal(t, four, first(t, s, 3*ms, true, NoFailure))
 	for now := 10 * ms; now < 200*ms; now += 10 * ms { // while it rests
-		require.Equal(t, four, first(t, s, now, now%20 == 0, Fine))
-		a, how := s.Trial(now)
-		require.Equal(t, NoProof, how, a)
+		require.Equal(t, four, first(t, s, now, now%20 == 0, NoFailure))
+		a, how := s.NextTrial(now)
+		require.Equal(t, NoTrial, how, a)
 	}
 	// Its rest is over: it is tried by a connection, and then a message that may be repeated, before any other.
-	a, how := s.Trial(600 * ms)
+	a, how := s.NextTrial(600 * ms)
 	require.Equal(t, six, a)
-	require.Equal(t, Connect, how)
-	_, how = s.Trial(600 * ms)
-	require.Equal(t, NoProof, how, "one trial at a time")
-	require.Equal(t, four, first(t, s, 600*ms, false, Fine))
-	s.Tried(601*ms, six, Connect, 600*ms, Fine)
-	require.Equal(t, four, first(t, s, 602*ms, true, Fine), "a connection is no proof for what must not run twice")
-	require.Equal(t, six, first(t, s, 603*ms, false, Fine))
+	require.Equal(t, ConnectTrial, how)
+	_, how = s.NextTrial(600 * ms)
+	require.Equal(t, NoTrial, how, "one trial at a time")
+	require.Equal(t, four, first(t, s, 600*ms, false, NoFailure))
+	s.TrialEnded(601*ms, six, ConnectTrial, 600*ms, NoFailure)
+	require.Equal(t, four, first(t, s, 602*ms, true, NoFailure), "a connection is no proof for what must not run twice")
+	require.Equal(t, six, first(t, s, 603*ms, false, NoFailure))
 	s.Answered(605*ms, six, 603*ms, false)
-	require.Equal(t, six, first(t, s, 606*ms, true, Fine), "back in use")
+	require.Equal(t, six, first(t, s, 606*ms, true, NoFailure), "back in use")
 }
 
 // Many messages that meet the same trouble are one failure; failures in a row rest ever longer, within bounds, and an
@@ -162,90 +162,90 @@
 	for i := range 10 {
 		var races []*Race
 		for range 50 {
-			r := s.Race(now, now+250*ms, false)
-			if step := r.Step(now); step.Move == Open {
+			r := s.NewRace(now, now+250*ms, false)
+			if step := r.Step(now); step.Action == Open {
 				races = append(races, r)
 			}
 		}
 		for _, r := range races {
-			r.Failed(now+ms, four, Refused)
+			r.Failed(now+ms, four, ConnectionRefused)
 		}
 		require.Equal(t, i+1, b.failures)
-		rest := min(Defaults.RestLeast<<i, Defaults.RestMost)
+		rest := min(Defaults.MinBackoff<<i, Defaults.MaxBackoff)
 		require.GreaterOrEqual(t, b.rest, now+ms+rest/2)
 		require.LessOrEqual(t, b.rest, now+ms+rest)
 		now = b.rest + ms
-		first(t, s, now, false, Fine) // up again for a second
+		first(t, s, now, false, NoFailure) // up again for a second
 		s.Answered(now, four, now-1, false)
 		now += 1000 * ms
 	}
-	s.Answered(now+Defaults.Calm, four, now, false)
+	s.Answered(now+Defaults.CalmPeriod, four, now, false)
 	require.Zero(t, b.failures, "calm for long enough")
 }
 
 // All rest: the one whose rest ends first is tried, one for each relay, and never none.
 func TestAllRest(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, false, Refused)
-	first(t, s, 2*ms, false, Refused)
+	first(t, s, ms, false, ConnectionRefused)
+	first(t, s, 2*ms, false, ConnectionRefused)
 	s.find(six).rest, s.find(four).rest = 900*ms, 800*ms
-	r := s.Race(10*ms, 260*ms, true)
-	require.Equal(t, Step{Move: Open, Address: four}, r.Step(10*ms))
-	r.Failed(11*ms, four, Refused)
-	require.Equal(t, GiveUp, r.Step(11*ms).Move)
+	r := s.NewRace(10*ms, 260*ms, true)
+	require.Equal(t, Step{Action: Open, Address: four}, r.Step(10*ms))
+	r.Failed(11*ms, four, ConnectionRefused)
+	require.Equal(t, GiveUp, r.Step(11*ms).Action)
 }
 
 // A silent address holds nobody up for longer than the delay, and while its first connect is still pending the next
 // message does not begin with it.
 func TestSilent(t *testing.T) {
 	s := newSet(1, six, four)
-	r := s.Race(0, 250*ms, false)
-	require.Equal(t, Step{Move: Open, Address: six}, r.Step(0))
-	require.Equal(t, Step{Move: Wait, Until: 50 * ms}, r.Step(ms))
-	require.Equal(t, Step{Move: Open, Address: four}, r.Step(50*ms))
-	require.Equal(t, four, first(t, s, 51*ms, false, Fine), "six is late")
+	r := s.NewRace(0, 250*ms, false)
+	require.Equal(t, Step{Action: Open, Address: six}, r.Step(0))
+	require.Equal(t, Step{Action: Wait, Until: 50 * ms}, r.Step(ms))
+	require.Equal(t, Step{Action: Open, Address: four}, r.Step(50*ms))
+	require.Equal(t, four, first(t, s, 51*ms, false, NoFailure), "six is late")
 	require.True(t, r.Opened(52*ms, four, 2*ms, false))
-	require.Equal(t, Use, r.Step(52*ms).Move)
-	r.Failed(250*ms, six, Unheard)
+	require.Equal(t, Use, r.Step(52*ms).Action)
+	r.Failed(250*ms, six, ConnectTimeout)
 	require.Equal(t, Silent, s.find(six).state)
 	require.Zero(t, s.find(six).late)
-	require.Equal(t, four, first(t, s, 251*ms, false, Fine))
+	require.Equal(t, four, first(t, s, 251*ms, false, NoFailure))
 
 	// A late one that comes up after all is a loser, and good.
 	s = newSet(1, six, four)
-	r = s.Race(0, 250*ms, false)
+	r = s.NewRace(0, 250*ms, false)
 	r.Step(0)
 	r.Step(50 * ms)
 	require.True(t, r.Opened(51*ms, four, ms, false))
 	require.False(t, r.Opened(60*ms, six, 60*ms, false))
 	require.Equal(t, Good, s.find(six).state)
 	// The winner turns out to be dead before anything is written: the loser's connection is taken.
-	require.Equal(t, Use, r.Step(61*ms).Move)
-	r.Failed(61*ms, four, Refused)
-	require.Equal(t, Step{Move: Open, Address: six}, r.Step(61*ms))
+	require.Equal(t, Use, r.Step(61*ms).Action)
+	r.Failed(61*ms, four, ConnectionRefused)
+	require.Equal(t, Step{Action: Open, Address: six}, r.Step(61*ms))
 }
 
 // The time is shared among the addresses that remain, so that the last is still tried.
 func TestDelayLeavesTime(t *testing.T) {
 	var list []Address
-	for i := range Most {
+	for i := range MaxAddresses {
 		list = append(list, must(fmt.Sprintf("10.0.0.%d:1", i+1)))
 	}
 	s, now, opened := newSet(1, list...), int64(0), 0
-	r := s.Race(0, 250*ms, false)
+	r := s.NewRace(0, 250*ms, false)
 	for {
 		step := r.Step(now)
-		if step.Move == GiveUp {
+		if step.Action == GiveUp {
 			break
 		}
-		if step.Move == Open {
+		if step.Action == Open {
 			opened++
 			continue
 		}
 		require.Greater(t, step.Until, now)
 		now = step.Until
 	}
-	require.Equal(t, Most, opened)
+	require.Equal(t, MaxAddresses, opened)
 	require.Equal(t, 250*ms, now)
 }
 
@@ -253,37 +253,37 @@
 // be repeated, and began after the reset, was answered.
 func TestReset(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, true, Fine)
-	s.Reset(5*ms, six, 2*ms, true)
-	require.Equal(t, four, first(t, s, 6*ms, true, Fine))
-	s.Reset(7*ms, four, 6*ms, true)
-	require.Equal(t, GiveUp, s.Race(10*ms, 260*ms, true).Step(10*ms).Move, "rather no host than a second run")
+	first(t, s, ms, true, NoFailure)
+	s.RequestReset(5*ms, six, 2*ms, true)
+	require.Equal(t, four, first(t, s, 6*ms, true, NoFailure))
+	s.RequestReset(7*ms, four, 6*ms, true)
+	require.Equal(t, GiveUp, s.NewRace(10*ms, 260*ms, true).Step(10*ms).Action, "rather no host than a second run")
 	s.Answered(11*ms, six, 4*ms, false)
-	require.Equal(t, GiveUp, s.Race(11*ms, 261*ms, true).Step(11*ms).Move,
+	require.Equal(t, GiveUp, s.NewRace(11*ms, 261*ms, true).Step(11*ms).Action,
 		"an answer to what began before says nothing")
 	s.Answered(11*ms, six, 8*ms, true)
-	require.Equal(t, GiveUp, s.Race(11*ms, 261*ms, true).Step(11*ms).Move, "what must not run twice is no proof")
+	require.Equal(t, GiveUp, s.NewRace(11*ms, 261*ms, true).Step(11*ms).Action, "what must not run twice is no proof")
 
 	now := 2000 * ms
-	r := s.Race(now, now+250*ms, false)
-	require.Equal(t, Step{Move: Open, Address: six}, r.Step(now))
+	r := s.NewRace(now, now+250*ms, false)
+	require.Equal(t, Step{Action: Open, Address: six}, r.Step(now))
 	require.True(t, r.Opened(now+ms, six, ms, false))
 	require.Equal(t, Resetting, s.find(six).state)
-	require.Equal(t, GiveUp, s.Race(now+ms, now+250*ms, true).Step(now+ms).Move)
+	require.Equal(t, GiveUp, s.NewRace(now+ms, now+250*ms, true).Step(now+ms).Action)
 	s.Answered(now+5*ms, six, now+2*ms, false)
-	require.Equal(t, six, first(t, s, now+6*ms, true, Fine))
+	require.Equal(t, six, first(t, s, now+6*ms, true, NoFailure))
 
-	s.SetLimits(func() Limits { l := Defaults; l.Probe = true; return l }())
-	s.Reset(now+10*ms, six, now+6*ms, true)
-	a, how := s.Trial(now + 11*ms)
+	s.SetLimits(func() Limits { l := Defaults; l.CanProbe = true; return l }())
+	s.RequestReset(now+10*ms, six, now+6*ms, true)
+	a, how := s.NextTrial(now + 11*ms)
 	require.Equal(t, four, a, "six rests")
-	require.Equal(t, Probe, how)
+	require.Equal(t, ProbeTrial, how)
 	now = s.find(six).rest
-	a, how = s.Trial(now)
+	a, how = s.NextTrial(now)
 	require.Equal(t, six, a)
-	require.Equal(t, Probe, how)
-	s.Tried(now+ms, six, Probe, now, Fine)
-	require.Equal(t, six, first(t, s, now+2*ms, true, Fine))
+	require.Equal(t, ProbeTrial, how)
+	s.TrialEnded(now+ms, six, ProbeTrial, now, NoFailure)
+	require.Equal(t, six, first(t, s, now+2*ms, true, NoFailure))
 }
 
 // 48 dispatchers that lose an address at one moment do not come back to it at one moment.
@@ -291,7 +291,7 @@
 	var at []int64
 	for seed := range uint64(48) {
 		s := newSet(seed, six, four)
-		first(t, s, ms, false, Refused)
+		first(t, s, ms, false, ConnectionRefused)
 		at = append(at, s.find(six).rest)
 	}
 	slices.Sort(at)
@@ -303,12 +303,12 @@
 // What was learned goes on in another process, and nonsense of it does not.
 func TestMemory(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, true, Fine)
-	s.Reset(5*ms, six, 2*ms, true)
+	first(t, s, ms, true, NoFailure)
+	s.RequestReset(5*ms, six, 2*ms, true)
 	young := newSet(2, four, six)
 	young.Inherit(6*ms, append(s.Memory(), Memory{Address: "nobody"}, Memory{Address: four.String(), State: 99}))
 	require.ElementsMatch(t, s.Memory(), young.Memory())
-	require.Equal(t, four, first(t, young, 7*ms, true, Fine))
+	require.Equal(t, four, first(t, young, 7*ms, true, NoFailure))
 	s.Update([]Address{four}) // the address that goes takes its memory with it
 	require.False(t, s.Has(six))
 	s.Update([]Address{four, six})
@@ -318,7 +318,7 @@
 func TestLimits(t *testing.T) {
 	require.NoError(t, Defaults.Check())
 	l := Defaults
-	l.RestMost = 1
+	l.MaxBackoff = 1
 	require.ErrorContains(t, l.Check(), "rest_most is 1")
 }
 
@@ -331,7 +331,7 @@
 		s := newSet(rapid.Uint64().Draw(t, "seed"), addresses...)
 		p := &properties{T: t, set: s, addresses: addresses, limits: Defaults, now: 1,
 			bad: map[Address]bool{}, lost: map[Address]int{}}
-		p.limits.Probe = rapid.Bool().Draw(t, "probe")
+		p.limits.CanProbe = rapid.Bool().Draw(t, "probe")
 		s.SetLimits(p.limits)
 		for range rapid.IntRange(1, 40).Draw(t, "messages") {
 			p.now += rapid.Int64Range(1, 3e6).Draw(t, "pause")
@@ -354,13 +354,13 @@
 
 // try proves an address if the set asks for it.
 func (p *properties) try() {
-	a, how := p.set.Trial(p.now)
-	if how == NoProof {
+	a, how := p.set.NextTrial(p.now)
+	if how == NoTrial {
 		return
 	}
-	why := rapid.SampledFrom([]Failure{Fine, Refused, Unheard}).Draw(p.T, "trial")
-	p.set.Tried(p.now+1, a, how, p.now, why)
-	if why == Fine && how == Probe {
+	why := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout}).Draw(p.T, "trial")
+	p.set.TrialEnded(p.now+1, a, how, p.now, why)
+	if why == NoFailure && how == ProbeTrial {
 		delete(p.bad, a)
 	}
 }
@@ -380,17 +380,17 @@
 func (p *properties) race() {
 	once := rapid.Bool().Draw(p.T, "once")
 	by := p.now + 250*ms
-	r := &raced{Race: p.set.Race(p.now, by, once), began: p.now, by: by, once: once, opens: map[Address]int{}}
+	r := &raced{Race: p.set.NewRace(p.now, by, once), began: p.now, by: by, once: once, opens: map[Address]int{}}
 	for p.move(r) {
 	}
 	for _, a := range r.pending { // what the race left behind comes back all the same
-		r.Failed(by, a, Unheard)
+		r.Failed(by, a, ConnectTimeout)
 	}
 	for _, b := range p.set.list {
 		if b.late != 0 {
 			p.Fatalf("%s stays late", b.Address)
 		}
-		if b.rest > p.now+p.limits.RestMost+250*ms {
+		if b.rest > p.now+p.limits.MaxBackoff+250*ms {
 			p.Fatalf("%s rests too long", b.Address)
 		}
 	}
@@ -400,7 +400,7 @@
 // move takes the race's next step, and tells whether the race goes on.
 func (p *properties) move(r *raced) bool {
 	step := r.Step(p.now)
-	switch step.Move {
+	switch step.Action {
 	case GiveUp:
 		p.gaveUp(r)
 		return false
@@ -411,8 +411,8 @@
 		if p.unwritten(r, step.Address) {
 			return true
 		}
-		r.Settle()
-		if r.Step(p.now).Move == Use {
+		r.Finish()
+		if r.Step(p.now).Action == Use {
 			p.Fatal("used twice")
 		}
 		return false
@@ -467,7 +467,7 @@
 			delete(p.bad, a)
 		}
 	case 1:
-		p.set.Reset(p.now+1, a, p.now, r.once)
+		p.set.RequestReset(p.now+1, a, p.now, r.once)
 		p.bad[a] = true
 		if r.once {
 			p.lost[a]++
@@ -477,7 +477,7 @@
 		}
 	case 2: // called off
 	case 3: // nothing was written
-		r.Failed(p.now, a, rapid.SampledFrom([]Failure{Refused, Elsewhere}).Draw(p.T, "unwritten"))
+		r.Failed(p.now, a, rapid.SampledFrom([]Failure{ConnectionRefused, Unrelated}).Draw(p.T, "unwritten"))
 		return true
 	}
 	return false
@@ -490,8 +490,8 @@
 	}
 	a := r.pending[0]
 	r.pending = r.pending[1:]
-	why := rapid.SampledFrom([]Failure{Fine, Refused, Unheard, Elsewhere}).Draw(p.T, "connect")
-	if why == Fine {
+	why := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout, Unrelated}).Draw(p.T, "connect")
+	if why == NoFailure {
 		r.Opened(p.now, a, p.now-r.began, false)
 	} else {
 		r.Failed(p.now, a, why)
--- a/internal/decide/addresses/claims.go
+++ b/internal/decide/addresses/claims.go
@@ -124,9 +124,9 @@
 	return ""
 }
 
-// Settle is called once all news of one list are set: an address may move from one host to another within it. It
+// Resolve is called once all news of one list are set: an address may move from one host to another within it. It
 // returns the hosts whose usable addresses have changed, in order, and the conflicts that were not there before.
-func (c *Claims) Settle() (changed []string, conflicts []Conflict) {
+func (c *Claims) Resolve() (changed []string, conflicts []Conflict) {
 	for a := range c.addresses {
 		w := c.wants[a]
 		owner := w.settle()
--- a/internal/decide/addresses/race.go
+++ b/internal/decide/addresses/race.go
@@ -28,26 +28,26 @@
 	spare   bool // the connection came up and is not used
 }
 
-// Move is what a race asks for.
-type Move uint8
+// Action is what a race asks for.
+type Action uint8
 
 // The moves.
 const (
-	Wait   Move = iota // until Step.Until, or until something is told
-	Open               // a connection to Step.Address, kept or new, and tell Opened or Failed
-	Use                // write on the connection to Step.Address, or tell Failed if nothing was written
-	GiveUp             // there is no connection to be had
+	Wait   Action = iota // until Step.Until, or until something is told
+	Open                 // a connection to Step.Address, kept or new, and tell Opened or Failed
+	Use                  // write on the connection to Step.Address, or tell Failed if nothing was written
+	GiveUp               // there is no connection to be had
 )
 
 // Step is a move, and what it is about.
 type Step struct {
-	Move    Move
+	Action  Action
 	Address Address
 	Until   int64
 }
 
-// Race begins a race for a message, which must not run twice if once is set, that ends at a time.
-func (s *Set) Race(now, by int64, once bool) *Race {
+// NewRace begins a race for a message, which must not run twice if once is set, that ends at a time.
+func (s *Set) NewRace(now, by int64, once bool) *Race {
 	r := &Race{set: s, once: once, by: by, order: s.order(now, once)}
 	if !once {
 		if r.proof = s.proving(now); r.proof != nil {
@@ -61,21 +61,21 @@
 func (r *Race) Step(now int64) Step {
 	switch {
 	case r.over:
-		return Step{Move: GiveUp}
+		return Step{Action: GiveUp}
 	case r.winner != nil:
 		if r.claimed {
-			return Step{Move: Wait, Until: r.by}
+			return Step{Action: Wait, Until: r.by}
 		}
 		r.claimed = true
-		return Step{Move: Use, Address: r.winner.b.Address}
+		return Step{Action: Use, Address: r.winner.b.Address}
 	case now >= r.by:
 		r.over = true
-		return Step{Move: GiveUp}
+		return Step{Action: GiveUp}
 	}
 	if n := len(r.runs); n > 0 && r.runs[n-1].pending {
 		last := r.runs[n-1]
 		if now < r.next {
-			return Step{Move: Wait, Until: min(r.next, r.by)}
+			return Step{Action: Wait, Until: min(r.next, r.by)}
 		}
 		if !last.late {
 			last.late = true
@@ -87,15 +87,15 @@
 		b.trial = b.trial || t.proves
 		r.runs = append(r.runs, t)
 		r.next = now + r.set.delay(b, r.by-now, r.remaining(now))
-		return Step{Move: Open, Address: b.Address}
+		return Step{Action: Open, Address: b.Address}
 	}
 	for _, t := range r.runs {
 		if t.pending {
-			return Step{Move: Wait, Until: r.by}
+			return Step{Action: Wait, Until: r.by}
 		}
 	}
 	r.over = true
-	return Step{Move: GiveUp}
+	return Step{Action: GiveUp}
 }
 
 // candidate takes the next address. Of those that rest a race tries one at the most: the one whose rest ends first. It
@@ -204,9 +204,9 @@
 	}
 }
 
-// Settle ends the race whose connection was used, after what was to be said of the address: its message may have been
+// Finish ends the race whose connection was used, after what was to be said of the address: its message may have been
 // called off without an answer.
-func (r *Race) Settle() {
+func (r *Race) Finish() {
 	if r.winner != nil {
 		r.winner.let()
 	}
--- a/internal/decide/addresses/set.go
+++ b/internal/decide/addresses/set.go
@@ -11,19 +11,19 @@
 type Limits struct {
 	// After so long without an outcome the next address is begun beside a pending one. The delay follows the connect
 	// times measured; DelayFirst holds while there are none. RFC 8305, section 5, asks for 10 ms at least.
-	DelayLeast, DelayFirst, DelayMost int64
+	MinDelay, InitialDelay, MaxDelay int64
 	// A failed address rests for between a half and the whole of RestLeast; each further failure in a row doubles that,
 	// up to RestMost.
-	RestLeast, RestMost int64
+	MinBackoff, MaxBackoff int64
 	// Failures are in a row unless the address was good for so long between them.
-	Calm int64
+	CalmPeriod int64
 	// Probe says that the host may be asked for its load over an address to prove it.
-	Probe bool
+	CanProbe bool
 }
 
 // Defaults are sound for hosts within a few milliseconds.
-var Defaults = Limits{DelayLeast: 30e3, DelayFirst: 50e3, DelayMost: 100e3, RestLeast: 500e3, RestMost: 10e6,
-	Calm: 30e6}
+var Defaults = Limits{MinDelay: 30e3, InitialDelay: 50e3, MaxDelay: 100e3, MinBackoff: 500e3, MaxBackoff: 10e6,
+	CalmPeriod: 30e6}
 
 // Check names the first knob that is out of its bounds, and its value.
 func (l Limits) Check() error {
@@ -31,9 +31,9 @@
 		name              string
 		value, least, top int64
 	}{
-		{"delay_least", l.DelayLeast, 10e3, 2e6}, {"delay_most", l.DelayMost, l.DelayLeast, 2e6},
-		{"delay_first", l.DelayFirst, l.DelayLeast, l.DelayMost}, {"rest_least", l.RestLeast, 10e3, 60e6},
-		{"rest_most", l.RestMost, l.RestLeast, 600e6}, {"calm", l.Calm, 0, 3600e6},
+		{"delay_least", l.MinDelay, 10e3, 2e6}, {"delay_most", l.MaxDelay, l.MinDelay, 2e6},
+		{"delay_first", l.InitialDelay, l.MinDelay, l.MaxDelay}, {"rest_least", l.MinBackoff, 10e3, 60e6},
+		{"rest_most", l.MaxBackoff, l.MinBackoff, 600e6}, {"calm", l.CalmPeriod, 0, 3600e6},
 	} {
 		if k.value < k.least || k.value > k.top {
 			return fmt.Errorf("%s is %d, not within %d to %d microseconds", k.name, k.value, k.least, k.top)
@@ -67,9 +67,9 @@
 
 // The degrees of doubt.
 const (
-	None   Doubt = iota
-	Mild         // it had failed: where another is good, a message that may be repeated goes first
-	Severe       // it has reset a request: none of them goes there before another message was answered over it
+	NoDoubt     Doubt = iota
+	MildDoubt         // it had failed: where another is good, a message that may be repeated goes first
+	SevereDoubt       // it has reset a request: none of them goes there before another message was answered over it
 )
 
 // belief is what is believed of one address.
@@ -112,7 +112,7 @@
 func (s *Set) Update(list []Address) {
 	old := s.list
 	s.list = nil
-	for _, a := range Order(list[:min(len(list), Most)]) {
+	for _, a := range Interleave(list[:min(len(list), MaxAddresses)]) {
 		b := &belief{Address: a}
 		if i := slices.IndexFunc(old, func(b *belief) bool { return b.Address == a }); i >= 0 {
 			b = old[i]
@@ -138,7 +138,7 @@
 const mostLost = 3
 
 // bars tells whether the address must not be used for a message, which must not run twice if once is set.
-func (b *belief) bars(once bool) bool { return once && (b.doubt == Severe || b.lost >= mostLost) }
+func (b *belief) bars(once bool) bool { return once && (b.doubt == SevereDoubt || b.lost >= mostLost) }
 
 // resting is the rank of the addresses that are left alone.
 const resting = 5
@@ -155,7 +155,7 @@
 		return 4, true
 	case b.state == Refusing || b.state == Silent:
 		return 3, true
-	case b.doubt != None:
+	case b.doubt != NoDoubt:
 		return 2, true
 	case b.state == Good:
 		return 0, true
@@ -188,8 +188,8 @@
 	for _, b := range s.list {
 		switch {
 		case b.rest > now || b.trial || b.late > 0:
-		case b.doubt != None:
-			if !s.limits.Probe && (b.state == Good || b.state == Resetting) {
+		case b.doubt != NoDoubt:
+			if !s.limits.CanProbe && (b.state == Good || b.state == Resetting) {
 				return b
 			}
 		case b.state == Good:
@@ -199,61 +199,61 @@
 	return nil
 }
 
-// Proof is how an address is to be proved beside the messages.
-type Proof uint8
+// TrialKind is how an address is to be proved beside the messages.
+type TrialKind uint8
 
 // The ways to prove an address.
 const (
-	NoProof Proof = iota
-	Connect       // by a connection that nothing is written to
-	Probe         // by a probe of the host, whose answer counts as that to a message
+	NoTrial      TrialKind = iota
+	ConnectTrial           // by a connection that nothing is written to
+	ProbeTrial             // by a probe of the host, whose answer counts as that to a message
 )
 
-// Trial says which address is to be proved now, and how. It is asked whenever there is something to send; Tried must
+// NextTrial says which address is to be proved now, and how. It is asked whenever there is something to send; Tried must
 // follow. An address is proved when its rest is over and no message would: because one that is less preferred, but
 // good, takes them, or because it has reset a request.
-func (s *Set) Trial(now int64) (Address, Proof) {
+func (s *Set) NextTrial(now int64) (Address, TrialKind) {
 	for _, b := range s.list {
 		if b.rest > now || b.trial || b.late > 0 {
 			continue
 		}
-		if b.state == Good && b.doubt == None {
+		if b.state == Good && b.doubt == NoDoubt {
 			break
 		}
 		switch {
-		case b.doubt == Severe && !s.limits.Probe: // a connection would prove nothing
+		case b.doubt == SevereDoubt && !s.limits.CanProbe: // a connection would prove nothing
 			continue
-		case b.doubt != Severe && (b.state == Good || !s.anyGood(now)): // the next message will show
+		case b.doubt != SevereDoubt && (b.state == Good || !s.anyGood(now)): // the next message will show
 			continue
 		}
 		b.trial = true
-		b.doubt = max(b.doubt, Mild)
-		if s.limits.Probe {
-			return b.Address, Probe
+		b.doubt = max(b.doubt, MildDoubt)
+		if s.limits.CanProbe {
+			return b.Address, ProbeTrial
 		}
-		return b.Address, Connect
+		return b.Address, ConnectTrial
 	}
-	return Address{}, NoProof
+	return Address{}, NoTrial
 }
 
 func (s *Set) anyGood(now int64) bool {
 	return slices.ContainsFunc(s.list, func(b *belief) bool {
-		return b.state == Good && b.doubt == None && b.rest <= now && b.late == 0
+		return b.state == Good && b.doubt == NoDoubt && b.rest <= now && b.late == 0
 	})
 }
 
-// Tried ends a trial that began at a time: by a connection that came up after so long, or a probe that was answered,
+// TrialEnded ends a trial that began at a time: by a connection that came up after so long, or a probe that was answered,
 // where failure is Fine, and else by what went wrong.
-func (s *Set) Tried(now int64, a Address, how Proof, began int64, failure Failure) {
+func (s *Set) TrialEnded(now int64, a Address, how TrialKind, began int64, failure Failure) {
 	b := s.find(a)
 	if b == nil {
 		return
 	}
 	b.trial = false
 	switch {
-	case failure != Fine:
+	case failure != NoFailure:
 		s.failed(b, now, began, failure)
-	case how == Probe:
+	case how == ProbeTrial:
 		s.Answered(now, a, began, false)
 	default:
 		b.opened(now, now-began)
@@ -265,11 +265,11 @@
 
 // The failures.
 const (
-	Fine      Failure = iota
-	Refused           // the connection was refused
-	Unheard           // the connection did not come up in time
-	WasReset          // it came up and ended without an answer, with a request on it, in part or whole, or none
-	Elsewhere         // what failed has nothing to do with the address: there was no room, or it is the host's no more
+	NoFailure         Failure = iota
+	ConnectionRefused         // the connection was refused
+	ConnectTimeout            // the connection did not come up in time
+	ConnectionReset           // it came up and ended without an answer, with a request on it, in part or whole, or none
+	Unrelated                 // what failed has nothing to do with the address: there was no room, or it is the host's no more
 )
 
 // opened notes a connection that came up.
@@ -277,7 +277,7 @@
 	if b.state != Good {
 		b.good = now
 	}
-	if b.doubt == Severe {
+	if b.doubt == SevereDoubt {
 		b.state = Resetting // whatever a connection says
 	} else {
 		b.state, b.rest = Good, min(b.rest, now)
@@ -295,15 +295,15 @@
 // failed notes a failure of something that began at a time. What had begun before the last failure says nothing new:
 // of many messages that meet the same trouble the first counts.
 func (s *Set) failed(b *belief, now, began int64, why Failure) {
-	if why == Elsewhere {
+	if why == Unrelated {
 		return
 	}
-	calm := b.state == Good && now-b.good >= s.limits.Calm
-	if why == WasReset {
+	calm := b.state == Good && now-b.good >= s.limits.CalmPeriod
+	if why == ConnectionReset {
 		b.reset = now
-		b.doubt = Severe
+		b.doubt = SevereDoubt
 	} else {
-		b.doubt = max(b.doubt, Mild)
+		b.doubt = max(b.doubt, MildDoubt)
 	}
 	if b.failures > 0 && began <= b.failed {
 		return
@@ -311,8 +311,8 @@
 	if calm {
 		b.failures = 0
 	}
-	b.state = [...]State{Refused: Refusing, Unheard: Silent, WasReset: Resetting}[why]
-	rest := min(s.limits.RestLeast<<min(b.failures, 20), s.limits.RestMost)
+	b.state = [...]State{ConnectionRefused: Refusing, ConnectTimeout: Silent, ConnectionReset: Resetting}[why]
+	rest := min(s.limits.MinBackoff<<min(b.failures, 20), s.limits.MaxBackoff)
 	b.failures++
 	b.failed = now
 	b.rest = now + rest/2 + s.chance.Int64N(rest/2+1)
@@ -323,46 +323,46 @@
 // proof.
 func (s *Set) Answered(now int64, a Address, began int64, once bool) {
 	b := s.find(a)
-	if b == nil || began <= b.reset && b.doubt == Severe || once && b.doubt == Severe {
+	if b == nil || began <= b.reset && b.doubt == SevereDoubt || once && b.doubt == SevereDoubt {
 		return
 	}
 	if b.state != Good {
 		b.good = now
 	}
-	b.state, b.doubt, b.rest, b.trial = Good, None, 0, false
-	if now-b.good >= s.limits.Calm {
+	b.state, b.doubt, b.rest, b.trial = Good, NoDoubt, 0, false
+	if now-b.good >= s.limits.CalmPeriod {
 		b.failures = 0
 	}
 }
 
-// Reset notes that a connection ended, without an answer, when a request was on it that began at a time: part of it or
+// RequestReset notes that a connection ended, without an answer, when a request was on it that began at a time: part of it or
 // all. Once is set if it must not run twice.
-func (s *Set) Reset(now int64, a Address, began int64, once bool) {
+func (s *Set) RequestReset(now int64, a Address, began int64, once bool) {
 	if b := s.find(a); b != nil {
 		b.trial = false
 		if once {
 			b.lost++
 		}
-		s.failed(b, now, began, WasReset)
+		s.failed(b, now, began, ConnectionReset)
 	}
 }
 
-// Broke notes that a kept connection ended, without an answer, when a request was on it. Hosts close idle ones, so that
+// KeptConnectionClosed notes that a kept connection ended, without an answer, when a request was on it. Hosts close idle ones, so that
 // it says little: another address that is good goes first until this one has answered again.
-func (s *Set) Broke(a Address) {
+func (s *Set) KeptConnectionClosed(a Address) {
 	if b := s.find(a); b != nil {
-		b.doubt = max(b.doubt, Mild)
+		b.doubt = max(b.doubt, MildDoubt)
 	}
 }
 
 // delay is how long to wait for this address before the next is begun beside it: as long as its connections have taken
 // but for outliers, and no longer than leaves all that remain a share of the time.
 func (s *Set) delay(b *belief, left int64, remaining int) int64 {
-	d := s.limits.DelayFirst
+	d := s.limits.InitialDelay
 	if b.mean > 0 {
 		d = b.mean + 4*b.spread
 	}
-	d = min(max(d, s.limits.DelayLeast), s.limits.DelayMost)
+	d = min(max(d, s.limits.MinDelay), s.limits.MaxDelay)
 	return min(d, left/int64(remaining+1))
 }
 
@@ -385,8 +385,8 @@
 	return Memory{b.String(), b.state, b.doubt, b.failures, b.failed, b.reset, b.lost, b.rest, b.good, b.mean, b.spread}
 }
 
-// News returns the addresses of which something else is believed than when it was last asked.
-func (s *Set) News() (m []Memory) {
+// Changes returns the addresses of which something else is believed than when it was last asked.
+func (s *Set) Changes() (m []Memory) {
 	for _, b := range s.list {
 		if now := (told{b.state, b.doubt}); now != b.told {
 			b.told = now
@@ -409,14 +409,14 @@
 func (s *Set) Inherit(now int64, m []Memory) {
 	for _, k := range m {
 		a, err := Parse(k.Address)
-		if err != nil || int(k.State) >= len(states) || k.Doubt > Severe {
+		if err != nil || int(k.State) >= len(states) || k.Doubt > SevereDoubt {
 			continue
 		}
 		if b := s.find(a); b != nil {
 			b.state, b.doubt, b.failures = k.State, k.Doubt, min(max(k.Failures, 0), 64)
 			b.failed, b.reset, b.good = min(k.Failed, now), min(k.Reset, now), min(k.Good, now)
 			b.lost = min(max(k.Lost, 0), mostLost)
-			b.rest = min(k.Rest, now+s.limits.RestMost)
+			b.rest = min(k.Rest, now+s.limits.MaxBackoff)
 			b.mean, b.spread = max(k.Connect, 0), max(k.Spread, 0)
 		}
 	}
--- a/internal/decide/affinity/affinity.go
+++ b/internal/decide/affinity/affinity.go
@@ -11,9 +11,9 @@
 	"topazfall/internal/decide/mix"
 )
 
-// Homes appends to out the places of the key's hosts, most hosts at most. name gives a host's own number and whether it
+// PreferredHosts appends to out the places of the key's hosts, most hosts at most. name gives a host's own number and whether it
 // may be chosen, for places from 0 to n-1.
-func Homes(key uint64, n, most int, name func(int) (uint32, bool), out []int) []int {
+func PreferredHosts(key uint64, n, most int, name func(int) (uint32, bool), out []int) []int {
 	first := len(out)
 	var scores [8]uint64
 	most = min(most, len(scores))
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Key is a key as a number, the same at every dispatcher; 0 stands for none.
-func Key(text string) uint64 {
+// HashKey is a key as a number, the same at every dispatcher; 0 stands for none.
+func HashKey(text string) uint64 {
 	if text == "" {
 		return 0
 	}
--- a/internal/decide/affinity/affinity_test.go
+++ b/internal/decide/affinity/affinity_test.go
@@ -9,7 +9,7 @@
 )
 
 func homes(key uint64, hosts []uint32, most int) (names []uint32) {
-	for _, i := range Homes(key, len(hosts), most, func(i int) (uint32, bool) { return hosts[i], hosts[i] != 0 }, nil) {
+	for _, i := range PreferredHosts(key, len(hosts), most, func(i int) (uint32, bool) { return hosts[i], hosts[i] != 0 }, nil) {
 		names = append(names, hosts[i])
 	}
 	return names
@@ -26,7 +26,7 @@
 	slices.Reverse(turned)
 	part := map[uint32]int{}
 	for i := range 3000 {
-		key := Key(fmt.Sprint(i))
+		key := HashKey(fmt.Sprint(i))
 		all := homes(key, hosts, 3)
 		require.Len(t, all, 3)
 		require.Equal(t, all, homes(key, turned, 3))
@@ -49,7 +49,7 @@
 }
 
 func TestKey(t *testing.T) {
-	require.Zero(t, Key(""))
-	require.NotZero(t, Key("7f3a9c21e0b4d655"))
-	require.NotEqual(t, Key("a"), Key("b"))
+	require.Zero(t, HashKey(""))
+	require.NotZero(t, HashKey("7f3a9c21e0b4d655"))
+	require.NotEqual(t, HashKey("a"), HashKey("b"))
 }
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -25,11 +25,11 @@
 	Failed               // the host has failed one that another might have served
 )
 
-// Size is the length of an encoded word in bytes; up to 16 a datagram has the same price, at each that hears it.
-const Size = 8
+// MessageSize is the length of an encoded word in bytes; up to 16 a datagram has the same price, at each that hears it.
+const MessageSize = 8
 
-// Oldest is the age in microseconds beyond which a word says nothing of now.
-const Oldest = 2e6
+// MaxAge is the age in microseconds beyond which a word says nothing of now.
+const MaxAge = 2e6
 
 const (
 	version = 2
@@ -38,17 +38,17 @@
 	most    = 64       // happenings kept of a host
 )
 
-// Word is one thing that a dispatcher tells.
-type Word struct {
+// Message is one thing that a dispatcher tells.
+type Message struct {
 	Op   Op
 	At   int64  // when it happened
 	Host uint32 // see Name
 	Work int64  // microseconds of it that are expected, where there is a message; 65.5 s at most
 }
 
-// Name stands for a host's id in a word. Two of 200 hosts have the same one in 5 fleets of a million; of 16 bits it
+// HostHash stands for a host's id in a word. Two of 200 hosts have the same one in 5 fleets of a million; of 16 bits it
 // would be in 26 of a hundred, and the sound one would be blamed with the other.
-func Name(host string) uint32 {
+func HostHash(host string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(host))
 	return h.Sum32()
@@ -56,7 +56,7 @@
 
 // Append appends the bytes of a word: version and op, the lower 8 bits of the time in steps, the work in milliseconds,
 // the host.
-func (w Word) Append(b []byte) []byte {
+func (w Message) Append(b []byte) []byte {
 	b = append(b, version<<4|byte(w.Op), byte(w.At/step))
 	b = binary.BigEndian.AppendUint16(b, uint16(min(max(w.Work, 0)/1000, math.MaxUint16)))
 	return binary.BigEndian.AppendUint32(b, w.Host)
@@ -64,39 +64,39 @@
 
 // Parse reads a word that came now. The error names what is wrong with it: its length, version, op or age. An age is
 // known but for whole multiples of 4 s.
-func Parse(data []byte, now int64) (Word, error) {
-	if len(data) != Size {
-		return Word{}, fmt.Errorf("word: length is %d, not %d", len(data), Size)
+func Parse(data []byte, now int64) (Message, error) {
+	if len(data) != MessageSize {
+		return Message{}, fmt.Errorf("word: length is %d, not %d", len(data), MessageSize)
 	}
 	if data[0]>>4 != version {
-		return Word{}, fmt.Errorf("word: version is %d, not %d", data[0]>>4, version)
+		return Message{}, fmt.Errorf("word: version is %d, not %d", data[0]>>4, version)
 	}
 	op := Op(data[0] & 15)
 	if op < Sent || op > Failed {
-		return Word{}, fmt.Errorf("word: op %d is unknown", op)
+		return Message{}, fmt.Errorf("word: op %d is unknown", op)
 	}
 	age := int64(int8(byte(now/step)-data[1])) * step
-	if age > Oldest || age < -ahead {
-		return Word{}, fmt.Errorf("word: age is %d us, not within %d to %d", age, -ahead, int64(Oldest))
+	if age > MaxAge || age < -ahead {
+		return Message{}, fmt.Errorf("word: age is %d us, not within %d to %d", age, -ahead, int64(MaxAge))
 	}
-	return Word{Op: op, At: now - max(age, 0), Host: binary.BigEndian.Uint32(data[4:]),
+	return Message{Op: op, At: now - max(age, 0), Host: binary.BigEndian.Uint32(data[4:]),
 		Work: int64(binary.BigEndian.Uint16(data[2:])) * 1000}, nil
 }
 
-// Window is where a dispatcher's share of n ranked hosts begins.
-func Window(me, dispatchers, n int) int { return (2*me + 1) * n / (2 * dispatchers) }
+// SubsetStart is where a dispatcher's share of n ranked hosts begins.
+func SubsetStart(me, dispatchers, n int) int { return (2*me + 1) * n / (2 * dispatchers) }
 
-// Sharers calls tell for each other dispatcher whose share, of so many hosts, holds the one at this place of n.
-func Sharers(place, n, size, me, dispatchers int, tell func(peer int)) {
+// ForEachSharer calls tell for each other dispatcher whose share, of so many hosts, holds the one at this place of n.
+func ForEachSharer(place, n, size, me, dispatchers int, tell func(peer int)) {
 	for d := range dispatchers {
-		if d != me && n > 0 && (place-Window(d, dispatchers, n)+n)%n < size {
+		if d != me && n > 0 && (place-SubsetStart(d, dispatchers, n)+n)%n < size {
 			tell(d)
 		}
 	}
 }
 
-// Tally is what has happened at one host of late by others' doing.
-type Tally struct{ happened []happening }
+// PeerLoad is what has happened at one host of late by others' doing.
+type PeerLoad struct{ happened []happening }
 
 type happening struct {
 	at int64
@@ -104,7 +104,7 @@
 }
 
 // Add counts n messages more, or less, at a host from this time on.
-func (t *Tally) Add(at int64, n int) {
+func (t *PeerLoad) Add(at int64, n int) {
 	if len(t.happened) >= most {
 		t.happened = append(t.happened[:0], t.happened[1:]...)
 	}
@@ -112,7 +112,7 @@
 }
 
 // Since is how many messages more there are than at that time.
-func (t *Tally) Since(at int64) (n int) {
+func (t *PeerLoad) Since(at int64) (n int) {
 	for _, h := range t.happened {
 		if h.at > at {
 			n += h.by
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -12,12 +12,12 @@
 func TestWordsComeAsTheyWent(t *testing.T) {
 	for _, op := range []Op{Sent, Ended, Failed} {
 		for _, age := range []int64{0, 1_000, 40_000, 1_900_000} {
-			data := Word{Op: op, At: noon - age, Host: Name("s-1"), Work: age + 70_000}.Append(nil)
-			require.Len(t, data, Size)
+			data := Message{Op: op, At: noon - age, Host: HostHash("s-1"), Work: age + 70_000}.Append(nil)
+			require.Len(t, data, MessageSize)
 			got, err := Parse(data, noon)
 			require.NoError(t, err)
 			require.Equal(t, op, got.Op)
-			require.Equal(t, Name("s-1"), got.Host)
+			require.Equal(t, HostHash("s-1"), got.Host)
 			require.Equal(t, age+70_000, got.Work)
 			require.InDelta(t, noon-age, got.At, step)
 			require.LessOrEqual(t, got.At, noon)
@@ -26,16 +26,16 @@
 }
 
 func TestOddWordsAreErrors(t *testing.T) {
-	good := Word{Op: Sent, At: noon, Host: 7}.Append(nil)
+	good := Message{Op: Sent, At: noon, Host: 7}.Append(nil)
 	for name, data := range map[string][]byte{
 		"length is 0":      nil,
 		"length is 3":      good[:3],
-		"length is 9":      append(good[:Size:Size], 0),
+		"length is 9":      append(good[:MessageSize:MessageSize], 0),
 		"version is 1":     {1<<4 | byte(Sent), good[1], 0, 0, 0, 0, 0, 7},
 		"op 0 is unknown":  {version << 4, good[1], 0, 0, 0, 0, 0, 7},
 		"op 15 is unknown": {version<<4 | 15, good[1], 0, 0, 0, 0, 0, 7},
-		"age is 2016000":   Word{Op: Sent, At: noon - Oldest - step, Host: 7}.Append(nil),
-		"age is -64000":    Word{Op: Sent, At: noon + ahead + step, Host: 7}.Append(nil),
+		"age is 2016000":   Message{Op: Sent, At: noon - MaxAge - step, Host: 7}.Append(nil),
+		"age is -64000":    Message{Op: Sent, At: noon + ahead + step, Host: 7}.Append(nil),
 	} {
 		_, err := Parse(data, noon)
 		require.ErrorContains(t, err, name)
@@ -45,7 +45,7 @@
 // Work that no word can hold is the most that it can, and never wraps round to little.
 func TestWorkIsBounded(t *testing.T) {
 	for work, want := range map[int64]int64{-1: 0, 999: 0, 65_535_999: 65_535_000, 1 << 62: 65_535_000} {
-		got, err := Parse(Word{Op: Sent, At: noon, Work: work}.Append(nil), noon)
+		got, err := Parse(Message{Op: Sent, At: noon, Work: work}.Append(nil), noon)
 		require.NoError(t, err)
 		require.Equal(t, want, got.Work)
 	}
@@ -56,7 +56,7 @@
 	for fleet := range 50 {
 		names := map[uint32]bool{}
 		for host := range 200 {
-			names[Name(fmt.Sprintf("s-%02x%06x", fleet, host*7919))] = true
+			names[HostHash(fmt.Sprintf("s-%02x%06x", fleet, host*7919))] = true
 		}
 		require.Len(t, names, 200)
 	}
@@ -69,11 +69,11 @@
 		told := 0
 		for me := range c.dispatchers {
 			for place := range c.hosts {
-				Sharers(place, c.hosts, c.size, me, c.dispatchers, func(peer int) {
+				ForEachSharer(place, c.hosts, c.size, me, c.dispatchers, func(peer int) {
 					told++
 					holds := false
 					for i := range c.size {
-						holds = holds || (Window(peer, c.dispatchers, c.hosts)+i)%c.hosts == place
+						holds = holds || (SubsetStart(peer, c.dispatchers, c.hosts)+i)%c.hosts == place
 					}
 					require.True(t, holds && peer != me)
 				})
@@ -81,11 +81,11 @@
 		}
 		require.Equal(t, (c.dispatchers-1)*c.dispatchers*c.size, told)
 	}
-	Sharers(-1, 0, 6, 0, 80, func(int) { t.Fatal("of no hosts") })
+	ForEachSharer(-1, 0, 6, 0, 80, func(int) { t.Fatal("of no hosts") })
 }
 
 func TestTally(t *testing.T) {
-	var l Tally
+	var l PeerLoad
 	l.Add(10, 1)
 	l.Add(20, 1)
 	l.Add(30, -1)
@@ -100,8 +100,8 @@
 // FuzzParse: whatever comes is an error, or a word of a known op that is neither old nor of the future.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{}, noon)
-	f.Add(Word{Op: Failed, At: noon, Host: 1}.Append(nil), noon)
-	f.Add(Word{Op: Ended, At: noon - 3e6, Host: 65535}.Append(nil), noon)
+	f.Add(Message{Op: Failed, At: noon, Host: 1}.Append(nil), noon)
+	f.Add(Message{Op: Ended, At: noon - 3e6, Host: 65535}.Append(nil), noon)
 	f.Add([]byte{version<<4 | 9, 0, 0, 0, 0, 0, 0, 0}, int64(0))
 	f.Add([]byte("a datagram of somebody else's"), noon)
 	f.Fuzz(func(t *testing.T, data []byte, now int64) {
@@ -113,9 +113,9 @@
 			require.Zero(t, w)
 			return
 		}
-		require.Len(t, data, Size)
+		require.Len(t, data, MessageSize)
 		require.True(t, w.Op >= Sent && w.Op <= Failed)
-		require.True(t, w.At <= now && w.At >= now-Oldest)
+		require.True(t, w.At <= now && w.At >= now-MaxAge)
 		require.True(t, w.Work >= 0 && w.Work <= 65_535_000)
 	})
 }
--- a/internal/decide/ownership/holder.go
+++ b/internal/decide/ownership/holder.go
@@ -10,26 +10,26 @@
 	Idle     Mode = iota
 	Taking        // a message that it holds to be new
 	Claiming      // one that another may have had
-	Holding       // it owns the message
+	Owning        // it owns the message
 	Lost          // another has it, or will
 )
 
-// News is what an answer has brought.
-type News uint8
+// Result is what an answer has brought.
+type Result uint8
 
 // The news.
 const (
-	Nothing   News = iota
-	Owned          // the message is this holder's now, as far as Record says
-	Permitted      // the step that was asked for may be taken
+	NoChange  Result = iota
+	Owned            // the message is this holder's now, as far as Record says
+	Permitted        // the step that was asked for may be taken
 )
 
-// Holder is one instance's side of one message: it takes or claims it, and asks for each step. Its caller serializes
+// Owner is one instance's side of one message: it takes or claims it, and asks for each step. Its caller serializes
 // the calls.
-type Holder struct {
+type Owner struct {
 	me      Node
 	id      string
-	keepers [Of]Node
+	keepers [NumReplicas]Node
 	rules   rules
 
 	mode   Mode
@@ -42,35 +42,35 @@
 	seen   uint32 // the highest number of an epoch that was heard of
 }
 
-// NewHolder returns a holder that has done nothing yet.
-func NewHolder(me Node, id string, keepers [Of]Node) *Holder {
-	return &Holder{me: me, id: id, keepers: keepers}
+// NewOwner returns a holder that has done nothing yet.
+func NewOwner(me Node, id string, keepers [NumReplicas]Node) *Owner {
+	return &Owner{me: me, id: id, keepers: keepers}
 }
 
 // Mode is what the holder is doing.
-func (h *Holder) Mode() Mode { return h.mode }
+func (h *Owner) Mode() Mode { return h.mode }
 
 // Record is how far the message has got, by what two keepers have acknowledged, as long as the holder owns it.
-func (h *Holder) Record() Record { return h.record }
+func (h *Owner) Record() Record { return h.record }
 
 // Take begins to own a message that is new here. Nothing may be done with it until Handle has said that it is owned.
-func (h *Holder) Take() []Msg {
+func (h *Owner) Take() []Msg {
 	h.mode, h.epoch = Taking, Epoch{1, h.me}
 	return h.ask(Record{Phase: Taken})
 }
 
 // Claim begins to own a message that another may have had, over whatever epoch has been heard of.
-func (h *Holder) Claim() []Msg {
-	h.seen = max(h.seen, h.epoch.N, 1) + 1
+func (h *Owner) Claim() []Msg {
+	h.seen = max(h.seen, h.epoch.Number, 1) + 1
 	h.mode, h.epoch, h.seq, h.votes, h.asking = Claiming, Epoch{h.seen, h.me}, 0, nil, false
-	return h.Again()
+	return h.Resend()
 }
 
 // Step asks for the next step of a message that it owns, one at a time. The step may be taken when Handle has said that
 // it is permitted, and not before: Sending before the first byte of an attempt, Answered before the first byte of the
 // final answer.
-func (h *Holder) Step(next Record) []Msg {
-	if h.mode != Holding || h.asking || !follows(h.record, next) {
+func (h *Owner) Step(next Record) []Msg {
+	if h.mode != Owning || h.asking || !follows(h.record, next) {
 		return nil
 	}
 	return h.ask(next)
@@ -81,16 +81,16 @@
 	return from.Phase != Answered && (to.Phase == Answered || to.Phase == Sending && to.Attempt > from.Attempt)
 }
 
-func (h *Holder) ask(next Record) []Msg {
+func (h *Owner) ask(next Record) []Msg {
 	h.seq++
 	h.next, h.asking, h.votes = next, true, nil
-	return h.Again()
+	return h.Resend()
 }
 
-// Again are the messages of what is under way, to be sent to those who have not answered.
-func (h *Holder) Again() (out []Msg) {
+// Resend are the messages of what is under way, to be sent to those who have not answered.
+func (h *Owner) Resend() (out []Msg) {
 	m := Msg{Kind: Write, ID: h.id, From: h.me, Version: Version{h.epoch, h.seq}, Record: h.next,
-		Fresh: h.mode == Taking}
+		IsNew: h.mode == Taking}
 	if h.mode == Claiming && !h.asking {
 		m.Kind, m.Record = Claim, Record{}
 	}
@@ -106,38 +106,38 @@
 	return out
 }
 
-func (h *Holder) voted(k Node) bool {
+func (h *Owner) voted(k Node) bool {
 	return slices.ContainsFunc(h.votes, func(v Msg) bool { return v.From == k })
 }
 
 // Handle takes the answer of a keeper; out is what is to be sent.
-func (h *Holder) Handle(m Msg) (news News, out []Msg) {
+func (h *Owner) Handle(m Msg) (news Result, out []Msg) {
 	if m.ID != h.id {
-		return Nothing, nil
+		return NoChange, nil
 	}
-	h.seen = max(h.seen, m.Promise.N)
+	h.seen = max(h.seen, m.Promise.Number)
 	asked := m.Version == Version{h.epoch, h.seq}
 	switch {
 	case !asked || h.mode == Idle || h.mode == Lost:
-		return Nothing, nil
+		return NoChange, nil
 	case m.Kind == Refused:
 		// Of a claim, or a step of an owner, one keeper that has promised more is enough to know that another is at it.
 		// Who takes a message finds in the same way that it is not new.
 		h.mode, h.asking = Lost, false
-		return Nothing, nil
+		return NoChange, nil
 	case m.Kind == Promised && h.mode == Claiming && !h.asking, m.Kind == Acked && h.asking:
 	default:
-		return Nothing, nil
+		return NoChange, nil
 	}
 	h.count(m)
 	votes := h.quorum()
 	if votes == nil {
-		return Nothing, nil
+		return NoChange, nil
 	}
 	if m.Kind == Promised {
 		var latest Msg
 		for _, v := range votes {
-			if v.Held.Compare(latest.Held) >= 0 {
+			if v.HeldVersion.Compare(latest.HeldVersion) >= 0 {
 				latest = v
 			}
 		}
@@ -145,21 +145,21 @@
 		if next.Phase == Unknown { // nobody had got further than to ask
 			next.Phase = Taken
 		}
-		return Nothing, h.ask(next) // what the last owner had reached is settled in this epoch before anything else
+		return NoChange, h.ask(next) // what the last owner had reached is settled in this epoch before anything else
 	}
 	news = Permitted
-	if h.mode != Holding {
+	if h.mode != Owning {
 		news = Owned
 	}
-	h.record, h.asking, h.votes, h.mode = h.next, false, nil, Holding
+	h.record, h.asking, h.votes, h.mode = h.next, false, nil, Owning
 	return news, nil
 }
 
 // count keeps the latest vote of each keeper.
-func (h *Holder) count(m Msg) {
+func (h *Owner) count(m Msg) {
 	for i, v := range h.votes {
 		if v.From == m.From {
-			if m.Life >= v.Life {
+			if m.Incarnation >= v.Incarnation {
 				h.votes[i] = m
 			}
 			return
@@ -170,7 +170,7 @@
 
 // quorum returns the votes that are enough, or nil. Neither of two may know of a later life of the other: the vote of
 // the other was forgotten, and nobody need have told it anew.
-func (h *Holder) quorum() []Msg {
+func (h *Owner) quorum() []Msg {
 	if h.rules.one && len(h.votes) > 0 {
 		return h.votes[:1]
 	}
@@ -186,5 +186,5 @@
 
 // outlived tells whether a knows of a later life of b.
 func outlived(a, b Msg) bool {
-	return slices.ContainsFunc(a.Others[:], func(o Life) bool { return o.Node == b.From && o.Life > b.Life })
+	return slices.ContainsFunc(a.Others[:], func(o Incarnation) bool { return o.Node == b.From && o.Number > b.Incarnation })
 }
--- a/internal/decide/ownership/ownership.go
+++ b/internal/decide/ownership/ownership.go
@@ -25,14 +25,14 @@
 
 // Of is how many keepers a message has; Enough of them are asked for each step.
 const (
-	Of     = 3
-	Enough = 2
+	NumReplicas = 3
+	Quorum      = 2
 )
 
-// Keepers finds the keepers of a message in the roster, by rendezvous hashing: whoever asks finds the same, and a
+// ReplicasOf finds the keepers of a message in the roster, by rendezvous hashing: whoever asks finds the same, and a
 // change of the roster by one instance moves the messages of that one only. A roster of fewer than three keeps nothing.
-func Keepers(roster []Node, id string) (keepers [Of]Node, ok bool) {
-	if len(roster) < Of {
+func ReplicasOf(roster []Node, id string) (keepers [NumReplicas]Node, ok bool) {
+	if len(roster) < NumReplicas {
 		return keepers, false
 	}
 	weight := func(n Node) uint64 {
@@ -60,17 +60,17 @@
 // Epoch orders those who own a message one after the other. Who takes a message that it holds to be new does so in
 // epoch 1, unasked; whoever claims it later has a higher one.
 type Epoch struct {
-	N  uint32
-	By Node
+	Number uint32
+	Node   Node
 }
 
 // Compare orders epochs by number, and those of one number by who made them. Two that take a message at one time are
 // equal: no promise was asked for, and at most one of them gets two keepers.
 func (e Epoch) Compare(o Epoch) int {
-	if e.N == 1 && o.N == 1 {
+	if e.Number == 1 && o.Number == 1 {
 		return 0
 	}
-	return cmp.Or(cmp.Compare(e.N, o.N), cmp.Compare(e.By, o.By))
+	return cmp.Or(cmp.Compare(e.Number, o.Number), cmp.Compare(e.Node, o.Node))
 }
 
 // Version orders the writes to a register.
@@ -82,7 +82,7 @@
 // Compare orders versions by epoch, and those of one epoch by their sequence. Of several that take a message at one
 // time only the one that got it goes on to a second write: by who it is alone, another's first write would hide that.
 func (v Version) Compare(o Version) int {
-	return cmp.Or(v.Epoch.Compare(o.Epoch), cmp.Compare(v.Seq, o.Seq), cmp.Compare(v.Epoch.By, o.Epoch.By))
+	return cmp.Or(v.Epoch.Compare(o.Epoch), cmp.Compare(v.Seq, o.Seq), cmp.Compare(v.Epoch.Node, o.Epoch.Node))
 }
 
 // Phase is how far a message has got.
@@ -120,23 +120,23 @@
 
 // Msg is one message. It may be lost, doubled and overtaken.
 type Msg struct {
-	Kind     Kind
-	ID       string
-	From, To Node
-	Life     uint64 // incarnation of the keeper that sends it; of Pulled, of the one that asked
-	Version  Version
-	Record   Record
-	Held     Version // what the keeper holds; zero for nothing
-	Promise  Epoch
-	Others   [Of - 1]Life // the other keepers of the message, as this one knows them
-	Fresh    bool
-	Sure     bool // the keeper that tells votes itself
+	Kind        Kind
+	ID          string
+	From, To    Node
+	Incarnation uint64 // incarnation of the keeper that sends it; of Pulled, of the one that asked
+	Version     Version
+	Record      Record
+	HeldVersion Version // what the keeper holds; zero for nothing
+	Promise     Epoch
+	Others      [NumReplicas - 1]Incarnation // the other keepers of the message, as this one knows them
+	IsNew       bool
+	CanVote     bool // the keeper that tells votes itself
 }
 
-// Life is an incarnation of a keeper: higher with each start.
-type Life struct {
-	Node Node
-	Life uint64
+// Incarnation is an incarnation of a keeper: higher with each start.
+type Incarnation struct {
+	Node   Node
+	Number uint64
 }
 
 // rules are sound as they are; tests break them to see that it is found.
--- a/internal/decide/ownership/ownership_test.go
+++ b/internal/decide/ownership/ownership_test.go
@@ -41,8 +41,8 @@
 type world struct {
 	m        mistakes
 	left     bounds
-	keepers  []*Keeper
-	holders  [2]*Holder
+	keepers  []*Replica
+	holders  [2]*Owner
 	net      []parcel // sorted by key
 	sends    [2]int   // attempts that the holder may still write
 	answers  [2]int   // verdict that the holder may still write
@@ -60,19 +60,19 @@
 func newWorld(m mistakes, b bounds) *world {
 	w := &world{m: m, left: b}
 	roster := []Node{"a", "b", "c"}
-	all, _ := Keepers(roster, id)
+	all, _ := ReplicasOf(roster, id)
 	for i, n := range roster {
-		w.keepers = append(w.keepers, NewKeeper(n, 1, roster, true))
+		w.keepers = append(w.keepers, NewReplica(n, 1, roster, true))
 		w.keepers[i].rules = m.rules
 	}
 	for i, n := range []Node{"x", "y"} {
-		w.holders[i] = NewHolder(n, id, all)
+		w.holders[i] = NewOwner(n, id, all)
 		w.holders[i].rules = m.rules
 	}
 	if m.liveness { // y holds a for dead, and d for the keeper in its place
 		roster := []Node{"b", "c", "d"}
-		w.keepers = append(w.keepers, NewKeeper("d", 1, roster, true))
-		w.holders[1].keepers, _ = Keepers(roster, id)
+		w.keepers = append(w.keepers, NewReplica("d", 1, roster, true))
+		w.holders[1].keepers, _ = ReplicasOf(roster, id)
 	}
 	return w
 }
@@ -90,7 +90,7 @@
 }
 
 // keeper gives the clone a keeper of its own to change.
-func (w *world) keeper(i int) *Keeper {
+func (w *world) keeper(i int) *Replica {
 	k := *w.keepers[i]
 	k.lives, k.told, k.regs = maps.Clone(k.lives), maps.Clone(k.told), maps.Clone(k.regs)
 	w.keepers[i] = &k
@@ -125,14 +125,14 @@
 var ways = called("abc")
 
 func (m Msg) append(b []byte, as *names) []byte {
-	b = append(b, byte(m.Kind), as.of(m.From), as.of(m.To), byte(m.Life), byte(m.Promise.N), as.of(m.Promise.By))
-	b = m.Record.append(m.Held.append(m.Version.append(b, as), as))
+	b = append(b, byte(m.Kind), as.of(m.From), as.of(m.To), byte(m.Incarnation), byte(m.Promise.Number), as.of(m.Promise.Node))
+	b = m.Record.append(m.HeldVersion.append(m.Version.append(b, as), as))
 	o, p := m.Others[0], m.Others[1]
 	if as.of(o.Node) > as.of(p.Node) {
 		o, p = p, o
 	}
-	b = append(b, as.of(o.Node), byte(o.Life), as.of(p.Node), byte(p.Life))
-	return flags(b, m.Fresh, m.Sure, m.ID != "")
+	b = append(b, as.of(o.Node), byte(o.Number), as.of(p.Node), byte(p.Number))
+	return flags(b, m.IsNew, m.CanVote, m.ID != "")
 }
 
 func flags(b []byte, all ...bool) []byte {
@@ -147,7 +147,7 @@
 }
 
 func (v Version) append(b []byte, as *names) []byte {
-	return append(b, byte(v.Epoch.N), as.of(v.Epoch.By), byte(v.Seq))
+	return append(b, byte(v.Epoch.Number), as.of(v.Epoch.Node), byte(v.Seq))
 }
 
 func (r Record) append(b []byte) []byte {
@@ -178,7 +178,7 @@
 		block := []byte{as.of(k.me), byte(k.life)}
 		r, ok := k.regs[id]
 		if ok {
-			block = append(r.record.append(r.held.append(append(block, byte(r.promise.N), as.of(r.promise.By)), as)), 1)
+			block = append(r.record.append(r.held.append(append(block, byte(r.promise.Number), as.of(r.promise.Node)), as)), 1)
 		}
 		peers := [4][2]byte{}
 		for _, n := range k.roster {
@@ -194,10 +194,10 @@
 	}
 	slices.SortFunc(blocks, slices.Compare)
 	for i, h := range w.holders {
-		b = append(b, byte(h.mode), byte(h.seq), byte(h.seen), byte(w.sends[i]), byte(w.answers[i]), byte(h.epoch.N),
-			as.of(h.epoch.By))
+		b = append(b, byte(h.mode), byte(h.seq), byte(h.seen), byte(w.sends[i]), byte(w.answers[i]), byte(h.epoch.Number),
+			as.of(h.epoch.Node))
 		b = flags(h.next.append(h.record.append(b)), h.asking, w.has[i])
-		votes := make([][]byte, 0, Of)
+		votes := make([][]byte, 0, NumReplicas)
 		for _, v := range h.votes {
 			votes = append(votes, v.append(nil, as))
 		}
@@ -309,11 +309,11 @@
 			}, "%s asks to %s", h.me, name)
 		}
 		r := h.record
-		if h.mode == Holding && !h.asking && r.Phase == Taken {
+		if h.mode == Owning && !h.asking && r.Phase == Taken {
 			step("send", Record{Phase: Sending, Attempt: r.Attempt + 1})
 		}
 		switch {
-		case h.mode != Holding || h.asking || w.m.mute:
+		case h.mode != Owning || h.asking || w.m.mute:
 		case r.Phase == Taken:
 			step("refuse", Record{Phase: Answered, Verdict: refused})
 		case r.Phase == Sending && w.has[i]:
@@ -337,9 +337,9 @@
 		if w.left.crashes > 0 && w.holders[0].mode != Idle {
 			may(func(n *world) {
 				n.left.crashes--
-				n.keepers[i] = NewKeeper(k.me, k.life+1, k.roster, false)
+				n.keepers[i] = NewReplica(k.me, k.life+1, k.roster, false)
 				n.keepers[i].rules = n.m.rules
-				n.put(n.keepers[i].Pulls())
+				n.put(n.keepers[i].PullRequests())
 			}, "%s starts again with nothing", k.me)
 		}
 	}
@@ -438,14 +438,14 @@
 	roster, count, moved := []Node{"a", "b", "c", "d", "e"}, map[Node]int{}, 0
 	for i := range 3000 {
 		id := fmt.Sprint("m", i)
-		k, ok := Keepers(roster, id)
-		other, _ := Keepers([]Node{"e", "c", "a", "d", "b"}, id)
+		k, ok := ReplicasOf(roster, id)
+		other, _ := ReplicasOf([]Node{"e", "c", "a", "d", "b"}, id)
 		require.True(t, ok)
 		require.Equal(t, k, other)
 		for _, n := range k {
 			count[n]++
 		}
-		more, _ := Keepers(append(roster, "f"), id)
+		more, _ := ReplicasOf(append(roster, "f"), id)
 		for _, n := range more {
 			if !slices.Contains(k[:], n) {
 				require.Equal(t, Node("f"), n)
@@ -457,7 +457,7 @@
 		require.InDelta(t, 1800, c, 180, n)
 	}
 	require.InDelta(t, 1500, moved, 150)
-	_, ok := Keepers(roster[:2], "m")
+	_, ok := ReplicasOf(roster[:2], "m")
 	require.False(t, ok)
 }
 
--- a/internal/decide/ramp/place_test.go
+++ b/internal/decide/ramp/place_test.go
@@ -9,7 +9,7 @@
 )
 
 // holders lists who has a turn.
-func holders(c Circle, t Turn, n int) (have []int) {
+func holders(c Rotation, t Turn, n int) (have []int) {
 	for me := range n {
 		if c.Has(t, me) {
 			have = append(have, me)
@@ -21,7 +21,7 @@
 // Just as many have a turn as may, in every turn and at every worker, and Each visits these, once each.
 func TestJustAsManyWhereAllShare(t *testing.T) {
 	for n := 1; n < 80; n++ {
-		circle := NewCircle(n)
+		circle := NewRotation(n)
 		for _, first := range []int64{-3, 0, 1, 4_000_000_007, 1_700_000_000_007} {
 			for users := 1; users <= n+2; users += 1 + n/5 {
 				turn := Turn{First: first, Users: int64(users)}
@@ -39,7 +39,7 @@
 // Of those in a row by number no more have a turn than their part of all, but for two; on the mean it is their part.
 func TestNeighboursAreSpread(t *testing.T) {
 	for _, n := range []int{25, 30, 80, 200, 300} {
-		circle := NewCircle(n)
+		circle := NewRotation(n)
 		for _, row := range []int{5, 6, 10, 22, 44} {
 			for _, users := range []int{1, 2, 3, 5, 9, 22} {
 				if row > n || users > n {
@@ -69,7 +69,7 @@
 // Those who don't agree on how many may use a worker have no more turns together than those who take it for most.
 func TestTurnsOutliveChangesOfTheList(t *testing.T) {
 	const n = 300
-	circle := NewCircle(n)
+	circle := NewRotation(n)
 	for first := range int64(n) {
 		most := holders(circle, Turn{First: first, Users: 20}, n)
 		for users := int64(1); users <= 20; users++ {
@@ -84,7 +84,7 @@
 // has one.
 func TestTurnsMoveSlowly(t *testing.T) {
 	const n, users = 300, 10
-	circle := NewCircle(n)
+	circle := NewRotation(n)
 	had := map[int]bool{}
 	for first := range int64(n) {
 		kept := 0
@@ -102,7 +102,7 @@
 // Workers whose names are nearly alike, and that start together, have users of their own.
 func TestWorkersThatStartTogetherHaveUsersOfTheirOwn(t *testing.T) {
 	const n, users, workers = 300, 6, 300
-	circle := NewCircle(n)
+	circle := NewRotation(n)
 	turns := make([]int, n)
 	for salt := range int64(workers) {
 		turn := TurnAt(1_700_000_000_000_000, 3_000_000, salt)
--- a/internal/decide/refresh/fleet_test.go
+++ b/internal/decide/refresh/fleet_test.go
@@ -88,11 +88,11 @@
 }
 
 // start begins a dispatcher that knows a list of version 0.
-func (w *world) start(at time.Duration, terms Terms) {
+func (w *world) start(at time.Duration, terms Settings) {
 	w.at(at, func() {
 		n := &node{Schedule: New(w.now, terms, rand.New(rand.NewPCG(w.random.Uint64(), 1))), started: w.now}
 		w.nodes = append(w.nodes, n)
-		w.at(w.now+n.First(true), func() { w.call(n) })
+		w.at(w.now+n.FirstDelay(true), func() { w.call(n) })
 	})
 }
 
@@ -122,7 +122,7 @@
 		pause := n.End(w.now, result, map[bool]time.Duration{true: w.retryAfter}[result == Refused])
 		w.at(w.now+pause, func() { w.call(n) })
 	}
-	w.at(w.now+callLimit, func() { end(Silent, 0) })
+	w.at(w.now+callLimit, func() { end(TimedOut, 0) })
 	if wait == 0 {
 		w.opened[w.now.Truncate(second)]++
 	}
@@ -176,12 +176,12 @@
 					continue
 				}
 				age := w.now - max(n.read, n.started)
-				if n.Held(w.now) {
+				if n.IsStale(w.now) {
 					n.heldFor += step
 					continue
 				}
 				w.ages = append(w.ages, age)
-				told := w.now - n.Terms().Bound()
+				told := w.now - n.Settings().StalenessBound()
 				if told < n.started || w.down(told) {
 					continue
 				}
@@ -258,7 +258,7 @@
 		w.report(name, terms.Budget())
 		for _, n := range w.nodes {
 			require.Equal(t, len(w.drains), n.version)
-			require.False(t, n.Held(w.now))
+			require.False(t, n.IsStale(w.now))
 		}
 	}
 }
--- a/internal/decide/refresh/refresh.go
+++ b/internal/decide/refresh/refresh.go
@@ -44,8 +44,8 @@
 )
 
 const (
-	// Told is the time after which what discovery has counts as told, by the protocol.
-	Told = 6 * time.Second
+	// NotifiedAfter is the time after which what discovery has counts as told, by the protocol.
+	NotifiedAfter = 6 * time.Second
 	// AnswerGrace is what an agent that pushes lists gets beyond the wait of a watch.
 	AnswerGrace = 1500 * time.Millisecond
 
@@ -66,10 +66,10 @@
 	leastAgentCall = 10 * time.Millisecond  // between calls to such an agent, however short the grace is
 )
 
-// Terms are what the settings say of discovery.
-type Terms struct {
+// Settings are what the settings say of discovery.
+type Settings struct {
 	Dispatchers int           // that share it
-	Asked       bool          // lists come only when they are asked for
+	Polled      bool          // lists come only when they are asked for
 	DrainGrace  time.Duration // in which sends to a worker that drains must cease
 	AskEvery    time.Duration // where it must be asked: how often, at least; 0 if that is not said
 
@@ -78,12 +78,12 @@
 	HoldOnRefusal bool
 }
 
-// Bound is for how long the list is relied on once discovery may have had news and could be reached.
-func (t Terms) Bound() time.Duration {
+// StalenessBound is for how long the list is relied on once discovery may have had news and could be reached.
+func (t Settings) StalenessBound() time.Duration {
 	if t.AskEvery <= 0 {
-		return Told
+		return NotifiedAfter
 	}
-	return min(Told, failedAskEvery*t.AskEvery)
+	return min(NotifiedAfter, failedAskEvery*t.AskEvery)
 }
 
 // growth is by how much so many failures in a row lengthen the spacing.
@@ -92,23 +92,23 @@
 }
 
 // ofBound is the part of the bound that a time has of Told.
-func (t Terms) ofBound(d time.Duration) time.Duration {
-	if !t.Asked {
+func (t Settings) ofBound(d time.Duration) time.Duration {
+	if !t.Polled {
 		return d
 	}
-	return time.Duration(float64(d) * t.Bound().Seconds() / Told.Seconds())
+	return time.Duration(float64(d) * t.StalenessBound().Seconds() / NotifiedAfter.Seconds())
 }
 
 // WatchWait is how long a watch may wait for news.
-func (t Terms) WatchWait() time.Duration { return t.ofBound(watchWait) }
+func (t Settings) WatchWait() time.Duration { return t.ofBound(watchWait) }
 
-// CallLimit is the time after which a call is given up. Two of them fit into the bound.
-func (t Terms) CallLimit() time.Duration { return t.ofBound(callLimit) }
+// CallTimeout is the time after which a call is given up. Two of them fit into the bound.
+func (t Settings) CallTimeout() time.Duration { return t.ofBound(callLimit) }
 
 // Interval is the time in which each of many dispatchers may begin one call: half of what the contract says that
 // discovery must bear, and short enough for an answer within the bound.
-func (t Terms) Interval() time.Duration {
-	interval := t.Bound() * 5 / 6
+func (t Settings) Interval() time.Duration {
+	interval := t.StalenessBound() * 5 / 6
 	if t.AskEvery > 0 {
 		interval = min(interval, t.AskEvery/2)
 	}
@@ -117,7 +117,7 @@
 
 // Spacing is the mean time from the start of one call to the start of the next, after so many failures in a row. A
 // discovery that has shown that it has no room is called half as often.
-func (t Terms) Spacing(failures int, noRoom bool) time.Duration {
+func (t Settings) Spacing(failures int, noRoom bool) time.Duration {
 	share := time.Duration(t.Dispatchers / aloneUpTo)
 	switch {
 	case share <= 1:
@@ -129,14 +129,16 @@
 }
 
 // Budget is how many calls a second all dispatchers together begin while discovery turns all of them away.
-func (t Terms) Budget() float64 {
+func (t Settings) Budget() float64 {
 	return float64(max(t.Dispatchers, 1)) / t.Spacing(spacingGrowth, false).Seconds()
 }
 
-// AgentBeat is how often an agent that does not answer is called anew, beside the call that waits for it: it
+// AgentRetryInterval is how often an agent that does not answer is called anew, beside the call that waits for it: it
 // may return at any moment, the call that was open before may stay silent, and the grace of a drain runs from
 // its return. Most of the grace is left for the answer, and for what is under way here.
-func (t Terms) AgentBeat() time.Duration { return max(t.DrainGrace/callsInGrace, leastAgentCall) }
+func (t Settings) AgentRetryInterval() time.Duration {
+	return max(t.DrainGrace/callsInGrace, leastAgentCall)
+}
 
 // Result says how a call to discovery has ended.
 type Result int
@@ -146,18 +148,18 @@
 	// Read: it brought a list, or changes that apply to the one held.
 	Read Result = iota
 	// Answered: it brought what is no list that applies. Discovery could be reached.
-	Answered
+	UnusableAnswer
 	// Silent: it was given up for want of an answer.
-	Silent
+	TimedOut
 	// Broken: no connection came up, or it ended before an answer.
-	Broken
+	ConnectionFailed
 	// Refused: it was turned away by a status. What that shows is for [Terms.HoldOnRefusal] to say.
 	Refused
 )
 
 // Schedule is one dispatcher's view of discovery. Its methods are for one goroutine; times must not decrease.
 type Schedule struct {
-	terms  Terms
+	terms  Settings
 	random *rand.Rand
 
 	following bool          // the last call brought a list, and the next goes on from there
@@ -170,18 +172,18 @@
 }
 
 // New returns the schedule of a dispatcher that starts at now. What discovery had before counts as told from then on.
-func New(now time.Duration, terms Terms, random *rand.Rand) *Schedule {
+func New(now time.Duration, terms Settings, random *rand.Rand) *Schedule {
 	return &Schedule{terms: terms, random: random, begun: now, unread: now}
 }
 
-// Terms are the terms in force.
-func (s *Schedule) Terms() Terms { return s.terms }
+// Settings are the terms in force.
+func (s *Schedule) Settings() Settings { return s.terms }
 
-// Begun is when the call under way, or the last one, began.
-func (s *Schedule) Begun() time.Duration { return s.begun }
+// CallStart is when the call under way, or the last one, began.
+func (s *Schedule) CallStart() time.Duration { return s.begun }
 
-// Renew puts other terms in force.
-func (s *Schedule) Renew(terms Terms) { s.terms = terms }
+// Configure puts other terms in force.
+func (s *Schedule) Configure(terms Settings) { s.terms = terms }
 
 // Unread says what one dispatcher has not read, for another that takes its place.
 type Unread struct {
@@ -197,11 +199,11 @@
 	s.unread, s.reachable = s.unread-max(u.For, 0), u.Reachable
 }
 
-// First is how long to wait with a first call, also of a dispatcher that has been told of another address.
+// FirstDelay is how long to wait with a first call, also of a dispatcher that has been told of another address.
 // Without a list there is nothing to wait with, and an agent on the own machine is called at once: its word
 // counts from the first moment. Else all may be starting together.
-func (s *Schedule) First(listKnown bool) time.Duration {
-	if !listKnown || !s.terms.Asked || s.terms.Dispatchers < 2*aloneUpTo {
+func (s *Schedule) FirstDelay(listKnown bool) time.Duration {
+	if !listKnown || !s.terms.Polled || s.terms.Dispatchers < 2*aloneUpTo {
 		return 0
 	}
 	wait := s.spread(0, s.terms.Spacing(spacingGrowth, false))
@@ -221,8 +223,8 @@
 	return s.terms.WatchWait()
 }
 
-// Moved notes that discovery is at another address from now on. What was not read by then stays unread.
-func (s *Schedule) Moved() { s.following, s.failures = false, 0 }
+// AddressChanged notes that discovery is at another address from now on. What was not read by then stays unread.
+func (s *Schedule) AddressChanged() { s.following, s.failures = false, 0 }
 
 // End notes how the call that began last has ended, and returns the pause before the next one. retryAfter is
 // what a refusal asks for, 0 if nothing.
@@ -237,12 +239,12 @@
 	s.noRoom = s.noRoom || turnedAway
 	switch {
 	case s.reachable:
-	case result == Answered || turnedAway && s.terms.HoldOnRefusal:
+	case result == UnusableAnswer || turnedAway && s.terms.HoldOnRefusal:
 		s.reachable = true
 	case s.opened: // discovery could not be reached when this call began
 		s.unread = s.begun
 	}
-	if s.reachable || !s.terms.Asked || result != Refused || s.terms.HoldOnRefusal {
+	if s.reachable || !s.terms.Polled || result != Refused || s.terms.HoldOnRefusal {
 		return s.pause(now, result, retryAfter)
 	}
 	// It answers, and so there is no haste; and it shows no more of itself before the next call.
@@ -252,14 +254,14 @@
 }
 
 func (s *Schedule) pause(now time.Duration, result Result, retryAfter time.Duration) time.Duration {
-	if !s.terms.Asked {
-		longest := min(retrySpacing*3/2*growth(s.failures), s.terms.AgentBeat())
+	if !s.terms.Polled {
+		longest := min(retrySpacing*3/2*growth(s.failures), s.terms.AgentRetryInterval())
 		return s.spread(longest/2, longest)
 	}
 	if !s.reachable { // whether the next call is answered has to show before HoldAt
 		spacing := s.terms.Spacing(s.failures, s.noRoom)
-		holdAt, _ := s.HoldAt()
-		longest := min(spacing, holdAt-s.terms.CallLimit()-timerSlack-now)
+		holdAt, _ := s.StaleAt()
+		longest := min(spacing, holdAt-s.terms.CallTimeout()-timerSlack-now)
 		if result == Refused && s.opened { // it has answered: there is no haste
 			return max(s.spread(longest*5/6, longest), min(s.putOff(now, retryAfter, spacing), longest))
 		}
@@ -281,8 +283,8 @@
 // putOff is for how long a refusal may put off the next call. What it asks for is kept as long as that leaves
 // time for a whole call before HoldAt; beyond that the budget of the fleet is what spares the service.
 func (s *Schedule) putOff(now, retryAfter, spacing time.Duration) time.Duration {
-	holdAt, _ := s.HoldAt()
-	latest := holdAt - s.terms.CallLimit() - now
+	holdAt, _ := s.StaleAt()
+	latest := holdAt - s.terms.CallTimeout() - now
 	if retryAfter <= 0 || latest <= 0 {
 		return 0
 	}
@@ -299,16 +301,16 @@
 	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
 }
 
-// HoldAt is the time from which on the list may not be relied on, and whether there is one.
-func (s *Schedule) HoldAt() (at time.Duration, bounded bool) {
-	if !s.terms.Asked {
+// StaleAt is the time from which on the list may not be relied on, and whether there is one.
+func (s *Schedule) StaleAt() (at time.Duration, bounded bool) {
+	if !s.terms.Polled {
 		return 0, false
 	}
-	return s.unread + s.terms.Bound(), true
+	return s.unread + s.terms.StalenessBound(), true
 }
 
-// Held tells whether nothing new may be sent, as the list may not be relied on.
-func (s *Schedule) Held(now time.Duration) bool {
-	at, bounded := s.HoldAt()
+// IsStale tells whether nothing new may be sent, as the list may not be relied on.
+func (s *Schedule) IsStale(now time.Duration) bool {
+	at, bounded := s.StaleAt()
 	return bounded && now >= at
 }
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -18,8 +18,8 @@
 
 // Shares counts the messages of tenants at one dispatcher.
 type Shares struct {
-	Quotas []float64 // messages a second of each tenant, at all dispatchers together; 0 for one that has no bound
-	Part   float64   // of them, that one dispatcher has if all have the same
+	Quotas   []float64 // messages a second of each tenant, at all dispatchers together; 0 for one that has no bound
+	Fraction float64   // of them, that one dispatcher has if all have the same
 
 	saved []float64 // messages that are still within the share, by tenant
 	at    int64     // when that was
@@ -27,9 +27,9 @@
 	seen  float64
 }
 
-// Within counts a message of a tenant, by its index, that came at now. It tells whether it lies within the tenant's
+// IsWithin counts a message of a tenant, by its index, that came at now. It tells whether it lies within the tenant's
 // share: where there is no such tenant, or no bound, all do.
-func (s *Shares) Within(now int64, tenant int) bool {
+func (s *Shares) IsWithin(now int64, tenant int) bool {
 	all := 0.0
 	for _, q := range s.Quotas {
 		all += max(q, 0)
@@ -39,11 +39,11 @@
 	}
 	past := float64(max(now-s.at, 0))
 	if s.at == 0 {
-		past, s.rate = 0, all*s.Part
+		past, s.rate = 0, all*s.Fraction
 	}
 	s.at = max(s.at, now)
 	s.rate += (1e6 - s.rate*min(past, memory)) / memory
-	part := max(s.Part, s.rate/all) // traffic is uneven: who sees more of it sees more of every share
+	part := max(s.Fraction, s.rate/all) // traffic is uneven: who sees more of it sees more of every share
 	for i, q := range s.Quotas {
 		if i == len(s.saved) {
 			s.saved = append(s.saved, depth)
@@ -54,5 +54,5 @@
 		s.saved[tenant]--
 		return true
 	}
-	return s.seen*s.Part < proof
+	return s.seen*s.Fraction < proof
 }
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -16,7 +16,7 @@
 		"one of two": {0.5, 0.5}, "twice the mean": {0.25, 0.5}, "one of 300": {1. / 300, 4. / 300},
 	} {
 		random := rand.New(rand.NewPCG(1, 2))
-		s := Shares{Quotas: []float64{20, 20, 0}, Part: c.part}
+		s := Shares{Quotas: []float64{20, 20, 0}, Fraction: c.part}
 		within, all := [3]float64{}, [3]float64{}
 		now, seconds := 1e6, 400.
 		for end := now + seconds*1e6; now < end; now += random.ExpFloat64() * 1e6 / (c.seen * (20*0.9 + 20*5 + 1)) {
@@ -27,7 +27,7 @@
 				tenant = 1
 			}
 			all[tenant]++
-			if s.Within(int64(now), tenant) {
+			if s.IsWithin(int64(now), tenant) {
 				within[tenant]++
 			}
 		}
@@ -43,18 +43,18 @@
 }
 
 func TestOddTenants(t *testing.T) {
-	s := Shares{Quotas: []float64{1, math.Inf(-1), 0}, Part: 1, seen: proof}
+	s := Shares{Quotas: []float64{1, math.Inf(-1), 0}, Fraction: 1, seen: proof}
 	for _, tenant := range []int{-1, 3, 1, 2} {
 		for range 100 {
-			require.True(t, s.Within(5, tenant))
+			require.True(t, s.IsWithin(5, tenant))
 		}
 	}
 	require.False(t, func() (ok bool) {
 		for range 100 {
-			ok = s.Within(5, 0)
+			ok = s.IsWithin(5, 0)
 		}
 		return ok
 	}(), "a hundred at one moment")
-	require.True(t, s.Within(100e6, 0), "saved up again")
-	require.True(t, s.Within(1, 0), "a clock that goes back")
+	require.True(t, s.IsWithin(100e6, 0), "saved up again")
+	require.True(t, s.IsWithin(1, 0), "a clock that goes back")
 }
--- a/internal/decide/sources/sources.go
+++ b/internal/decide/sources/sources.go
@@ -51,8 +51,8 @@
 	FlapHold      int64 // is taken back only after so long on the list, doubled for each time more
 }
 
-// Name is what there is to know of an SRV name beforehand.
-type Name struct {
+// NameSettings is what there is to know of an SRV name beforehand.
+type NameSettings struct {
 	Zone, Kind string  // of hosts that no place fits
 	Places     []Place // the first that fits counts
 	WeightUnit int     // the SRV weight that means a share of 1
@@ -65,11 +65,11 @@
 // Defaults are sound for lifetimes of seconds to minutes.
 var Defaults = Settings{Hold: 300e6, DrainEvery: 5e6, Confirmations: 3, Flaps: 3, FlapWindow: 60e6, FlapHold: 5e6}
 
-// Info is what there is to know of a host of the merged list.
-type Info struct {
+// Host is what there is to know of a host of the merged list.
+type Host struct {
 	Entry
 	Sources []string // "roster", "srv:NAME"
-	Why     string   // it gets nothing new, "" if it may
+	Reason  string   // it gets nothing new, "" if it may
 	Expires int64    // when the last lifetime ends that it rests on, 0 where it has none
 }
 
@@ -86,7 +86,7 @@
 
 // name is one SRV name.
 type name struct {
-	set      Name
+	set      NameSettings
 	records  map[string]*listed
 	order    []*listed // by name, nil where that has to be found anew
 	answered bool
@@ -95,17 +95,17 @@
 	drains   int64 // when the last host was drained for its lifetime's end
 }
 
-// Merge is the state of all sources.
-type Merge struct {
+// Merger is the state of all sources.
+type Merger struct {
 	set    Settings
 	roster map[string]Entry
 	gone   map[string]Entry // of the roster, as last listed
 	buried map[string]int64 // when that last mattered: it came, or DNS listed the host all the same
 	names  map[string]*name
-	out    map[string]Info
+	out    map[string]Host
 
 	// What a merge builds is used again by the next: garbage of megabytes would cost whoever runs beside it.
-	spare map[string]Info
+	spare map[string]Host
 	own   index
 	all   []candidate
 }
@@ -118,14 +118,14 @@
 }
 
 // New returns an empty merge.
-func New(s Settings) *Merge {
-	return &Merge{set: s, roster: map[string]Entry{}, gone: map[string]Entry{}, buried: map[string]int64{},
-		names: map[string]*name{}, out: map[string]Info{}, spare: map[string]Info{},
+func New(s Settings) *Merger {
+	return &Merger{set: s, roster: map[string]Entry{}, gone: map[string]Entry{}, buried: map[string]int64{},
+		names: map[string]*name{}, out: map[string]Host{}, spare: map[string]Host{},
 		own: index{map[string]string{}, map[addresses.Address]string{}}}
 }
 
 // Configure changes the knobs, and the names that are asked for: what others had said is forgotten.
-func (m *Merge) Configure(s Settings, names map[string]Name) {
+func (m *Merger) Configure(s Settings, names map[string]NameSettings) {
 	m.set = s
 	maps.DeleteFunc(m.names, func(n string, _ *name) bool { _, asked := names[n]; return !asked })
 	for n, set := range names {
@@ -133,13 +133,13 @@
 	}
 }
 
-// Roster takes news of the inventory. A whole list says of all that it leaves out that they are gone; a stale one, as
+// UpdateRoster takes news of the inventory. A whole list says of all that it leaves out that they are gone; a stale one, as
 // known from before a restart, says so of none.
-func (m *Merge) Roster(kind topazfall.EventKind, entries []Entry) {
-	if kind == topazfall.ListBroken {
+func (m *Merger) UpdateRoster(kind topazfall.EventKind, entries []Entry) {
+	if kind == topazfall.ListFailed {
 		return
 	}
-	if kind == topazfall.ListWhole {
+	if kind == topazfall.ListSnapshot {
 		old := m.roster
 		m.roster = map[string]Entry{}
 		for id, e := range old {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (m *Merge) name(n string) *name {
+func (m *Merger) name(n string) *name {
 	s := m.names[n]
 	if s == nil {
 		s = &name{records: map[string]*listed{}}
@@ -169,8 +169,8 @@
 	return s
 }
 
-// Answer takes a good answer for a name. What it leaves out has vanished.
-func (m *Merge) Answer(now int64, of string, records []Record) {
+// HandleAnswer takes a good answer for a name. What it leaves out has vanished.
+func (m *Merger) HandleAnswer(now int64, of string, records []Record) {
 	n := m.name(of)
 	first := !n.answered
 	n.answered, n.empties, n.fault, n.drains = true, 0, "", 0
@@ -219,9 +219,9 @@
 	}
 }
 
-// Old takes records that were known before a restart: better than none until there is an answer. They are held from now
+// Restore takes records that were known before a restart: better than none until there is an answer. They are held from now
 // on, whenever their lifetime has ended.
-func (m *Merge) Old(now int64, of string, records []Record) {
+func (m *Merger) Restore(now int64, of string, records []Record) {
 	n := m.name(of)
 	for _, r := range records {
 		if n.records[r.key()] == nil {
@@ -233,9 +233,9 @@
 	n.fault = "known from before"
 }
 
-// Empty takes an authoritative answer that the name has no hosts. It is believed once it has come often enough in a
+// HandleEmptyAnswer takes an authoritative answer that the name has no hosts. It is believed once it has come often enough in a
 // row; it tells whether it is.
-func (m *Merge) Empty(now int64, of string) bool {
+func (m *Merger) HandleEmptyAnswer(now int64, of string) bool {
 	n := m.name(of)
 	if n.empties++; n.empties < m.set.Confirmations {
 		n.fault = fmt.Sprintf("empty, %d of %d times", n.empties, m.set.Confirmations)
@@ -250,8 +250,8 @@
 	return true
 }
 
-// Failed notes that no resolver answers for a name: what it last said stays, for as long as it may.
-func (m *Merge) Failed(of, fault string) {
+// HandleFailure notes that no resolver answers for a name: what it last said stays, for as long as it may.
+func (m *Merger) HandleFailure(of, fault string) {
 	n := m.name(of)
 	n.fault, n.empties = fault, 0
 }
@@ -264,8 +264,8 @@
 	return l.since + s.FlapHold<<min(len(l.vanished)-s.Flaps, 4)
 }
 
-// Next is when time alone changes the list, or 0.
-func (m *Merge) Next(now int64) (next int64) {
+// NextChange is when time alone changes the list, or 0.
+func (m *Merger) NextChange(now int64) (next int64) {
 	sooner := func(at int64) {
 		if at > now && (next == 0 || at < next) {
 			next = at
@@ -286,7 +286,7 @@
 }
 
 // expire drains, of each name, one host whose list has outlived its lifetime and the hold, if it is time for one.
-func (m *Merge) expire(now int64) {
+func (m *Merger) expire(now int64) {
 	for _, n := range m.names {
 		if n.drains != 0 && now < n.drains+m.set.DrainEvery {
 			continue
@@ -357,16 +357,16 @@
 	whyAddress  = "it has no address"
 )
 
-// List settles what holds now. It returns the entries that changed since the last call, those first that get nothing
+// Merge settles what holds now. It returns the entries that changed since the last call, those first that get nothing
 // new any more; what is gone has that state.
-func (m *Merge) List(now int64) (changed []Entry) {
+func (m *Merger) Merge(now int64) (changed []Entry) {
 	m.expire(now)
 	out := m.spare
 	clear(out)
 	for id, e := range m.roster {
-		i := Info{Entry: e, Sources: []string{"roster"}}
+		i := Host{Entry: e, Sources: []string{"roster"}}
 		if e.State != topazfall.Ready {
-			i.Why = whyDrains
+			i.Reason = whyDrains
 		}
 		out[id] = i
 	}
@@ -403,7 +403,7 @@
 	goneOf  = 10_000
 )
 
-func (m *Merge) forget(now int64) {
+func (m *Merger) forget(now int64) {
 	for id := range m.gone {
 		at, dated := m.buried[id]
 		if !dated {
@@ -431,7 +431,7 @@
 }
 
 // add adds the hosts of one name.
-func (m *Merge) add(now int64, of string, n *name, hosts indexes, out map[string]Info) {
+func (m *Merger) add(now int64, of string, n *name, hosts indexes, out map[string]Host) {
 	all := m.all[:0]
 	alone := []string{"srv:" + of} // of the hosts that no other source names; never appended to in place
 	lowest, positive := -1, false
@@ -488,12 +488,12 @@
 		i, had := out[id]
 		if !had {
 			zone, kind := n.set.place(l.Target)
-			i = Info{Entry: Entry{Addrs: l.Addresses,
+			i = Host{Entry: Entry{Addrs: l.Addresses,
 				Worker: topazfall.Worker{ID: id, Zone: zone, Kind: kind, Weight: n.set.weight(l, positive),
-					State: topazfall.Draining, StartedAt: l.cold}}, Why: c.why}
+					State: topazfall.Draining, StartedAt: l.cold}}, Reason: c.why}
 		}
 		if c.why == "" { // of several names one that offers it is enough
-			i.State, i.Why = topazfall.Ready, ""
+			i.State, i.Reason = topazfall.Ready, ""
 		}
 		if had {
 			i.Sources = append(slices.Clip(i.Sources), alone...)
@@ -506,7 +506,7 @@
 }
 
 // id names a host that DNS alone names. One that shares an address with another is that one.
-func (s *Name) id(l *listed, own index) string {
+func (s *NameSettings) id(l *listed, own index) string {
 	id, known := own.byName[l.name]
 	for _, a := range l.Addresses {
 		if !known {
@@ -531,7 +531,7 @@
 	return id
 }
 
-func (s *Name) place(target string) (zone, kind string) {
+func (s *NameSettings) place(target string) (zone, kind string) {
 	for _, p := range s.Places {
 		if strings.HasSuffix(target, p.Suffix) {
 			return p.Zone, p.Kind
@@ -542,7 +542,7 @@
 
 // weight is the share of a host. Where all weights are 0 they say nothing (RFC 2782); among others 0 is next to
 // nothing.
-func (s *Name) weight(l *listed, positive bool) float64 {
+func (s *NameSettings) weight(l *listed, positive bool) float64 {
 	if !positive {
 		return 1
 	}
@@ -554,15 +554,15 @@
 }
 
 // Hosts returns the merged list, as last settled, by name.
-func (m *Merge) Hosts() (list []Info) {
+func (m *Merger) Hosts() (list []Host) {
 	for _, id := range slices.Sorted(maps.Keys(m.out)) {
 		list = append(list, m.out[id])
 	}
 	return list
 }
 
-// Known returns the records of a name that are listed now, for a process that comes after.
-func (m *Merge) Known(of string) (records []Record) {
+// Records returns the records of a name that are listed now, for a process that comes after.
+func (m *Merger) Records(of string) (records []Record) {
 	if n := m.names[of]; n != nil {
 		for _, l := range n.sorted() {
 			if l.here {
@@ -574,7 +574,7 @@
 }
 
 // Faults returns what is wrong with each name now, "" for nothing.
-func (m *Merge) Faults() map[string]string {
+func (m *Merger) Faults() map[string]string {
 	f := map[string]string{}
 	for of, n := range m.names {
 		f[of] = n.fault
--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/sources/sources_test.go
@@ -32,11 +32,11 @@
 	return Entry{Addr: dial, Worker: topazfall.Worker{ID: id, Zone: "z", Kind: "k", State: state, Weight: 1}}
 }
 
-func newMerge(names ...string) *Merge {
+func newMerge(names ...string) *Merger {
 	m := New(Defaults)
-	set := map[string]Name{}
+	set := map[string]NameSettings{}
 	for _, n := range append(names, jobs) {
-		set[n] = Name{WeightUnit: 100, Kind: "small"}
+		set[n] = NameSettings{WeightUnit: 100, Kind: "small"}
 	}
 	m.Configure(Defaults, set)
 	return m
@@ -70,28 +70,28 @@
 		for _, by := range []string{"name", "name and port", "address"} {
 			id := map[string]string{"name": "W1.example.", "name and port": "w1.example:9000", "address": "s-1"}[by]
 			m, v := newMerge(), view{}
-			m.Answer(1, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
-			v.take(m.List(1))
+			m.HandleAnswer(1, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
+			v.take(m.Merge(1))
 			require.Len(t, v.ready(), 2)
-			m.Roster(topazfall.ListPatch, []Entry{roster(id, "10.0.0.1:9000", topazfall.Ready)})
-			v.take(m.List(2))
+			m.UpdateRoster(topazfall.ListPatch, []Entry{roster(id, "10.0.0.1:9000", topazfall.Ready)})
+			v.take(m.Merge(2))
 			require.ElementsMatch(t, []string{id, "w2.example"}, v.ready(), "one host, by its %s", by)
-			m.Roster(topazfall.ListPatch,
+			m.UpdateRoster(topazfall.ListPatch,
 				[]Entry{{Worker: topazfall.Worker{ID: id, State: state}, Addr: "10.0.0.1:9000"}})
-			v.take(m.List(3))
+			v.take(m.Merge(3))
 			require.Equal(t, []string{"w2.example"}, v.ready())
 			for now := int64(4); now < 10; now++ {
-				m.Answer(now*second, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
-				v.take(m.List(now * second))
+				m.HandleAnswer(now*second, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
+				v.take(m.Merge(now * second))
 				require.Equal(t, []string{"w2.example"}, v.ready())
 			}
-			m.Answer(11*second, jobs, []Record{rec("w2.example", "10.0.0.2")}) // it vanishes and comes back
-			v.take(m.List(11 * second))
-			m.Answer(12*second, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
-			v.take(m.List(12 * second))
+			m.HandleAnswer(11*second, jobs, []Record{rec("w2.example", "10.0.0.2")}) // it vanishes and comes back
+			v.take(m.Merge(11 * second))
+			m.HandleAnswer(12*second, jobs, []Record{rec("w1.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")})
+			v.take(m.Merge(12 * second))
 			require.Equal(t, []string{"w2.example"}, v.ready())
-			m.Roster(topazfall.ListPatch, []Entry{roster(id, "10.0.0.1:9000", topazfall.Ready)})
-			v.take(m.List(13 * second))
+			m.UpdateRoster(topazfall.ListPatch, []Entry{roster(id, "10.0.0.1:9000", topazfall.Ready)})
+			v.take(m.Merge(13 * second))
 			require.ElementsMatch(t, []string{id, "w2.example"}, v.ready())
 		}
 	}
@@ -100,15 +100,15 @@
 // What a whole list of the roster leaves out is gone; what a stale one does is not.
 func TestWholeList(t *testing.T) {
 	m, v := newMerge(), view{}
-	m.Roster(topazfall.ListWhole,
+	m.UpdateRoster(topazfall.ListSnapshot,
 		[]Entry{roster("a", "10.0.0.1:9000", topazfall.Ready), roster("b", "10.0.0.2:9000", topazfall.Ready)})
-	m.Answer(1, jobs, []Record{rec("w1.example", "10.0.0.1")})
-	v.take(m.List(1))
-	m.Roster(topazfall.ListStale, []Entry{roster("b", "10.0.0.2:9000", topazfall.Ready)})
-	v.take(m.List(2))
+	m.HandleAnswer(1, jobs, []Record{rec("w1.example", "10.0.0.1")})
+	v.take(m.Merge(1))
+	m.UpdateRoster(topazfall.ListRestored, []Entry{roster("b", "10.0.0.2:9000", topazfall.Ready)})
+	v.take(m.Merge(2))
 	require.Len(t, v.ready(), 2)
-	m.Roster(topazfall.ListWhole, []Entry{roster("b", "10.0.0.2:9000", topazfall.Ready)})
-	v.take(m.List(3))
+	m.UpdateRoster(topazfall.ListSnapshot, []Entry{roster("b", "10.0.0.2:9000", topazfall.Ready)})
+	v.take(m.Merge(3))
 	require.Equal(t, []string{"b"}, v.ready(), "DNS lists the address still")
 }
 
@@ -122,75 +122,75 @@
 		r.Expires = 10 * second
 		records = append(records, r)
 	}
-	m.Answer(1, jobs, records)
-	v.take(m.List(1))
+	m.HandleAnswer(1, jobs, records)
+	v.take(m.Merge(1))
 	end := 10*second + Defaults.Hold
 	for now := second; now < end; now += 7 * second {
-		m.Failed(jobs, "timeout")
-		v.take(m.List(now))
+		m.HandleFailure(jobs, "timeout")
+		v.take(m.Merge(now))
 		require.Len(t, v.ready(), 10)
 	}
-	require.Equal(t, end, m.Next(end-second))
+	require.Equal(t, end, m.NextChange(end-second))
 	for i := range 10 {
-		v.take(m.List(end + int64(i)*Defaults.DrainEvery))
+		v.take(m.Merge(end + int64(i)*Defaults.DrainEvery))
 		require.Len(t, v.ready(), 9-i)
 		require.Len(t, v, 10, "they finish what they have")
-		v.take(m.List(end + int64(i)*Defaults.DrainEvery + 1))
+		v.take(m.Merge(end + int64(i)*Defaults.DrainEvery + 1))
 		require.Len(t, v.ready(), 9-i, "one at a time")
 	}
 	for i := range records {
 		records[i].Expires = end + 1000*second
 	}
-	m.Answer(end+100*second, jobs, records)
-	v.take(m.List(end + 100*second))
+	m.HandleAnswer(end+100*second, jobs, records)
+	v.take(m.Merge(end + 100*second))
 	require.Len(t, v.ready(), 10)
 }
 
 // A name that vanishes is believed after some answers in a row; a failure between them begins the count anew.
 func TestEmpty(t *testing.T) {
 	m, v := newMerge(), view{}
-	m.Answer(1, jobs, []Record{rec("w1.example", "10.0.0.1")})
-	v.take(m.List(1))
-	require.False(t, m.Empty(2, jobs))
-	require.False(t, m.Empty(3, jobs))
-	m.Failed(jobs, "timeout")
-	require.False(t, m.Empty(4, jobs))
-	require.False(t, m.Empty(5, jobs))
-	v.take(m.List(5))
+	m.HandleAnswer(1, jobs, []Record{rec("w1.example", "10.0.0.1")})
+	v.take(m.Merge(1))
+	require.False(t, m.HandleEmptyAnswer(2, jobs))
+	require.False(t, m.HandleEmptyAnswer(3, jobs))
+	m.HandleFailure(jobs, "timeout")
+	require.False(t, m.HandleEmptyAnswer(4, jobs))
+	require.False(t, m.HandleEmptyAnswer(5, jobs))
+	v.take(m.Merge(5))
 	require.Len(t, v.ready(), 1)
-	require.True(t, m.Empty(6, jobs))
-	v.take(m.List(6))
+	require.True(t, m.HandleEmptyAnswer(6, jobs))
+	v.take(m.Merge(6))
 	require.Empty(t, v)
 }
 
 // A group of higher number is offered only while none of the lower is eligible: drained by the roster, or vanished.
 func TestPriority(t *testing.T) {
 	m, v := newMerge(), view{}
-	m.Answer(1, jobs,
+	m.HandleAnswer(1, jobs,
 		[]Record{rec("a.example", "10.0.0.1", 1), rec("b.example", "10.0.0.2", 1), rec("c.example", "10.0.0.3", 2)})
-	v.take(m.List(1))
+	v.take(m.Merge(1))
 	require.ElementsMatch(t, []string{"a.example", "b.example"}, v.ready())
-	m.Roster(topazfall.ListPatch,
+	m.UpdateRoster(topazfall.ListPatch,
 		[]Entry{roster("s-a", "10.0.0.1:9000", topazfall.Draining), roster("s-b", "10.0.0.2:9000", topazfall.Draining)})
-	v.take(m.List(2))
+	v.take(m.Merge(2))
 	require.Equal(t, []string{"c.example"}, v.ready())
-	m.Roster(topazfall.ListPatch, []Entry{roster("s-a", "10.0.0.1:9000", topazfall.Ready)})
-	v.take(m.List(3))
+	m.UpdateRoster(topazfall.ListPatch, []Entry{roster("s-a", "10.0.0.1:9000", topazfall.Ready)})
+	v.take(m.Merge(3))
 	require.Equal(t, []string{"s-a"}, v.ready())
 }
 
 func TestWeightsPlacesAndNames(t *testing.T) {
 	m, v := newMerge("other"), view{}
-	m.Configure(Defaults, map[string]Name{jobs: {WeightUnit: 50, Zone: "far", Kind: "small",
+	m.Configure(Defaults, map[string]NameSettings{jobs: {WeightUnit: 50, Zone: "far", Kind: "small",
 		Places: []Place{{".hall-a.example", "hall-a", "large"}}}, "other": {WithPort: true, WeightUnit: 100}})
 	a, b := rec("w1.hall-a.example", "10.0.0.1"), rec("w2.example", "10.0.0.2")
 	b.Weight = 0
 	second := b
 	second.Port = 9001
 	second.Addresses = nil
-	m.Answer(1, jobs, []Record{a, b, second})
-	m.Answer(1, "other", []Record{rec("alias.example", "10.0.0.1"), rec("w3.example", "10.0.0.3")})
-	v.take(m.List(1))
+	m.HandleAnswer(1, jobs, []Record{a, b, second})
+	m.HandleAnswer(1, "other", []Record{rec("alias.example", "10.0.0.1"), rec("w3.example", "10.0.0.3")})
+	v.take(m.Merge(1))
 	require.ElementsMatch(t, []string{"w1.hall-a.example", "w2.example", "w3.example:9000"}, v.ready(),
 		"two names list one address: one host")
 	require.Equal(t, 2., v["w1.hall-a.example"].Weight)
@@ -204,9 +204,9 @@
 // A host that comes later may be cold; one that was there at the first answer is not taken for new.
 func TestNewHostsAreCold(t *testing.T) {
 	m, v := newMerge(), view{}
-	m.Answer(second, jobs, []Record{rec("a.example", "10.0.0.1")})
-	m.Answer(2*second, jobs, []Record{rec("a.example", "10.0.0.1"), rec("b.example", "10.0.0.2")})
-	v.take(m.List(2 * second))
+	m.HandleAnswer(second, jobs, []Record{rec("a.example", "10.0.0.1")})
+	m.HandleAnswer(2*second, jobs, []Record{rec("a.example", "10.0.0.1"), rec("b.example", "10.0.0.2")})
+	v.take(m.Merge(2 * second))
 	require.Zero(t, v["a.example"].StartedAt)
 	require.Equal(t, 2*second, v["b.example"].StartedAt)
 }
@@ -218,20 +218,20 @@
 		[]Record{rec("b.example", "10.0.0.2")}
 	now := second
 	for range Defaults.Flaps {
-		m.Answer(now, jobs, with)
-		v.take(m.List(now))
+		m.HandleAnswer(now, jobs, with)
+		v.take(m.Merge(now))
 		require.Len(t, v.ready(), 2)
 		now += second
-		m.Answer(now, jobs, without)
-		v.take(m.List(now))
+		m.HandleAnswer(now, jobs, without)
+		v.take(m.Merge(now))
 		require.Len(t, v.ready(), 1, "that it vanished is believed at once")
 		now += second
 	}
-	m.Answer(now, jobs, with)
-	v.take(m.List(now))
+	m.HandleAnswer(now, jobs, with)
+	v.take(m.Merge(now))
 	require.Len(t, v.ready(), 1)
-	require.Equal(t, now+Defaults.FlapHold, m.Next(now))
-	v.take(m.List(now + Defaults.FlapHold))
+	require.Equal(t, now+Defaults.FlapHold, m.NextChange(now))
+	v.take(m.Merge(now + Defaults.FlapHold))
 	require.Len(t, v.ready(), 2)
 }
 
@@ -240,12 +240,12 @@
 	m, v := newMerge(), view{}
 	r := rec("a.example", "10.0.0.1")
 	r.Expires = 1
-	m.Old(1000*second, jobs, []Record{r})
-	v.take(m.List(1000 * second))
+	m.Restore(1000*second, jobs, []Record{r})
+	v.take(m.Merge(1000 * second))
 	require.Len(t, v.ready(), 1)
-	v.take(m.List(1000*second + Defaults.Hold - 1))
+	v.take(m.Merge(1000*second + Defaults.Hold - 1))
 	require.Len(t, v.ready(), 1)
-	v.take(m.List(1000*second + Defaults.Hold))
+	v.take(m.Merge(1000*second + Defaults.Hold))
 	require.Empty(t, v.ready())
 }
 
@@ -270,19 +270,19 @@
 						list = append(list, r)
 					}
 				}
-				m.Answer(now, name, list)
+				m.HandleAnswer(now, name, list)
 			case 1:
-				m.Empty(now, name)
+				m.HandleEmptyAnswer(now, name)
 			case 2:
-				m.Failed(name, "x")
+				m.HandleFailure(name, "x")
 			default:
 				i := rapid.IntRange(0, len(ips)-1).Draw(t, "host")
 				state := rapid.SampledFrom([]topazfall.WorkerState{topazfall.Ready, topazfall.Draining,
 					topazfall.Gone}).Draw(t, "state")
-				m.Roster(topazfall.ListPatch, []Entry{roster(fmt.Sprintf("s-%d", i), ips[i]+":9000", state)})
+				m.UpdateRoster(topazfall.ListPatch, []Entry{roster(fmt.Sprintf("s-%d", i), ips[i]+":9000", state)})
 				said[ips[i]+":9000"] = state
 			}
-			v.take(m.List(now))
+			v.take(m.Merge(now))
 			shown := m.Hosts()
 			if len(shown) != len(v) {
 				t.Fatalf("%d hosts are shown and %d were told", len(shown), len(v))
@@ -313,14 +313,14 @@
 		}
 		return records
 	}
-	m.Answer(1, jobs, list(0))
-	v.take(m.List(1))
+	m.HandleAnswer(1, jobs, list(0))
+	v.take(m.Merge(1))
 	require.Len(t, v.ready(), 2000)
 	best := time.Hour
 	for i := range 5 { // the best of some: other tests run beside
 		began := time.Now()
-		m.Answer(second, jobs, list(500*(i+1)))
-		changed := m.List(second)
+		m.HandleAnswer(second, jobs, list(500*(i+1)))
+		changed := m.Merge(second)
 		best = min(best, time.Since(began))
 		require.Len(t, changed, 1000)
 		require.Equal(t, topazfall.Gone, changed[0].State, "first those that get nothing new")
--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -11,7 +11,7 @@
 )
 
 // Hold notes in line with the lists whether they may be relied on.
-func (c told) Hold(held bool) { c <- map[bool]string{true: "held", false: "released"}[held] }
+func (c told) SetHold(held bool) { c <- map[bool]string{true: "held", false: "released"}[held] }
 
 // refused is the answer to a call that is turned away.
 const refused = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n"
@@ -36,17 +36,17 @@
 
 // askedTerms are terms of 300 dispatchers that must ask, with this bound on the age of the list. Short bounds
 // spare time.
-func askedTerms(bound time.Duration) refresh.Terms {
-	return refresh.Terms{Dispatchers: 300, Asked: true, DrainGrace: 250 * time.Millisecond, AskEvery: bound / 4,
+func askedTerms(bound time.Duration) refresh.Settings {
+	return refresh.Settings{Dispatchers: 300, Polled: true, DrainGrace: 250 * time.Millisecond, AskEvery: bound / 4,
 		HoldOnRefusal: true}
 }
 
 // bounded is a watch whose lists and holds come to one channel.
-func bounded(t *testing.T, terms refresh.Terms) (*discovery, *Watch, told) {
+func bounded(t *testing.T, terms refresh.Settings) (*discovery, *Watch, told) {
 	d, c := newDiscovery(t), make(told, 99)
 	w := New(d.Addr().String(), c, terms)
-	w.SetHolder(c)
-	require.Equal(t, 1, w.Known([]byte(listed(41, true, "a", "up"))))
+	w.SetHoldReceiver(c)
+	require.Equal(t, 1, w.LoadKnown([]byte(listed(41, true, "a", "up"))))
 	require.Equal(t, "a0", c.next(t))
 	go w.Run()
 	return d, w, c
@@ -99,10 +99,10 @@
 // The version changes, twice, while a retry waits: the retry brings both changes, well before the bound.
 func TestVersionChangesWhileARetryWaits(t *testing.T) {
 	t.Parallel()
-	d, w, c := bounded(t, askedTerms(refresh.Told))
+	d, w, c := bounded(t, askedTerms(refresh.NotifiedAfter))
 	d.next(t).refuse(t, "0.5")
 	a := d.next(t)
-	require.Less(t, w.now(), refresh.Told)
+	require.Less(t, w.now(), refresh.NotifiedAfter)
 	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", a.query)
 	a.answer(t, `{"seq":43,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"draining"},
 		{"host":"b","dial":"127.0.0.1:2","health":"up"}]}`)
@@ -162,7 +162,7 @@
 func TestPushedListsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	terms := askedTerms(time.Second)
-	terms.Asked = false
+	terms.Polled = false
 	d, _, c := bounded(t, terms)
 	d.refuseFor(3*time.Second, "60")
 	require.Empty(t, c)
@@ -214,28 +214,28 @@
 	d.refuseFor(4*time.Second, "")
 	require.Equal(t, "held", c.next(t))
 	other := terms
-	other.Asked = false
-	w.Renew(other)
+	other.Polled = false
+	w.UpdateSettings(other)
 	require.Equal(t, "released", c.next(t))
-	w.Renew(terms)
+	w.UpdateSettings(terms)
 	require.Equal(t, "held", c.next(t))
 }
 
 // A process that takes another's place takes over its bound as well.
 func TestHoldIsInherited(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(refresh.Told)
+	terms := askedTerms(refresh.NotifiedAfter)
 	d, w, c := bounded(t, terms)
-	require.False(t, w.Legacy().Unread.Reachable)
+	require.False(t, w.HandoverState().Unread.Reachable)
 	d.refuseFor(4500*time.Millisecond, "")
 	require.Empty(t, c)
-	old := w.Legacy()
+	old := w.HandoverState()
 	require.True(t, old.Unread.Reachable)
 	require.GreaterOrEqual(t, old.Unread.For, 4*time.Second)
 
 	heard := make(told, 99)
 	heir := New(d.Addr().String(), heard, terms)
-	heir.SetHolder(heard)
+	heir.SetHoldReceiver(heard)
 	require.Equal(t, 1, heir.Inherit(old))
 	require.Equal(t, "a0", heard.next(t))
 	go heir.Run()
@@ -249,7 +249,7 @@
 	t.Parallel()
 	d, c := newDiscovery(t), make(told, 99)
 	w := New(d.Addr().String(), c, askedTerms(3*time.Second))
-	require.Equal(t, 1, w.Known([]byte(listed(41, true, "a", "up"))))
+	require.Equal(t, 1, w.LoadKnown([]byte(listed(41, true, "a", "up"))))
 	require.Equal(t, "a0", c.next(t))
 	go w.Run()
 	d.refuseFor(4*time.Second, "")
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -112,12 +112,12 @@
 	case errors.As(err, &refused):
 		return refresh.Refused
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrDialTimeout):
-		return refresh.Silent
+		return refresh.TimedOut
 	case errors.As(err, &network), errors.Is(err, io.EOF), errors.Is(err, fasthttp.ErrConnectionClosed),
 		errors.Is(err, fasthttp.ErrNoFreeConns):
-		return refresh.Broken
+		return refresh.ConnectionFailed
 	}
-	return refresh.Answered
+	return refresh.UnusableAnswer
 }
 
 func (c *client) get(path string, limit time.Duration) answer {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,21 +19,21 @@
 	"topazfall/internal/dispatch"
 )
 
-// Lister is told of the list; for ListBroken there are no entries.
-type Lister interface {
-	List(kind topazfall.EventKind, entries []dispatch.Entry)
+// ListReceiver is told of the list; for ListBroken there are no entries.
+type ListReceiver interface {
+	ApplyList(kind topazfall.EventKind, entries []dispatch.Entry)
 }
 
-// Holder is told whether the list may not be relied on, so that nothing new may go to any host. The news of a
+// HoldReceiver is told whether the list may not be relied on, so that nothing new may go to any host. The news of a
 // list that ends this comes first.
-type Holder interface {
-	Hold(held bool)
+type HoldReceiver interface {
+	SetHold(held bool)
 }
 
 // Watch follows the list at one discovery address, which may move.
 type Watch struct {
-	core    Lister
-	holder  Holder // nil for none
+	core    ListReceiver
+	holder  HoldReceiver // nil for none
 	client  *client
 	seq     int64
 	known   bool // there is a list that changes can be applied to
@@ -49,40 +49,40 @@
 	start   time.Time // from which the schedule's times count
 
 	mu       sync.Mutex
-	last     Legacy
+	last     HandoverState
 	schedule *refresh.Schedule
 }
 
-// Legacy is the list as it was last had, and where.
-type Legacy struct {
+// HandoverState is the list as it was last had, and where.
+type HandoverState struct {
 	Discovery string
 	Seq       int64
 	Hosts     map[string]dispatch.Entry
 	Unread    refresh.Unread
 }
 
-// TermsOf takes what the contract says of discovery from the settings.
-func TermsOf(s *topazfall.Settings) refresh.Terms {
-	return refresh.Terms{Dispatchers: s.Dispatchers, Asked: s.AskForList,
+// RefreshSettings takes what the contract says of discovery from the settings.
+func RefreshSettings(s *topazfall.Settings) refresh.Settings {
+	return refresh.Settings{Dispatchers: s.Dispatchers, Polled: s.ListOnRequest,
 		DrainGrace: time.Duration(s.Contract.DrainGrace) * time.Microsecond,
 		AskEvery:   time.Duration(s.Contract.AskEvery) * time.Microsecond}
 }
 
 // New returns a watch that tells core of the list, under these terms.
-func New(addr string, core Lister, terms refresh.Terms) *Watch {
+func New(addr string, core ListReceiver, terms refresh.Settings) *Watch {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return &Watch{core: core, client: newClient(addr), kick: make(chan bool, 1), moves: make(chan string, 1),
 		renewed: make(chan struct{}, 1), target: addr, tried: make(chan struct{}), start: time.Now(),
 		schedule: refresh.New(0, terms, random)}
 }
 
-// SetHolder names who is told whether the list may be relied on. It comes before Run.
-func (w *Watch) SetHolder(h Holder) { w.holder = h }
+// SetHoldReceiver names who is told whether the list may be relied on. It comes before Run.
+func (w *Watch) SetHoldReceiver(h HoldReceiver) { w.holder = h }
 
-// Renew makes other terms hold from the next call on; whether the list may be relied on, from now on.
-func (w *Watch) Renew(terms refresh.Terms) {
+// UpdateSettings makes other terms hold from the next call on; whether the list may be relied on, from now on.
+func (w *Watch) UpdateSettings(terms refresh.Settings) {
 	w.mu.Lock()
-	w.schedule.Renew(terms)
+	w.schedule.Configure(terms)
 	w.mu.Unlock()
 	select {
 	case w.renewed <- struct{}{}:
@@ -121,11 +121,11 @@
 	w.moves <- addr
 }
 
-// Tried is closed once a first call has ended, well or not.
-func (w *Watch) Tried() <-chan struct{} { return w.tried }
+// FirstCallDone is closed once a first call has ended, well or not.
+func (w *Watch) FirstCallDone() <-chan struct{} { return w.tried }
 
-// Known takes the list as it was had before a restart and tells how many hosts it names.
-func (w *Watch) Known(text []byte) int {
+// LoadKnown takes the list as it was had before a restart and tells how many hosts it names.
+func (w *Watch) LoadKnown(text []byte) int {
 	if len(text) == 0 {
 		return 0
 	}
@@ -134,12 +134,12 @@
 		slog.Warn("inventory", "known", "unreadable", "error", err)
 		return 0
 	}
-	w.tell(topazfall.ListStale, l)
+	w.tell(topazfall.ListRestored, l)
 	return len(l.entries)
 }
 
-// Legacy returns the list for another process to go on with.
-func (w *Watch) Legacy() Legacy {
+// HandoverState returns the list for another process to go on with.
+func (w *Watch) HandoverState() HandoverState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := w.last
@@ -149,11 +149,11 @@
 
 // Inherit starts from another process's list. Where that had it from another address, the versions need not be the
 // same, and the whole list is asked for. It comes before Run.
-func (w *Watch) Inherit(l Legacy) int {
+func (w *Watch) Inherit(l HandoverState) int {
 	if len(l.Hosts) == 0 {
 		return 0
 	}
-	w.tell(topazfall.ListStale, list{seq: l.Seq, entries: slices.Collect(maps.Values(l.Hosts))})
+	w.tell(topazfall.ListRestored, list{seq: l.Seq, entries: slices.Collect(maps.Values(l.Hosts))})
 	w.known = l.Discovery == w.client.Addr
 	w.schedule.Inherit(l.Unread)
 	return len(l.Hosts)
@@ -161,7 +161,7 @@
 
 // tell hands the list, or changes to it, on, and keeps them.
 func (w *Watch) tell(kind topazfall.EventKind, l list) {
-	w.core.List(kind, l.entries)
+	w.core.ApplyList(kind, l.entries)
 	w.seq, w.known = l.seq, true
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,7 +202,7 @@
 func (w *Watch) first() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.schedule.First(len(w.last.Hosts) > 0)
+	return w.schedule.FirstDelay(len(w.last.Hosts) > 0)
 }
 
 // report tells that the watch is broken, or well again.
@@ -212,7 +212,7 @@
 		slog.Info("inventory", "state", "back", "seq", w.seq)
 	case err != nil && !w.broken:
 		slog.Warn("inventory", "state", "broken", "seq", w.seq, "error", err)
-		w.core.List(topazfall.ListBroken, nil)
+		w.core.ApplyList(topazfall.ListFailed, nil)
 	}
 	w.broken = err != nil
 }
@@ -226,9 +226,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
-	took := now - w.schedule.Begun()
+	took := now - w.schedule.CallStart()
 	pause := w.schedule.End(now, resultOf(err), r.retryAfter)
-	if err != nil && w.schedule.Terms().Asked {
+	if err != nil && w.schedule.Settings().Polled {
 		slog.Info("inventory", "call", "failed", "took", took, "next", pause, "error", err)
 	}
 	return pause
@@ -262,7 +262,7 @@
 func (w *Watch) holdAlarm() <-chan time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at, bounded := w.schedule.HoldAt()
+	at, bounded := w.schedule.StaleAt()
 	if !bounded || w.held {
 		return nil
 	}
@@ -272,7 +272,7 @@
 // hold tells the holder where it has changed whether the list may be relied on.
 func (w *Watch) hold() {
 	w.mu.Lock()
-	held := w.schedule.Held(w.now())
+	held := w.schedule.IsStale(w.now())
 	w.mu.Unlock()
 	if held == w.held {
 		return
@@ -280,7 +280,7 @@
 	w.held = held
 	slog.Warn("inventory", "state", map[bool]string{true: "held", false: "released"}[held], "seq", w.seq)
 	if w.holder != nil {
-		w.holder.Hold(held)
+		w.holder.SetHold(held)
 	}
 }
 
@@ -294,14 +294,14 @@
 	w.client, w.known = newClient(addr), false
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.schedule.Moved()
+	w.schedule.AddressChanged()
 }
 
 // begin notes that a call begins, and returns how long it may wait for news.
-func (w *Watch) begin() (terms refresh.Terms, wait time.Duration) {
+func (w *Watch) begin() (terms refresh.Settings, wait time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.schedule.Terms(), w.schedule.Begin(w.now(), w.known)
+	return w.schedule.Settings(), w.schedule.Begin(w.now(), w.known)
 }
 
 // call makes one call: a watch, or a fetch of the whole list where there is none yet or one was asked for.
@@ -316,20 +316,20 @@
 	}
 	discovery := w.client
 	terms, wait := w.begin()
-	path, limit := "/v1/endpoints", terms.CallLimit()
+	path, limit := "/v1/endpoints", terms.CallTimeout()
 	beside := path
 	if w.known {
 		path += "?after=" + strconv.FormatInt(w.seq, 10) + "&wait_ms="
 		beside = path + "0"
 		path += strconv.FormatInt(wait.Milliseconds(), 10)
-	} else if !terms.Asked { // an agent has no line in which the call may wait
+	} else if !terms.Polled { // an agent has no line in which the call may wait
 		limit = refresh.AnswerGrace
 	}
 	answers, second := make(chan answer, 1), make(chan answer, 1) // what comes after a move is dropped with them
 	go func() { answers <- discovery.get(path, limit) }()
 	late, asking := (<-chan time.Time)(nil), false
-	if !terms.Asked {
-		late = time.After(wait + terms.AgentBeat())
+	if !terms.Polled {
+		late = time.After(wait + terms.AgentRetryInterval())
 	}
 	for {
 		select {
@@ -343,9 +343,9 @@
 				return w.take(a)
 			}
 		case <-late:
-			if late = time.After(terms.AgentBeat()); !asking {
+			if late = time.After(terms.AgentRetryInterval()); !asking {
 				asking = true
-				go func() { second <- discovery.get(beside, terms.AgentBeat()) }()
+				go func() { second <- discovery.get(beside, terms.AgentRetryInterval()) }()
 			}
 		case <-w.holdAlarm():
 			w.hold()
@@ -370,7 +370,7 @@
 		w.known, w.behind = false, true
 		return fmt.Errorf("a list of %d after one of %d", l.seq, w.seq)
 	case l.whole:
-		w.tell(topazfall.ListWhole, l)
+		w.tell(topazfall.ListSnapshot, l)
 	case !w.known || l.seq < w.seq: // changes to a list that is not ours
 		w.known = false
 		return fmt.Errorf("changes up to %d do not follow %d", l.seq, w.seq)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -36,7 +36,7 @@
 		}
 		for _, e := range l.entries {
 			require.NotEmpty(t, e.ID)
-			require.LessOrEqual(t, len(e.Addrs), addresses.Most)
+			require.LessOrEqual(t, len(e.Addrs), addresses.MaxAddresses)
 			require.True(t, e.State != topazfall.Ready || e.Addr != "" || len(e.Addrs) > 0,
 				"ready, and not to be reached")
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -78,7 +78,7 @@
 			texts[i] = string(e) // no string, and so no address: the error shows it
 		}
 	}
-	list, faults := addresses.List(texts)
+	list, faults := addresses.ParseList(texts)
 	for _, f := range faults {
 		slog.Warn("inventory", "odd", "address", "host", host, "address", f.Text, "error", f.Err)
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -21,8 +21,8 @@
 // told takes the core's place.
 type told chan string
 
-func (c told) List(kind topazfall.EventKind, entries []dispatch.Entry) {
-	if kind == topazfall.ListBroken {
+func (c told) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+	if kind == topazfall.ListFailed {
 		return
 	}
 	text := ""
@@ -117,12 +117,12 @@
 
 // pushed are terms under which lists come unasked. The grace is long, lest a slow machine mistakes itself for
 // the agent.
-var pushed = refresh.Terms{Dispatchers: 300, DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second}
+var pushed = refresh.Settings{Dispatchers: 300, DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second}
 
-func watching(t *testing.T, terms refresh.Terms, seq int) (*discovery, *Watch, told) {
+func watching(t *testing.T, terms refresh.Settings, seq int) (*discovery, *Watch, told) {
 	d, c := newDiscovery(t), make(told, 99)
 	w := New(d.Addr().String(), c, terms)
-	require.Equal(t, 1, w.Known([]byte(listed(seq, true, "a", "up"))))
+	require.Equal(t, 1, w.LoadKnown([]byte(listed(seq, true, "a", "up"))))
 	require.Equal(t, "a0", c.next(t))
 	go w.Run()
 	return d, w, c
@@ -197,7 +197,7 @@
 func TestAskedDiscoveryGetsOneCall(t *testing.T) {
 	t.Parallel()
 	terms := pushed
-	terms.Asked, terms.Dispatchers = true, 1
+	terms.Polled, terms.Dispatchers = true, 1
 	d, _, _ := watching(t, terms, 41)
 	for range 2 {
 		a := d.next(t)
@@ -269,10 +269,10 @@
 func TestTermsChange(t *testing.T) {
 	t.Parallel()
 	terms := pushed
-	terms.Asked, terms.Dispatchers = true, 1
+	terms.Polled, terms.Dispatchers = true, 1
 	d, w, _ := watching(t, terms, 41)
 	a := d.next(t)
-	w.Renew(pushed)
+	w.UpdateSettings(pushed)
 	a.answer(t, listed(42, false, "a", "up"))
 	held := d.next(t)
 	require.Equal(t, "/v1/endpoints?after=42&wait_ms=1000", held.query)
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -7,32 +7,32 @@
 	"topazfall/internal/exchange"
 )
 
-// State is what a host says of a job.
-type State int
+// JobState is what a host says of a job.
+type JobState int
 
 // The states that hosts tell of.
 const (
-	Started State = iota
+	Started JobState = iota
 	Running
-	Over
+	Finished
 )
 
-// Note is one call-back of a host.
-type Note struct {
+// Callback is one call-back of a host.
+type Callback struct {
 	ID, From string
-	State    State
-	Share    float64
+	State    JobState
+	Progress float64
 	Outcome  topazfall.Outcome // of Over
 	Result   []byte
 	Load     topazfall.Load
 }
 
-// Noted takes a call-back. It may come before the host's answer to the relay, come again, or be about an
+// PostCallback takes a call-back. It may come before the host's answer to the relay, come again, or be about an
 // earlier life of this dispatcher: it counts only for a relay that is still out at the host it comes from.
-func (c *Core) Noted(n Note) { c.ops <- func() { c.note(n) } }
+func (c *Core) PostCallback(n Callback) { c.ops <- func() { c.note(n) } }
 
-// Take is Noted, and tells whether the message is in hand here.
-func (c *Core) Take(n Note) bool {
+// HandleCallback is Noted, and tells whether the message is in hand here.
+func (c *Core) HandleCallback(n Callback) bool {
 	taken := make(chan bool, 1)
 	c.ops <- func() {
 		taken <- c.byID[n.ID] != nil
@@ -41,23 +41,23 @@
 	return <-taken
 }
 
-func (c *Core) note(n Note) {
+func (c *Core) note(n Callback) {
 	r := c.find(n.ID, n.From)
 	if r == nil {
 		return
 	}
-	e := topazfall.Event{Request: r.Exchange.Number, Attempt: r.N, Worker: r.Host.ID, Amount: n.Share}
+	e := topazfall.Event{Request: r.Exchange.Number, Attempt: r.Index, Worker: r.Host.ID, Amount: n.Progress}
 	switch n.State {
 	case Started:
 		e.Kind = topazfall.JobStarted
-		if r.Begun == 0 {
-			r.Begun = c.Now()
+		if r.StartedAt == 0 {
+			r.StartedAt = c.Now()
 		}
 		c.feed(e)
 	case Running:
 		e.Kind = topazfall.JobProgress
 		c.feed(e)
-	case Over:
+	case Finished:
 		c.end(r, n.Outcome, n.Load, n.Result)
 	}
 }
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -10,12 +10,14 @@
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now is the time.
-func (c Clock) Now() int64 { return c.Of(time.Now()) }
+func (c Clock) Now() int64 { return c.FromTime(time.Now()) }
 
-// Of converts a time that was read from the system's clock.
-func (c Clock) Of(t time.Time) int64 { return c.start.UnixMicro() + t.Sub(c.start).Microseconds() }
+// FromTime converts a time that was read from the system's clock.
+func (c Clock) FromTime(t time.Time) int64 {
+	return c.start.UnixMicro() + t.Sub(c.start).Microseconds()
+}
 
-// At converts a time of this clock to one that deadlines of connections take.
-func (c Clock) At(us int64) time.Time {
+// ToTime converts a time of this clock to one that deadlines of connections take.
+func (c Clock) ToTime(us int64) time.Time {
 	return c.start.Add(time.Duration(us-c.start.UnixMicro()) * time.Microsecond)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -15,25 +15,25 @@
 	"topazfall/internal/metrics"
 )
 
-// South carries relays to hosts. Its methods return at once.
-type South interface {
+// Upstream carries relays to hosts. Its methods return at once.
+type Upstream interface {
 	Send(*exchange.Relay)
-	CallOff(*exchange.Relay) // the relay has ended here; the host should drop it
+	Cancel(*exchange.Relay) // the relay has ended here; the host should drop it
 	Probe(*exchange.Host)
 	// Readdress says by which addresses a host that has several is reached from now on; nil if it has gone, or has none
 	// but its dial.
-	Readdress(host string, list []addresses.Address)
+	SetAddresses(host string, list []addresses.Address)
 }
 
-// Inventory is asked for the list of hosts. Its methods return at once.
-type Inventory interface {
+// Discovery is asked for the list of hosts. Its methods return at once.
+type Discovery interface {
 	Follow()
 	Fetch()
 }
 
 // Peers carries words to other dispatchers. Its method returns at once.
 type Peers interface {
-	Tell(peer int, data []byte)
+	Send(peer int, data []byte)
 }
 
 // Entry is one host of the inventory.
@@ -50,8 +50,8 @@
 	settings  topazfall.Settings
 	classes   []topazfall.Class // by index, those that are gone as well
 	tenants   []topazfall.Tenant
-	south     South
-	inventory Inventory
+	south     Upstream
+	inventory Discovery
 	peers     Peers       // nil where there are none
 	news      chan func() // of the inventory: a host that drains gets nothing new that is decided after it was heard
 	ops       chan func()
@@ -92,14 +92,14 @@
 // SetPeers names what carries words to other dispatchers. It comes before Run.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
-// Heard takes what another dispatcher tells, or, with a number below 0, somebody who is none.
-func (c *Core) Heard(from int, data []byte) {
-	c.metrics.Words.Add(1)
+// ReceivePeerMessage takes what another dispatcher tells, or, with a number below 0, somebody who is none.
+func (c *Core) ReceivePeerMessage(from int, data []byte) {
+	c.metrics.PeerMessages.Add(1)
 	c.ops <- func() { c.feed(topazfall.Event{Kind: topazfall.PeerMessage, From: from, Data: data}) }
 }
 
 // Run serves until the program ends.
-func (c *Core) Run(south South, inventory Inventory) {
+func (c *Core) Run(south Upstream, inventory Discovery) {
 	c.south, c.inventory = south, inventory
 	alarm := newAlarm()
 	c.look()
@@ -139,30 +139,30 @@
 const lookTime = 200_000
 
 func (c *Core) look() {
-	c.metrics.Ejected.Store(int64(c.balancer.Avoided(c.Now())))
-	c.metrics.Unheeded.Store(int64(c.balancer.Unheeded()))
+	c.metrics.Ejected.Store(int64(c.balancer.UnavailableWorkers(c.Now())))
+	c.metrics.PeerMessagesDropped.Store(int64(c.balancer.DroppedMessages()))
 	c.after(c.Now()+lookTime, c.look)
 }
 
-// InHand is the number of messages without a final answer, and of relays that have not ended.
-func (c *Core) InHand() int64 { return c.inHand.Load() }
+// InFlight is the number of messages without a final answer, and of relays that have not ended.
+func (c *Core) InFlight() int64 { return c.inHand.Load() }
 
 // remembered is how many ids are known: some minutes of them on a busy day, and a few hundred kB.
 const remembered = 4096
 
-// Arrive takes in a message. It gets exactly one final answer. An id is new with every message: one that is
+// Submit takes in a message. It gets exactly one final answer. An id is new with every message: one that is
 // known is of somebody else's, and a call-back could not tell the two apart. That holds for a while after the
 // first has ended as well, since hosts may still tell of it, and must not be asked to run it again.
-func (c *Core) Arrive(x *exchange.Exchange) {
+func (c *Core) Submit(x *exchange.Exchange) {
 	c.inHand.Add(1)
 	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
-		if x.HasLeft() {
-			c.finish(x, exchange.Answer{Verdict: exchange.Failed})
+		if x.IsDisconnected() {
+			c.finish(x, exchange.Answer{Result: exchange.Failed})
 			return
 		}
 		if c.known[x.ID] || c.byID[x.ID] != nil {
-			c.finish(x, exchange.Answer{Verdict: exchange.Twice})
+			c.finish(x, exchange.Answer{Result: exchange.Duplicate})
 			return
 		}
 		c.remember(x.ID)
@@ -174,28 +174,28 @@
 	}
 }
 
-// Gone tells that the client of a message has left.
-func (c *Core) Gone(x *exchange.Exchange) {
-	x.Leave()
+// ClientDisconnected tells that the client of a message has left.
+func (c *Core) ClientDisconnected(x *exchange.Exchange) {
+	x.MarkDisconnected()
 	c.ops <- func() { c.gone(x) }
 }
 
 func (c *Core) gone(x *exchange.Exchange) {
-	if c.finish(x, exchange.Answer{Verdict: exchange.Failed}) {
+	if c.finish(x, exchange.Answer{Result: exchange.Failed}) {
 		c.feed(topazfall.Event{Kind: topazfall.ClientGone, Request: x.Number})
 		c.forget(x)
 	}
 }
 
-// Ended tells how a relay ended. Of several endings the first counts.
-func (c *Core) Ended(r *exchange.Relay, o topazfall.Outcome, l topazfall.Load) {
+// RelayEnded tells how a relay ended. Of several endings the first counts.
+func (c *Core) RelayEnded(r *exchange.Relay, o topazfall.Outcome, l topazfall.Load) {
 	c.ops <- func() { c.end(r, o, l, nil) }
 }
 
-// List takes news of the inventory; for ListBroken there are no entries.
-func (c *Core) List(kind topazfall.EventKind, entries []Entry) {
+// ApplyList takes news of the inventory; for ListBroken there are no entries.
+func (c *Core) ApplyList(kind topazfall.EventKind, entries []Entry) {
 	c.news <- func() {
-		if kind == topazfall.ListWhole || kind == topazfall.ListStale {
+		if kind == topazfall.ListSnapshot || kind == topazfall.ListRestored {
 			old := c.hosts
 			c.hosts, c.listed = map[string]*exchange.Host{}, map[string]topazfall.Worker{}
 			for _, e := range entries {
@@ -216,11 +216,11 @@
 		for i, e := range entries {
 			h := c.hosts[e.ID]
 			// A relay under way keeps the address it was made for; one of several the south side looks after.
-			if several := len(e.Addrs) > 0; h == nil || h.Several != several || !several && h.Addr != e.Addr {
+			if several := len(e.Addrs) > 0; h == nil || h.MultiAddress != several || !several && h.Addr != e.Addr {
 				if h != nil {
 					h.SetClosed(true)
 				}
-				h = &exchange.Host{ID: e.ID, Addr: e.Addr, Several: several}
+				h = &exchange.Host{ID: e.ID, Addr: e.Addr, MultiAddress: several}
 				c.hosts[e.ID] = h
 			}
 			c.listed[e.ID] = e.Worker
@@ -240,10 +240,10 @@
 	}
 }
 
-// Hold tells whether the list may not be relied on: then no host is offered to the module for anything new, and what
+// SetHold tells whether the list may not be relied on: then no host is offered to the module for anything new, and what
 // has not begun does not begin. What is under way goes on, and a job that still has time waits for the next list. As
 // with List, news goes before all that waits to be dealt with.
-func (c *Core) Hold(held bool) {
+func (c *Core) SetHold(held bool) {
 	c.news <- func() {
 		if c.held == held {
 			return
@@ -257,7 +257,7 @@
 		}
 		c.feed(topazfall.Event{Kind: topazfall.ListPatch, List: workers})
 		if held { // it is no news of the inventory: that is still broken
-			c.feed(topazfall.Event{Kind: topazfall.ListBroken})
+			c.feed(topazfall.Event{Kind: topazfall.ListFailed})
 		}
 	}
 }
@@ -272,7 +272,7 @@
 
 // settleClaims hands on which addresses the hosts of the list have now.
 func (c *Core) settleClaims() {
-	changed, conflicts := c.claims.Settle()
+	changed, conflicts := c.claims.Resolve()
 	for _, f := range conflicts {
 		slog.Warn("inventory", "odd", "address", "host", f.Host, "address", f.Address, "owner", f.Owner)
 	}
@@ -281,26 +281,26 @@
 		if !listed {
 			list = nil
 		}
-		c.south.Readdress(host, list)
+		c.south.SetAddresses(host, list)
 	}
 }
 
-// Probed tells what a probe brought.
-func (c *Core) Probed(h *exchange.Host, o topazfall.Outcome, took int64, l topazfall.Load) {
+// ProbeDone tells what a probe brought.
+func (c *Core) ProbeDone(h *exchange.Host, o topazfall.Outcome, took int64, l topazfall.Load) {
 	c.ops <- func() {
-		c.feed(topazfall.Event{Kind: topazfall.ProbeDone, Worker: h.ID, Outcome: o, Took: took, Load: l})
+		c.feed(topazfall.Event{Kind: topazfall.ProbeDone, Worker: h.ID, Outcome: o, Elapsed: took, Load: l})
 	}
 }
 
-// EndUnanswered calls off the relays that their hosts have not answered for so long. What may run again goes to another
+// CancelUnanswered calls off the relays that their hosts have not answered for so long. What may run again goes to another
 // host, the rest is failed: better than no answer at all, where this process is about to be killed.
-func (c *Core) EndUnanswered(age int64) {
+func (c *Core) CancelUnanswered(age int64) {
 	c.ops <- func() {
 		for _, x := range c.byNum {
 			for _, r := range x.Relays {
-				if !r.Done && !r.Accepted() && c.Now()-r.Sent >= age {
-					c.south.CallOff(r)
-					c.end(r, topazfall.Recalled, topazfall.NoLoad, nil)
+				if !r.Done && !r.IsAccepted() && c.Now()-r.Sent >= age {
+					c.south.Cancel(r)
+					c.end(r, topazfall.Cancelled, topazfall.NoLoad, nil)
 				}
 			}
 		}
@@ -335,19 +335,19 @@
 	case topazfall.Send:
 		c.send(x, c.hosts[a.Worker], a)
 	case topazfall.Refuse:
-		c.finish(x, exchange.Answer{Verdict: exchange.Refused, After: a.After})
+		c.finish(x, exchange.Answer{Result: exchange.Refused, RetryAfter: a.After})
 		c.forget(x)
 	case topazfall.Fail:
 		verdict := exchange.Failed
-		if x != nil && len(x.Relays) > 0 && x.Relays[len(x.Relays)-1].Outcome == topazfall.Overdue {
+		if x != nil && len(x.Relays) > 0 && x.Relays[len(x.Relays)-1].Outcome == topazfall.TimedOut {
 			verdict = exchange.TimedOut
 		}
-		c.finish(x, exchange.Answer{Verdict: verdict})
+		c.finish(x, exchange.Answer{Result: verdict})
 		c.forget(x)
 	case topazfall.CancelAttempt:
 		if x != nil && a.Attempt < len(x.Relays) && !x.Relays[a.Attempt].Done {
-			c.south.CallOff(x.Relays[a.Attempt])
-			c.end(x.Relays[a.Attempt], topazfall.Recalled, topazfall.NoLoad, nil)
+			c.south.Cancel(x.Relays[a.Attempt])
+			c.end(x.Relays[a.Attempt], topazfall.Cancelled, topazfall.NoLoad, nil)
 		}
 	case topazfall.SetTimer:
 		token := a.Token
@@ -356,13 +356,13 @@
 		if h := c.hosts[a.Worker]; h != nil {
 			c.south.Probe(h)
 		}
-	case topazfall.FollowList:
+	case topazfall.WatchList:
 		c.inventory.Follow()
 	case topazfall.FetchList:
 		c.inventory.Fetch()
-	case topazfall.TellPeer:
+	case topazfall.SendToPeer:
 		if c.peers != nil {
-			c.peers.Tell(a.Peer, a.Data)
+			c.peers.Send(a.Peer, a.Data)
 		}
 	case topazfall.Log:
 		slog.Info("module", "text", a.Text)
@@ -379,14 +379,14 @@
 		due = min(due, now+a.After)
 	}
 	c.inHand.Add(1)
-	if h == nil || x.HasLeft() { // the relay still counts and ends: else the message would wait for it in vain
+	if h == nil || x.IsDisconnected() { // the relay still counts and ends: else the message would wait for it in vain
 		if h == nil {
 			h = &exchange.Host{ID: a.Worker}
 		}
-		c.end(x.Relay(h, now, due), topazfall.Superseded, topazfall.NoLoad, nil)
+		c.end(x.AddRelay(h, now, due), topazfall.NeverSent, topazfall.NoLoad, nil)
 		return
 	}
-	r := x.Relay(h, now, due)
+	r := x.AddRelay(h, now, due)
 	c.watch(r)
 	c.south.Send(r)
 }
@@ -394,11 +394,11 @@
 // watch ends a relay when its time is up. Timers cannot be taken back: this one must not keep the message's body until
 // its time comes.
 func (c *Core) watch(r *exchange.Relay) {
-	number, n := r.Exchange.Number, r.N
+	number, n := r.Exchange.Number, r.Index
 	c.after(r.Due, func() {
 		if x := c.byNum[number]; x != nil && !x.Relays[n].Done {
-			c.south.CallOff(x.Relays[n])
-			c.end(x.Relays[n], topazfall.Overdue, topazfall.NoLoad, nil)
+			c.south.Cancel(x.Relays[n])
+			c.end(x.Relays[n], topazfall.TimedOut, topazfall.NoLoad, nil)
 		}
 	})
 }
@@ -411,21 +411,21 @@
 	r.Done, r.Outcome = true, o
 	r.End()
 	if o.NotRun() {
-		r.NeverRan()
+		r.MarkNeverRan()
 	}
 	c.inHand.Add(-1)
 	x := r.Exchange
 	if o == topazfall.Completed {
-		c.finish(x, exchange.Answer{Verdict: exchange.Served, Body: result})
-	} else if x.HasLeft() { // the relay found out
+		c.finish(x, exchange.Answer{Result: exchange.Served, Body: result})
+	} else if x.IsDisconnected() { // the relay found out
 		c.gone(x)
 	}
 	now := c.Now()
-	slog.LogAttrs(context.Background(), slog.LevelInfo, "relay", slog.String("id", x.ID), slog.Int("n", r.N),
+	slog.LogAttrs(context.Background(), slog.LevelInfo, "relay", slog.String("id", x.ID), slog.Int("n", r.Index),
 		slog.String("host", r.Host.ID), slog.String("outcome", outcomes[o]), slog.Int64("took_us", now-r.Sent),
-		slog.Int64("begun_us", max(r.Begun-r.Sent, 0)))
-	c.feed(topazfall.Event{Kind: topazfall.AttemptDone, Request: x.Number, Attempt: r.N, Worker: r.Host.ID,
-		Outcome: o, Took: now - r.Sent, Final: x.Over(), Load: l})
+		slog.Int64("begun_us", max(r.StartedAt-r.Sent, 0)))
+	c.feed(topazfall.Event{Kind: topazfall.AttemptDone, Request: x.Number, Attempt: r.Index, Worker: r.Host.ID,
+		Outcome: o, Elapsed: now - r.Sent, Final: x.IsFinished(), Load: l})
 	c.forget(x)
 }
 
@@ -438,19 +438,19 @@
 	}
 	c.inHand.Add(-1)
 	c.metrics.Outstanding.Add(-1)
-	if e, ok := endings[a.Verdict]; ok {
-		c.metrics.End(x.Class, e)
+	if e, ok := endings[a.Result]; ok {
+		c.metrics.CountJob(x.Class, e)
 	}
 	return true
 }
 
 // endings says how a verdict counts. A message that was not taken is no job.
-var endings = map[exchange.Verdict]metrics.Ending{exchange.Served: metrics.Succeeded,
+var endings = map[exchange.Result]metrics.JobResult{exchange.Served: metrics.Succeeded,
 	exchange.Refused: metrics.Declined, exchange.Failed: metrics.Aborted, exchange.TimedOut: metrics.Aborted}
 
 // forget drops an exchange that owes and awaits nothing any more.
 func (c *Core) forget(x *exchange.Exchange) {
-	if x == nil || !x.Over() {
+	if x == nil || !x.IsFinished() {
 		return
 	}
 	for _, r := range x.Relays {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -19,12 +19,12 @@
 	sent, off chan *exchange.Relay
 }
 
-func (s side) Send(r *exchange.Relay)                { s.sent <- r }
-func (s side) CallOff(r *exchange.Relay)             { r.End(); s.off <- r }
-func (s side) Probe(*exchange.Host)                  {}
-func (s side) Readdress(string, []addresses.Address) {}
-func (s side) Follow()                               {}
-func (s side) Fetch()                                {}
+func (s side) Send(r *exchange.Relay)                   { s.sent <- r }
+func (s side) Cancel(r *exchange.Relay)                 { r.End(); s.off <- r }
+func (s side) Probe(*exchange.Host)                     {}
+func (s side) SetAddresses(string, []addresses.Address) {}
+func (s side) Follow()                                  {}
+func (s side) Fetch()                                   {}
 
 func entry(id string, state topazfall.WorkerState) Entry {
 	return Entry{Addr: "127.0.0.1:1", Worker: topazfall.Worker{ID: id, Zone: "z", Kind: "k", State: state}}
@@ -53,7 +53,7 @@
 	for _, h := range hosts {
 		entries = append(entries, entry(h, topazfall.Ready))
 	}
-	c.List(topazfall.ListStale, entries)
+	c.ApplyList(topazfall.ListRestored, entries)
 	return c, s
 }
 
@@ -65,19 +65,19 @@
 func TestOneEndingOneAnswer(t *testing.T) {
 	c, s := start(t, "h")
 	x := message(c, "1", time.Minute)
-	c.Arrive(x)
+	c.Submit(x)
 	r := <-s.sent
-	require.True(t, r.Start(c.Now()))
+	require.True(t, r.TryStart(c.Now()))
 	for _, result := range []string{"first", "second"} {
-		c.Noted(Note{ID: "1", From: "h", State: Over, Outcome: topazfall.Completed, Result: []byte(result),
+		c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Result: []byte(result),
 			Load: topazfall.NoLoad})
 	}
-	c.Ended(r, topazfall.Severed, topazfall.NoLoad)
-	c.Gone(x)
-	require.Equal(t, exchange.Answer{Verdict: exchange.Served, Body: []byte("first")}, <-x.Answer())
+	c.RelayEnded(r, topazfall.ConnectionLost, topazfall.NoLoad)
+	c.ClientDisconnected(x)
+	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("first")}, <-x.Answer())
 	c.Sync()
 	c.Sync() // what the first found queued has been dealt with too
-	require.Zero(t, c.InHand())
+	require.Zero(t, c.InFlight())
 	require.Empty(t, s.off)
 	require.Empty(t, c.byID)
 	require.Empty(t, c.byNum)
@@ -87,23 +87,23 @@
 func TestDialOutlastsDrainNotice(t *testing.T) {
 	for _, how := range []string{"draining", "gone", "not listed"} {
 		c, s := start(t, "h", "i")
-		c.Arrive(message(c, "1", time.Minute))
+		c.Submit(message(c, "1", time.Minute))
 		r := <-s.sent
 		other := map[string]string{"h": "i", "i": "h"}[r.Host.ID]
 		switch how {
 		case "draining":
-			c.List(topazfall.ListPatch, []Entry{entry(r.Host.ID, topazfall.Draining)})
+			c.ApplyList(topazfall.ListPatch, []Entry{entry(r.Host.ID, topazfall.Draining)})
 		case "gone":
-			c.List(topazfall.ListPatch, []Entry{entry(r.Host.ID, topazfall.Gone)})
+			c.ApplyList(topazfall.ListPatch, []Entry{entry(r.Host.ID, topazfall.Gone)})
 		case "not listed":
-			c.List(topazfall.ListWhole, []Entry{entry(other, topazfall.Ready)})
+			c.ApplyList(topazfall.ListSnapshot, []Entry{entry(other, topazfall.Ready)})
 		}
 		c.Sync()
-		require.False(t, r.Start(c.Now()), how)
-		c.Ended(r, topazfall.Superseded, topazfall.NoLoad)
+		require.False(t, r.TryStart(c.Now()), how)
+		c.RelayEnded(r, topazfall.NeverSent, topazfall.NoLoad)
 		r = <-s.sent
 		require.Equal(t, other, r.Host.ID, how)
-		require.True(t, r.Start(c.Now()), how)
+		require.True(t, r.TryStart(c.Now()), how)
 	}
 }
 
@@ -113,11 +113,11 @@
 	c, err := New(settings(nil), &metrics.Metrics{}) // and it does not run
 	require.NoError(t, err)
 	x := message(c, "1", time.Minute)
-	r := x.Relay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
-	c.Gone(x)
-	require.False(t, r.Start(c.Now()))
-	r = c.Resume(Begun{Message: x.Message}, away{}).Relay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
-	require.False(t, r.Start(c.Now()))
+	r := x.AddRelay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
+	c.ClientDisconnected(x)
+	require.False(t, r.TryStart(c.Now()))
+	r = c.Resume(InFlightMessage{Message: x.Message}, away{}).AddRelay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
+	require.False(t, r.TryStart(c.Now()))
 }
 
 // A client leaves while its message waits in line with others, or its next attempt waits for its time: of the first
@@ -138,45 +138,45 @@
 		c, s := start(t, "h")
 		gate := block(c)
 		x := message(c, "1", time.Minute)
-		c.Arrive(x)
+		c.Submit(x)
 		fill(c)
-		go c.Gone(x) // waits for its place, behind all
-		require.Eventually(t, x.HasLeft, patience, time.Millisecond)
+		go c.ClientDisconnected(x) // waits for its place, behind all
+		require.Eventually(t, x.IsDisconnected, patience, time.Millisecond)
 		close(gate)
-		require.Equal(t, exchange.Failed, answered(t, x).Verdict)
+		require.Equal(t, exchange.Failed, answered(t, x).Result)
 		require.Eventually(t, func() bool { return len(c.ops) == 0 }, patience, time.Millisecond)
 		c.Sync()
-		require.Zero(t, c.InHand())
+		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
 	})
 	t.Run("between two attempts", func(t *testing.T) {
 		c, s := start(t, "h", "i")
 		x := message(c, "1", time.Minute)
-		c.Arrive(x)
+		c.Submit(x)
 		r := <-s.sent
 		gate := block(c)
-		c.Ended(r, topazfall.Saturated, topazfall.NoLoad)
+		c.RelayEnded(r, topazfall.Saturated, topazfall.NoLoad)
 		fill(c)
-		go c.Gone(x)
-		require.Eventually(t, x.HasLeft, patience, time.Millisecond)
+		go c.ClientDisconnected(x)
+		require.Eventually(t, x.IsDisconnected, patience, time.Millisecond)
 		close(gate)
-		require.Equal(t, exchange.Failed, answered(t, x).Verdict)
+		require.Equal(t, exchange.Failed, answered(t, x).Result)
 		require.Eventually(t, func() bool { return len(c.ops) == 0 }, patience, time.Millisecond)
 		c.Sync()
-		require.Zero(t, c.InHand())
+		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
 		require.Empty(t, c.byNum)
 	})
 	t.Run("until a worker comes", func(t *testing.T) { // the module looks again by a timer
 		c, s := start(t)
 		x := message(c, "1", time.Minute)
-		c.Arrive(x)
+		c.Submit(x)
 		c.Sync()
-		x.Leave() // and nobody tells of it
-		c.List(topazfall.ListPatch, []Entry{entry("h", topazfall.Ready)})
-		require.Equal(t, exchange.Failed, answered(t, x).Verdict)
+		x.MarkDisconnected() // and nobody tells of it
+		c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Ready)})
+		require.Equal(t, exchange.Failed, answered(t, x).Result)
 		c.Sync()
-		require.Zero(t, c.InHand())
+		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
 	})
 }
@@ -185,24 +185,24 @@
 func TestNoCopyAfterTheClientLeft(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		s := settings(nil)
-		s.TellsStart, s.Allowed.SecondCopies = true, true
+		s.ReportsStart, s.Allowed.HedgedRequests = true, true
 		s.Classes[0].Repeat, s.Classes[0].Deadline, s.Classes[0].Aim = topazfall.Safe, 400e3, 400e3
 		c, side := startOn(t, s, "h", "i")
 		x := message(c, "1", time.Minute)
-		c.Arrive(x)
+		c.Submit(x)
 		first := <-side.sent
-		require.True(t, first.Start(c.Now()))
+		require.True(t, first.TryStart(c.Now()))
 		if !leaves {
 			require.NotEqual(t, first.Host.ID, (<-side.sent).Host.ID, "without leaving there is a copy")
 			continue
 		}
-		x.Leave() // and nobody tells of it but the mark
-		require.Equal(t, exchange.Failed, answered(t, x).Verdict)
+		x.MarkDisconnected() // and nobody tells of it but the mark
+		require.Equal(t, exchange.Failed, answered(t, x).Result)
 		require.Same(t, first, <-side.off)
 		c.Sync()
 		c.Sync()
 		require.Empty(t, side.sent)
-		require.Zero(t, c.InHand())
+		require.Zero(t, c.InFlight())
 	}
 }
 
@@ -229,9 +229,9 @@
 		"never":      func(*exchange.Exchange, *exchange.Relay) {},
 	} {
 		x := exchange.New(exchange.Message{ID: "1"})
-		r := x.Relay(&exchange.Host{}, 1, 10)
+		r := x.AddRelay(&exchange.Host{}, 1, 10)
 		end(x, r)
-		require.Equal(t, name == "never", r.Start(5), name)
+		require.Equal(t, name == "never", r.TryStart(5), name)
 		require.Equal(t, name == "never", r.End(), name)
 	}
 }
@@ -246,23 +246,23 @@
 		later     int64 // the repeat's dial comes up so long after the first attempt
 		permitted bool
 	}{
-		"in time":       {topazfall.Keyed, topazfall.Severed, window - 8001, true}, // two ticks before its end
-		"at the end":    {topazfall.Keyed, topazfall.Severed, window - 8000, false},
-		"beyond":        {topazfall.Keyed, topazfall.Severed, window + 1e6, false},
+		"in time":       {topazfall.Keyed, topazfall.ConnectionLost, window - 8001, true}, // two ticks before its end
+		"at the end":    {topazfall.Keyed, topazfall.ConnectionLost, window - 8000, false},
+		"beyond":        {topazfall.Keyed, topazfall.ConnectionLost, window + 1e6, false},
 		"never ran":     {topazfall.Keyed, topazfall.Saturated, window + 1e6, true},
-		"not written":   {topazfall.Keyed, topazfall.RefusedConn, window + 1e6, true},
-		"of every kind": {topazfall.Safe, topazfall.Severed, window + 1e6, true},
+		"not written":   {topazfall.Keyed, topazfall.ConnectionRefused, window + 1e6, true},
+		"of every kind": {topazfall.Safe, topazfall.ConnectionLost, window + 1e6, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings(nil)
 			s.Classes[0].Repeat, s.Classes[0].Window, s.Classes[0].Group = c.repeat, window, topazfall.GroupAll
 			core, side := startOn(t, s, "h", "i")
-			core.Arrive(message(core, "1", time.Minute))
+			core.Submit(message(core, "1", time.Minute))
 			first := <-side.sent
-			require.True(t, first.Start(first.Sent))
-			core.Ended(first, c.first, topazfall.NoLoad)
+			require.True(t, first.TryStart(first.Sent))
+			core.RelayEnded(first, c.first, topazfall.NoLoad)
 			again := <-side.sent
-			require.Equal(t, c.permitted, again.Start(first.Sent+c.later))
+			require.Equal(t, c.permitted, again.TryStart(first.Sent+c.later))
 		})
 	}
 }
@@ -271,9 +271,9 @@
 func TestOverdue(t *testing.T) {
 	c, s := start(t, "h")
 	x := message(c, "1", 50*time.Millisecond)
-	c.Arrive(x)
+	c.Submit(x)
 	r := <-s.sent
-	require.Equal(t, exchange.TimedOut, (<-x.Answer()).Verdict)
+	require.Equal(t, exchange.TimedOut, (<-x.Answer()).Result)
 	require.Equal(t, r, <-s.off)
 	require.GreaterOrEqual(t, c.Now(), x.Due)
 }
@@ -283,21 +283,21 @@
 func TestEndUnanswered(t *testing.T) {
 	c, s := start(t, "h")
 	taken, unanswered := message(c, "1", time.Minute), message(c, "2", time.Minute)
-	c.Arrive(taken)
+	c.Submit(taken)
 	r := <-s.sent
-	require.True(t, r.Start(c.Now()))
-	r.Accept()
-	c.Arrive(unanswered)
+	require.True(t, r.TryStart(c.Now()))
+	r.MarkAccepted()
+	c.Submit(unanswered)
 	r = <-s.sent
-	require.True(t, r.Start(c.Now()))
-	c.EndUnanswered(time.Minute.Microseconds())
+	require.True(t, r.TryStart(c.Now()))
+	c.CancelUnanswered(time.Minute.Microseconds())
 	c.Sync()
 	require.Empty(t, s.off)
-	c.EndUnanswered(0)
+	c.CancelUnanswered(0)
 	require.Equal(t, r, <-s.off)
-	require.Equal(t, exchange.Failed, (<-unanswered.Answer()).Verdict)
+	require.Equal(t, exchange.Failed, (<-unanswered.Answer()).Result)
 	c.Sync()
-	require.False(t, taken.Over())
+	require.False(t, taken.IsFinished())
 	require.Empty(t, s.sent)
 }
 
@@ -307,32 +307,32 @@
 	c, s := start(t, "h")
 	x := message(c, "1", time.Minute)
 	x.Path, x.Body = "/p\xff", []byte("b\x00")
-	c.Arrive(x)
+	c.Submit(x)
 	r := <-s.sent
-	require.True(t, r.Start(c.Now()))
-	var begun Begun
-	over := func(b Begun) error { begun = b; return nil }
+	require.True(t, r.TryStart(c.Now()))
+	var begun InFlightMessage
+	over := func(b InFlightMessage) error { begun = b; return nil }
 	require.False(t, c.HandOver(x, over))
-	r.Accept()
-	require.False(t, c.HandOver(x, func(Begun) error { return errors.New("no") }))
-	require.Equal(t, int64(2), c.InHand())
+	r.MarkAccepted()
+	require.False(t, c.HandOver(x, func(InFlightMessage) error { return errors.New("no") }))
+	require.Equal(t, int64(2), c.InFlight())
 	require.True(t, c.HandOver(x, over))
-	require.Equal(t, exchange.Moved, (<-x.Answer()).Verdict)
+	require.Equal(t, exchange.HandedOver, (<-x.Answer()).Result)
 	require.False(t, c.HandOver(x, over), "it is gone")
-	require.Zero(t, c.InHand())
-	require.False(t, c.Take(Note{ID: "1", From: "h", State: Started}))
+	require.Zero(t, c.InFlight())
+	require.False(t, c.HandleCallback(Callback{ID: "1", From: "h", State: Started}))
 	require.Empty(t, s.off, "nothing is called off")
 
 	to, t2 := start(t, "h")
 	y := to.Resume(begun, nil)
 	require.True(t,
-		to.Take(Note{ID: "1", From: "h", State: Over, Outcome: topazfall.Completed, Result: []byte("r"),
+		to.HandleCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Result: []byte("r"),
 			Load: topazfall.NoLoad}))
-	require.Equal(t, exchange.Answer{Verdict: exchange.Served, Body: []byte("r")}, <-y.Answer())
+	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("r")}, <-y.Answer())
 	require.Equal(t, x.Path, y.Path)
 	require.Equal(t, x.Body, y.Body)
 	to.Sync()
-	require.Zero(t, to.InHand())
+	require.Zero(t, to.InFlight())
 	require.Empty(t, t2.sent, "it is not sent again")
 }
 
@@ -341,22 +341,22 @@
 func TestKnownID(t *testing.T) {
 	c, s := start(t, "h")
 	first := message(c, "1", time.Minute)
-	c.Arrive(first)
+	c.Submit(first)
 	<-s.sent
 	again := func() {
 		x := message(c, "1", time.Minute)
-		c.Arrive(x)
-		require.Equal(t, exchange.Twice, (<-x.Answer()).Verdict)
-		c.Gone(x)
+		c.Submit(x)
+		require.Equal(t, exchange.Duplicate, (<-x.Answer()).Result)
+		c.ClientDisconnected(x)
 		c.Sync()
 	}
 	again()
-	require.Equal(t, int64(2), c.InHand(), "the first and its relay")
-	c.Noted(Note{ID: "1", From: "h", State: Over, Outcome: topazfall.Completed, Load: topazfall.NoLoad})
-	require.Equal(t, exchange.Served, (<-first.Answer()).Verdict)
+	require.Equal(t, int64(2), c.InFlight(), "the first and its relay")
+	c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Load: topazfall.NoLoad})
+	require.Equal(t, exchange.Served, (<-first.Answer()).Result)
 	again()
 	for i := range remembered {
-		c.Arrive(message(c, strconv.Itoa(2+i), 0))
+		c.Submit(message(c, strconv.Itoa(2+i), 0))
 	}
 	c.Sync()
 	require.Len(t, c.known, remembered)
@@ -371,13 +371,13 @@
 	for i := range 20_000 { // a long one: what is done in two steps lies apart
 		entries = append(entries, entry("h"+strconv.Itoa(i), topazfall.Ready))
 	}
-	c.List(topazfall.ListWhole, entries)
-	c.Arrive(message(c, "1", time.Minute))
+	c.ApplyList(topazfall.ListSnapshot, entries)
+	c.Submit(message(c, "1", time.Minute))
 	host := (<-s.sent).Host
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.List(topazfall.ListWhole, entries)
+		c.ApplyList(topazfall.ListSnapshot, entries)
 		c.Sync()
 	}()
 	for listed := false; !listed; {
@@ -386,8 +386,8 @@
 			listed = true
 		default:
 		}
-		r := exchange.New(exchange.Message{ID: "2"}).Relay(host, 1, 10)
-		require.True(t, r.Start(5), "a host that is listed was closed")
+		r := exchange.New(exchange.Message{ID: "2"}).AddRelay(host, 1, 10)
+		require.True(t, r.TryStart(5), "a host that is listed was closed")
 	}
 }
 
@@ -399,9 +399,9 @@
 	c.ops <- func() { close(begun); <-gate }
 	<-begun
 	for i := range 8 {
-		c.Arrive(message(c, strconv.Itoa(i), time.Minute))
+		c.Submit(message(c, strconv.Itoa(i), time.Minute))
 	}
-	c.List(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining)})
+	c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining)})
 	close(gate)
 	for range 8 {
 		require.Equal(t, "i", (<-s.sent).Host.ID)
@@ -412,51 +412,51 @@
 // on. A drain that the next list tells is heard before anything is sent again.
 func TestHold(t *testing.T) {
 	c, s := start(t, "h", "i")
-	c.Arrive(message(c, "begun", time.Minute))
+	c.Submit(message(c, "begun", time.Minute))
 	begun := <-s.sent
-	require.True(t, begun.Start(c.Now()))
-	c.Arrive(message(c, "dialling", time.Minute))
+	require.True(t, begun.TryStart(c.Now()))
+	c.Submit(message(c, "dialling", time.Minute))
 	dialling := <-s.sent
-	c.Hold(true)
-	c.Arrive(message(c, "new", time.Minute))
-	c.List(topazfall.ListPatch, []Entry{entry("j", topazfall.Ready)})
+	c.SetHold(true)
+	c.Submit(message(c, "new", time.Minute))
+	c.ApplyList(topazfall.ListPatch, []Entry{entry("j", topazfall.Ready)})
 	c.Sync()
-	require.False(t, dialling.Start(c.Now()), "it begins after the list may not be relied on")
-	c.Ended(dialling, topazfall.Superseded, topazfall.NoLoad)
-	c.Noted(Note{ID: "begun", From: begun.Host.ID, State: Over, Outcome: topazfall.Completed, Result: []byte("ok"),
+	require.False(t, dialling.TryStart(c.Now()), "it begins after the list may not be relied on")
+	c.RelayEnded(dialling, topazfall.NeverSent, topazfall.NoLoad)
+	c.PostCallback(Callback{ID: "begun", From: begun.Host.ID, State: Finished, Outcome: topazfall.Completed, Result: []byte("ok"),
 		Load: topazfall.NoLoad})
-	require.Equal(t, exchange.Served, (<-begun.Exchange.Answer()).Verdict)
-	c.List(topazfall.ListWhole,
+	require.Equal(t, exchange.Served, (<-begun.Exchange.Answer()).Result)
+	c.ApplyList(topazfall.ListSnapshot,
 		[]Entry{entry("h", topazfall.Ready), entry("i", topazfall.Ready), entry("j", topazfall.Ready)})
 	time.Sleep(100 * time.Millisecond) // the module's next looks at what waits
 	require.Empty(t, s.sent)
 
 	gate := make(chan struct{})
 	c.ops <- func() { <-gate }
-	c.Arrive(message(c, "newer", time.Minute))
-	c.List(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining), entry("i", topazfall.Gone)})
-	c.Hold(false)
+	c.Submit(message(c, "newer", time.Minute))
+	c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining), entry("i", topazfall.Gone)})
+	c.SetHold(false)
 	close(gate)
 	for range 2 {
 		r := <-s.sent
 		require.Equal(t, "j", r.Host.ID)
-		require.True(t, r.Start(c.Now()))
+		require.True(t, r.TryStart(c.Now()))
 	}
 }
 
 // A job for which no attempt was made is refused by the module once its time is lost, and not before.
 func TestHoldRefusesWhatCannotWait(t *testing.T) {
 	c, s := start(t, "h")
-	c.Hold(true)
+	c.SetHold(true)
 	x := message(c, "1", 300*time.Millisecond)
 	x.Hint = 50_000
 	came := time.Now()
-	c.Arrive(x)
-	require.Equal(t, exchange.Refused, (<-x.Answer()).Verdict)
+	c.Submit(x)
+	require.Equal(t, exchange.Refused, (<-x.Answer()).Result)
 	require.Greater(t, time.Since(came), 100*time.Millisecond, "a short hold would have cost nothing")
 	require.Empty(t, s.sent)
 	c.Sync()
-	require.Zero(t, c.InHand())
+	require.Zero(t, c.InFlight())
 }
 
 // tenants are named by single letters, with the letter as their quota.
@@ -471,8 +471,8 @@
 // whatever order they have now, also one that has gone or whose process has another order.
 func TestTenantsKeepTheirNumbers(t *testing.T) {
 	c, s := startWith(t, tenants("abc"), "h")
-	first := IndicesOf(&c.settings)
-	now := c.Renew(settings(tenants("dca")))
+	first := NewIndices(&c.settings)
+	now := c.UpdateSettings(settings(tenants("dca")))
 	require.Equal(t, map[string]int{"a": 0, "b": 1, "c": 2}, first.Tenants)
 	require.Equal(t, map[string]int{"a": 0, "b": 1, "c": 2, "d": 3}, now.Tenants)
 	require.Equal(t, []topazfall.Tenant{{Name: "a", Quota: 'a'}, {Name: "b"}, {Name: "c", Quota: 'c'},
@@ -480,12 +480,12 @@
 	for name, number := range now.Tenants {
 		x := message(c, name, time.Minute)
 		x.Tenant = number
-		c.Arrive(x)
+		c.Submit(x)
 		r := <-s.sent
-		require.True(t, r.Start(c.Now()))
-		r.Accept()
-		var begun Begun
-		require.True(t, c.HandOver(x, func(b Begun) error { begun = b; return nil }))
+		require.True(t, r.TryStart(c.Now()))
+		r.MarkAccepted()
+		var begun InFlightMessage
+		require.True(t, c.HandOver(x, func(b InFlightMessage) error { begun = b; return nil }))
 		to, _ := startWith(t, tenants("xcda"), "h")
 		y := to.Resume(begun, nil)
 		to.Sync()
@@ -500,16 +500,16 @@
 		x := message(c, "1", time.Minute) // by the settings before
 		next := settings(nil)
 		next.Classes[0].Repeat = now
-		next.Allowed.SecondCopies = true
-		c.Renew(next)
-		c.Arrive(x)
+		next.Allowed.HedgedRequests = true
+		c.UpdateSettings(next)
+		c.Submit(x)
 		<-s.sent
 		require.Equal(t, now == topazfall.Unsafe, x.Once)
-		require.Equal(t, now == topazfall.Unsafe, x.Own)
+		require.Equal(t, now == topazfall.Unsafe, x.FreshConnOnly)
 	}
 }
 
 // away is a client that has left.
 type away struct{}
 
-func (away) Left() bool { return true }
+func (away) Disconnected() bool { return true }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -10,17 +10,17 @@
 	"topazfall/internal/exchange"
 )
 
-// Legacy is what another process needs to go on in this one's place.
-type Legacy struct {
+// HandoverState is what another process needs to go on in this one's place.
+type HandoverState struct {
 	Known  []string // ids, the oldest first
 	Memory topazfall.Memory
 }
 
-// Legacy returns what there is now.
-func (c *Core) Legacy() Legacy {
-	l := make(chan Legacy, 1)
+// HandoverState returns what there is now.
+func (c *Core) HandoverState() HandoverState {
+	l := make(chan HandoverState, 1)
 	c.ops <- func() {
-		out := Legacy{Memory: c.balancer.Memory()}
+		out := HandoverState{Memory: c.balancer.Memory()}
 		for i := range uint64(remembered) {
 			if id := c.order[(c.number+1+i)%remembered]; id != "" {
 				out.Known = append(out.Known, id)
@@ -31,24 +31,24 @@
 	return <-l
 }
 
-// Inherit goes on with a legacy. The list that it speaks of must have come before.
-func (c *Core) Inherit(l Legacy) {
-	c.Learn(l.Known)
+// RestoreState goes on with a legacy. The list that it speaks of must have come before.
+func (c *Core) RestoreState(l HandoverState) {
+	c.AddKnownIDs(l.Known)
 	c.Sync() // the list is with the module
-	c.ops <- func() { c.balancer.Inherit(c.Now(), l.Memory) }
+	c.ops <- func() { c.balancer.Restore(c.Now(), l.Memory) }
 }
 
-// Begun is a message in hand that goes from one process to another.
-type Begun struct {
+// InFlightMessage is a message in hand that goes from one process to another.
+type InFlightMessage struct {
 	exchange.Message
 	ClassIs topazfall.Class // it may be gone from the settings
 	Of      string          // the tenant's name, if it has one
-	Relays  []BegunRelay
+	Relays  []InFlightRelay
 	Tries   []topazfall.Try
 }
 
-// BegunRelay is one of its relays.
-type BegunRelay struct {
+// InFlightRelay is one of its relays.
+type InFlightRelay struct {
 	Host, Addr       string
 	Sent, Begun, Due int64
 	Outcome          topazfall.Outcome
@@ -58,30 +58,30 @@
 // HandOver gives a message in hand away by means of to, and tells whether it is gone. One that is over is not, nor one
 // of which a relay is still between here and its host. As to is called from the dispatch goroutine, all that is told of
 // the message comes either before it or finds it no more.
-func (c *Core) HandOver(x *exchange.Exchange, to func(Begun) error) bool {
+func (c *Core) HandOver(x *exchange.Exchange, to func(InFlightMessage) error) bool {
 	gone := make(chan bool, 1)
 	c.ops <- func() { gone <- c.handOver(x, to) }
 	return <-gone
 }
 
-func (c *Core) handOver(x *exchange.Exchange, to func(Begun) error) bool {
-	if x.Over() || c.byNum[x.Number] != x {
+func (c *Core) handOver(x *exchange.Exchange, to func(InFlightMessage) error) bool {
+	if x.IsFinished() || c.byNum[x.Number] != x {
 		return false
 	}
-	b := Begun{Message: x.Message, ClassIs: c.classes[x.Class], Tries: c.balancer.Tries(x.Number)}
+	b := InFlightMessage{Message: x.Message, ClassIs: c.classes[x.Class], Tries: c.balancer.Tries(x.Number)}
 	if x.Tenant >= 0 {
 		b.Of = c.tenants[x.Tenant].Name
 	}
 	for _, r := range x.Relays {
-		if !r.Done && !r.Accepted() {
+		if !r.Done && !r.IsAccepted() {
 			return false
 		}
-		b.Relays = append(b.Relays, BegunRelay{r.Host.ID, r.Host.Addr, r.Sent, r.Begun, r.Due, r.Outcome, r.Done})
+		b.Relays = append(b.Relays, InFlightRelay{r.Host.ID, r.Host.Addr, r.Sent, r.StartedAt, r.Due, r.Outcome, r.Done})
 	}
 	if len(b.Tries) != len(b.Relays) || to(b) != nil { // what is queued for the module comes first
 		return false
 	}
-	c.finish(x, exchange.Answer{Verdict: exchange.Moved})
+	c.finish(x, exchange.Answer{Result: exchange.HandedOver})
 	for _, r := range x.Relays {
 		if !r.Done {
 			r.Done = true
@@ -96,9 +96,9 @@
 
 // Resume goes on with a message that another process has begun, and which a client waits for. It gets its final answer
 // here. If the client has left already, Gone is still to be told.
-func (c *Core) Resume(b Begun, client exchange.Client) *exchange.Exchange {
-	x := exchange.For(client, b.Message)
-	x.Look()
+func (c *Core) Resume(b InFlightMessage, client exchange.Client) *exchange.Exchange {
+	x := exchange.NewForClient(client, b.Message)
+	x.CheckDisconnected()
 	c.inHand.Add(1)
 	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
@@ -113,7 +113,7 @@
 		}
 		if c.byID[x.ID] != nil {
 			slog.Warn("moved", "id", x.ID, "error", "in hand already")
-			c.finish(x, exchange.Answer{Verdict: exchange.Failed})
+			c.finish(x, exchange.Answer{Result: exchange.Failed})
 			return
 		}
 		c.remember(x.ID)
@@ -121,14 +121,14 @@
 		c.byID[x.ID], c.byNum[x.Number] = x, x
 		for _, old := range b.Relays {
 			h := c.hosts[old.Host]
-			if h == nil || !h.Several && h.Addr != old.Addr {
+			if h == nil || !h.MultiAddress && h.Addr != old.Addr {
 				h = &exchange.Host{ID: old.Host, Addr: old.Addr}
 			}
-			r := x.Relay(h, old.Sent, old.Due)
-			r.Begun, r.Outcome, r.Done = old.Begun, old.Outcome, old.Done
+			r := x.AddRelay(h, old.Sent, old.Due)
+			r.StartedAt, r.Outcome, r.Done = old.Begun, old.Outcome, old.Done
 			r.Resume()
 			if r.Done && r.Outcome.NotRun() {
-				r.NeverRan()
+				r.MarkNeverRan()
 			}
 			if r.Done {
 				r.End()
@@ -144,8 +144,8 @@
 	return x
 }
 
-// Learn makes ids known that another process has had.
-func (c *Core) Learn(ids []string) {
+// AddKnownIDs makes ids known that another process has had.
+func (c *Core) AddKnownIDs(ids []string) {
 	c.ops <- func() {
 		for _, id := range ids {
 			if !c.known[id] {
@@ -162,8 +162,8 @@
 	*oldest, c.known[id] = id, true
 }
 
-// Replaced tells whether another process takes the new messages.
-func (c *Core) Replaced(by bool) {
+// SetReplaced tells whether another process takes the new messages.
+func (c *Core) SetReplaced(by bool) {
 	c.ops <- func() {
 		e := topazfall.Event{Kind: topazfall.Replaced}
 		if by {
