--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -26,12 +26,12 @@
 func TestFirstAttemptIsWrittenAfterItsCopy(t *testing.T) {
 	c, _ := startKeyed(t)
 	x := message(c, "1", time.Minute)
-	c.Arrive(x)
+	c.Submit(x)
 	c.Sync()
-	first, copied := x.Relays[0], x.Relay(&exchange.Host{ID: "i"}, c.Now(), x.Due)
+	first, copied := x.Relays[0], x.AddRelay(&exchange.Host{ID: "i"}, c.Now(), x.Due)
 	began := c.Now()
-	require.True(t, copied.Start(began))
-	require.False(t, first.Start(began+window))
+	require.True(t, copied.TryStart(began))
+	require.False(t, first.TryStart(began+window))
 	require.False(t, first.End(), "nothing of it was written")
 }
 
@@ -41,15 +41,15 @@
 		c, _ := startKeyed(t)
 		m := message(c, "1", time.Minute)
 		sent := c.Now() - window
-		begun := BegunRelay{Host: "h", Sent: sent, Due: m.Due}
+		begun := InFlightRelay{Host: "h", Sent: sent, Due: m.Due}
 		if neverRan {
 			begun.Done, begun.Outcome = true, topazfall.Saturated
 		}
-		x := c.Resume(Begun{Message: m.Message, ClassIs: keyed().Classes[0], Relays: []BegunRelay{begun},
+		x := c.Resume(InFlightMessage{Message: m.Message, ClassIs: keyed().Classes[0], Relays: []InFlightRelay{begun},
 			Tries: []topazfall.Try{{Worker: "h", Sent: sent, Done: neverRan, NotRun: neverRan}}}, nil)
 		c.Sync()
-		require.False(t, x.Over())
-		require.Equal(t, neverRan, x.Relay(&exchange.Host{ID: "i"}, c.Now(), x.Due).Start(c.Now()))
+		require.False(t, x.IsFinished())
+		require.Equal(t, neverRan, x.AddRelay(&exchange.Host{ID: "i"}, c.Now(), x.Due).TryStart(c.Now()))
 	}
 }
 
@@ -57,10 +57,10 @@
 func TestSecondStartOfUnsafeRequest(t *testing.T) {
 	c, s := start(t, "h", "i")
 	x := message(c, "1", time.Minute)
-	c.Arrive(x)
+	c.Submit(x)
 	first := <-s.sent
-	require.True(t, first.Start(c.Now()))
-	require.False(t, x.Relay(&exchange.Host{ID: "i"}, c.Now(), x.Due).Start(c.Now()))
-	c.Ended(first, topazfall.Saturated, topazfall.NoLoad)
-	require.True(t, (<-s.sent).Start(c.Now()))
+	require.True(t, first.TryStart(c.Now()))
+	require.False(t, x.AddRelay(&exchange.Host{ID: "i"}, c.Now(), x.Due).TryStart(c.Now()))
+	c.RelayEnded(first, topazfall.Saturated, topazfall.NoLoad)
+	require.True(t, (<-s.sent).TryStart(c.Now()))
 }
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -11,28 +11,28 @@
 func (c *Core) class(x *exchange.Exchange) {
 	k := &c.classes[x.Class]
 	x.Once = x.Once || k.Repeat == topazfall.Unsafe
-	x.Own = k.Repeat != topazfall.Safe || !c.settings.Allowed.SecondCopies
-	x.LimitRepeats(c.repeats(k))
+	x.FreshConnOnly = k.Repeat != topazfall.Safe || !c.settings.Allowed.HedgedRequests
+	x.SetRepeatLimit(c.repeats(k))
 }
 
 // repeats says when an attempt of a class may follow another that may have run. As in the module a repeat of a keyed
 // class must begin two ticks before its window ends.
-func (c *Core) repeats(k *topazfall.Class) exchange.Repeats {
+func (c *Core) repeats(k *topazfall.Class) exchange.RepeatLimit {
 	switch k.Repeat {
 	case topazfall.Unsafe:
-		return exchange.Repeats{Bounded: true}
+		return exchange.RepeatLimit{Bounded: true}
 	case topazfall.Keyed:
-		return exchange.Repeats{Bounded: true, Within: k.Window - 2*c.settings.Tick}
+		return exchange.RepeatLimit{Bounded: true, Within: k.Window - 2*c.settings.Tick}
 	}
-	return exchange.Repeats{}
+	return exchange.RepeatLimit{}
 }
 
 // Indices say by which number classes and tenants go here, by name. A name keeps its number for as long as the process
 // runs: what is read by the settings before, and what is in hand, is still of the same class and tenant.
 type Indices struct{ Classes, Tenants map[string]int }
 
-// IndicesOf numbers the classes and tenants of a first settings.
-func IndicesOf(s *topazfall.Settings) Indices { return number(s.Classes, s.Tenants) }
+// NewIndices numbers the classes and tenants of a first settings.
+func NewIndices(s *topazfall.Settings) Indices { return number(s.Classes, s.Tenants) }
 
 func number(classes []topazfall.Class, tenants []topazfall.Tenant) Indices {
 	n := Indices{map[string]int{}, map[string]int{}}
@@ -45,11 +45,11 @@
 	return n
 }
 
-// Renew goes on with other settings.
-func (c *Core) Renew(s topazfall.Settings) Indices {
+// UpdateSettings goes on with other settings.
+func (c *Core) UpdateSettings(s topazfall.Settings) Indices {
 	done := make(chan Indices)
 	c.ops <- func() {
-		c.settings, c.tenants = s, topazfall.AppendTenants(c.tenants, s.Tenants)
+		c.settings, c.tenants = s, topazfall.MergeTenants(c.tenants, s.Tenants)
 		c.addClasses(s.Classes)
 		done <- number(c.classes, c.tenants)
 	}
@@ -58,7 +58,7 @@
 
 // addClasses makes classes known, to the module as well.
 func (c *Core) addClasses(now []topazfall.Class) {
-	c.classes = topazfall.AppendClasses(c.classes, now)
+	c.classes = topazfall.MergeClasses(c.classes, now)
 	for _, k := range now {
 		c.metrics.AddClasses(k.Name)
 	}
--- a/internal/exchange/starts.go
+++ b/internal/exchange/starts.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Repeats says how long after the first attempt that may have run another one may begin.
-type Repeats struct {
+// RepeatLimit says how long after the first attempt that may have run another one may begin.
+type RepeatLimit struct {
 	Bounded bool  // else at any time
 	Within  int64 // microseconds; 0 or less permits no repeat at all
 }
@@ -15,7 +15,7 @@
 // on when they were written, which may be much later than they were decided on: a connection may take long to come up.
 type starts struct {
 	mu      sync.Mutex
-	repeats Repeats
+	repeats RepeatLimit
 	begun   []begun
 }
 
@@ -25,8 +25,8 @@
 	at      int64
 }
 
-// LimitRepeats sets how attempts may follow each other. Of several limits the narrowest counts.
-func (x *Exchange) LimitRepeats(to Repeats) {
+// SetRepeatLimit sets how attempts may follow each other. Of several limits the narrowest counts.
+func (x *Exchange) SetRepeatLimit(to RepeatLimit) {
 	x.starts.mu.Lock()
 	defer x.starts.mu.Unlock()
 	if !to.Bounded || x.starts.repeats.Bounded && x.starts.repeats.Within <= to.Within {
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -48,7 +48,7 @@
 	half  atomic.Int64 // of those, what unproven connections leave to the others
 
 	// Once set, a connection goes there as soon as it is between requests. It is not closed for its client then.
-	elsewhere atomic.Pointer[func(Kept) error]
+	elsewhere atomic.Pointer[func(HandoverConn) error]
 	going     chan struct{} // closed then
 
 	mu       sync.Mutex
@@ -139,16 +139,16 @@
 	}
 }
 
-// Kept is a connection between two requests, for another process to go on with.
-type Kept struct {
+// HandoverConn is a connection between two requests, for another process to go on with.
+type HandoverConn struct {
 	Conn           syscall.Conn
 	Proven, Client bool
-	Begun          *dispatch.Begun // the message in hand on it; nil for none
-	More           bool            // its client has sent more before the answer
+	Begun          *dispatch.InFlightMessage // the message in hand on it; nil for none
+	More           bool                      // its client has sent more before the answer
 }
 
 // passOn makes all connections go elsewhere, each as soon as it is between requests.
-func (l *listener) passOn(to func(Kept) error) {
+func (l *listener) passOn(to func(HandoverConn) error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.elsewhere.Swap(&to) == nil {
@@ -192,7 +192,7 @@
 		return false
 	}
 	c.l.mu.Lock()
-	k := Kept{Conn: sc, Proven: c.isProven, Client: c.client}
+	k := HandoverConn{Conn: sc, Proven: c.isProven, Client: c.client}
 	c.l.mu.Unlock()
 	return (*to)(k) == nil
 }
--- a/internal/frontend/departure_test.go
+++ b/internal/frontend/departure_test.go
@@ -88,11 +88,11 @@
 					waitForClosing(t, l.last.Load())
 					if further {
 						require.True(t, r.Exchange.Relays[0] == r)
-						d.core.Ended(r, topazfall.Saturated, topazfall.NoLoad)
+						d.core.RelayEnded(r, topazfall.Saturated, topazfall.NoLoad)
 						r = d.next(d.sent, "sent")
 					}
-					require.False(t, r.Start(d.core.Now()), "an attempt began though the closing was here")
-					d.core.Ended(r, topazfall.Superseded, topazfall.NoLoad)
+					require.False(t, r.TryStart(d.core.Now()), "an attempt began though the closing was here")
+					d.core.RelayEnded(r, topazfall.NeverSent, topazfall.NoLoad)
 					d.over()
 					require.Empty(t, d.sent, "further attempts are not even prepared")
 					close(l.release)
@@ -118,16 +118,16 @@
 				d.side.ln.mu.Lock()
 				message := exchange.Message{ID: "m", Method: "POST", Path: "/api", Tenant: -1, Slots: 1,
 					Arrived: d.core.Now(), Due: d.core.Now() + 60e6}
-				d.side.Continue(nc, dispatch.Begun{Message: message, ClassIs: topazfall.Class{Name: "job"}}, false)
+				d.side.ResumeMessage(nc, dispatch.InFlightMessage{Message: message, ClassIs: topazfall.Class{Name: "job"}}, false)
 				r := d.next(d.sent, "sent")
 				_, err = c.Write(make([]byte, ahead))
 				require.NoError(t, err)
 				require.NoError(t, leave(c.(*net.TCPConn)))
 				waitForClosing(t, nc.(*net.TCPConn))
-				began := r.Start(d.core.Now())
+				began := r.TryStart(d.core.Now())
 				d.side.ln.mu.Unlock()
 				require.False(t, began)
-				d.core.Ended(r, topazfall.Superseded, topazfall.NoLoad)
+				d.core.RelayEnded(r, topazfall.NeverSent, topazfall.NoLoad)
 				d.over()
 				require.Empty(t, d.sent)
 			})
@@ -140,19 +140,19 @@
 func TestPresence(t *testing.T) {
 	_, c, client := pair(t)
 	p := &presence{conn: c.Conn}
-	require.False(t, p.Left())
+	require.False(t, p.Disconnected())
 	require.False(t, p.release())
 	p.retain()
 	_, err := client.Write([]byte("ab"))
 	require.NoError(t, err)
 	require.Eventually(t, c.unread, patience, time.Millisecond)
-	require.False(t, p.Left())
+	require.False(t, p.Disconnected())
 	require.False(t, c.unread())
 	require.True(t, p.release(), "the connection is of no further use")
 	_, err = client.Write([]byte("next"))
 	require.NoError(t, err)
 	require.Eventually(t, c.unread, patience, time.Millisecond)
-	require.False(t, p.Left())
+	require.False(t, p.Disconnected())
 	require.True(t, c.unread(), "the next request is left alone")
 
 	_, c, client = pair(t)
@@ -160,7 +160,7 @@
 	client.Close()
 	waitForClosing(t, c.Conn.(*net.TCPConn))
 	p.release()
-	require.True(t, p.Left())
+	require.True(t, p.Disconnected())
 }
 
 // A message comes in pieces, and its client leaves after the last one, with or without more bytes behind it. Its reader
@@ -198,7 +198,7 @@
 					require.NoError(t, leave(c))
 					waitForClosing(t, l.last.Load())
 					close(l.release)
-					require.Eventually(t, func() bool { return d.side.Conns() == 0 }, patience, time.Millisecond)
+					require.Eventually(t, func() bool { return d.side.OpenConns() == 0 }, patience, time.Millisecond)
 					d.over()
 					require.Empty(t, d.sent)
 				})
@@ -252,8 +252,8 @@
 			} else {
 				waitForClosing(t, l.last.Load())
 			}
-			require.False(t, r.Start(d.core.Now()))
-			d.core.Ended(r, topazfall.Superseded, topazfall.NoLoad)
+			require.False(t, r.TryStart(d.core.Now()))
+			d.core.RelayEnded(r, topazfall.NeverSent, topazfall.NoLoad)
 			d.over()
 			require.Empty(t, d.sent)
 			close(l.release)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -35,23 +35,23 @@
 	lead          = 5000                  // microseconds by which an answer leaves before the client's own deadline
 )
 
-// CallBacks takes what hosts tell of jobs.
-type CallBacks interface {
-	CallBack(body []byte) (taken bool, err error)
+// CallbackHandler takes what hosts tell of jobs.
+type CallbackHandler interface {
+	HandleCallback(body []byte) (taken bool, err error)
 }
 
 // Options bound what the north side uses.
 type Options struct {
-	Conns    int // connections at a time
-	Messages int // messages in hand, each with its connection; the rest are for call-backs
-	Large    int // requests of more than 16 KiB that are read or in hand
-	Metrics  *metrics.Metrics
+	MaxConns         int // connections at a time
+	MaxMessages      int // messages in hand, each with its connection; the rest are for call-backs
+	MaxLargeRequests int // requests of more than 16 KiB that are read or in hand
+	Metrics          *metrics.Metrics
 }
 
-// Side is the north side.
-type Side struct {
+// Server is the north side.
+type Server struct {
 	core    *dispatch.Core
-	back    CallBacks
+	back    CallbackHandler
 	o       Options
 	tables  atomic.Pointer[tables]
 	server  *fasthttp.Server
@@ -73,8 +73,8 @@
 	tenants map[string]int
 }
 
-// Renew makes the settings hold for messages that come from now on; are has the number of each class and tenant.
-func (n *Side) Renew(s *topazfall.Settings, are dispatch.Indices) {
+// ApplySettings makes the settings hold for messages that come from now on; are has the number of each class and tenant.
+func (n *Server) ApplySettings(s *topazfall.Settings, are dispatch.Indices) {
 	t := &tables{classes: map[string]int{}, once: map[string]bool{}, tenants: map[string]int{}}
 	for _, c := range s.Classes {
 		t.classes[c.Name], t.once[c.Name] = are.Classes[c.Name], c.Repeat == topazfall.Unsafe
@@ -86,14 +86,14 @@
 }
 
 // New returns a north side that serves what comes in on ln: messages go to core and call-backs to back.
-func New(ln net.Listener, core *dispatch.Core, back CallBacks, s *topazfall.Settings, o Options) *Side {
-	n := &Side{core: core, back: back, o: o, ln: listen(ln, o.Conns, o.Large)}
-	n.most.Store(int64(o.Messages))
-	n.Renew(s, dispatch.IndicesOf(s))
+func New(ln net.Listener, core *dispatch.Core, back CallbackHandler, s *topazfall.Settings, o Options) *Server {
+	n := &Server{core: core, back: back, o: o, ln: listen(ln, o.MaxConns, o.MaxLargeRequests)}
+	n.most.Store(int64(o.MaxMessages))
+	n.ApplySettings(s, dispatch.NewIndices(s))
 	n.server = &fasthttp.Server{
 		Handler: n.handle, ErrorHandler: malformed, Logger: logger{},
 		// The listener bounds the connections; one that it drops may take a moment to end.
-		Concurrency: 2*o.Conns + 16, ReduceMemoryUsage: true, MaxRequestBodySize: largestBody,
+		Concurrency: 2*o.MaxConns + 16, ReduceMemoryUsage: true, MaxRequestBodySize: largestBody,
 		ReadBufferSize: largestHeader,
 		ReadTimeout:    readTime, WriteTimeout: writeTime, IdleTimeout: idleTime, CloseOnShutdown: true,
 		// What goes on to a host goes on as it came.
@@ -104,44 +104,44 @@
 }
 
 // Serve serves until Close.
-func (n *Side) Serve() error { return n.server.Serve(n.ln) }
+func (n *Server) Serve() error { return n.server.Serve(n.ln) }
 
 // SetReady makes /ready answer 200.
-func (n *Side) SetReady() { n.ready.Store(true) }
+func (n *Server) SetReady() { n.ready.Store(true) }
 
-// Leave makes every further answer the last on its connection. All that comes is still served.
-func (n *Side) Leave() { n.leaving.Store(true) }
+// StartDrain makes every further answer the last on its connection. All that comes is still served.
+func (n *Server) StartDrain() { n.leaving.Store(true) }
 
-// Ready tells whether clients are taken.
-func (n *Side) Ready() bool { return n.ready.Load() && !n.leaving.Load() }
+// IsReady tells whether clients are taken.
+func (n *Server) IsReady() bool { return n.ready.Load() && !n.leaving.Load() }
 
-// SetBounds changes the bounds of the options.
-func (n *Side) SetBounds(o Options) {
-	n.most.Store(int64(o.Messages))
-	n.ln.bound(o.Conns, o.Large)
+// SetLimits changes the bounds of the options.
+func (n *Server) SetLimits(o Options) {
+	n.most.Store(int64(o.MaxMessages))
+	n.ln.bound(o.MaxConns, o.MaxLargeRequests)
 }
 
-// Others sets whom a call-back goes to whose message is not in hand here. An error says that it could not be told.
-func (n *Side) Others(tell func(body []byte) error) { n.others.Store(&tell) }
+// SetCallbackForwarder sets whom a call-back goes to whose message is not in hand here. An error says that it could not be told.
+func (n *Server) SetCallbackForwarder(tell func(body []byte) error) { n.others.Store(&tell) }
 
-// Conns is the number of open connections, Busy that of those which have begun a request.
-func (n *Side) Conns() int { return n.ln.count() }
+// OpenConns is the number of open connections, Busy that of those which have begun a request.
+func (n *Server) OpenConns() int { return n.ln.count() }
 
-// Busy is described with Conns.
-func (n *Side) Busy() int { return n.ln.busy() }
+// BusyConns is described with Conns.
+func (n *Server) BusyConns() int { return n.ln.busy() }
 
-// Pause leaves the accepting to another process on the same socket, and closes unproven connections beyond so many.
-func (n *Side) Pause(most int) {
+// PauseAccepting leaves the accepting to another process on the same socket, and closes unproven connections beyond so many.
+func (n *Server) PauseAccepting(most int) {
 	n.ln.pause()
 	n.ln.trim(most)
 }
 
-// Resume accepts again.
-func (n *Side) Resume() { n.ln.resume() }
+// ResumeAccepting accepts again.
+func (n *Server) ResumeAccepting() { n.ln.resume() }
 
-// PassOn hands every connection to another process as soon as it is between requests. It ends the taking in, but not
+// StartHandover hands every connection to another process as soon as it is between requests. It ends the taking in, but not
 // that of what has begun to come.
-func (n *Side) PassOn(to func(Kept) error) {
+func (n *Server) StartHandover(to func(HandoverConn) error) {
 	n.passing.Store(true)
 	n.taking.Lock()
 	n.shut = false
@@ -150,14 +150,14 @@
 	n.ln.passOn(to)
 }
 
-// KeepOn ends the handing over.
-func (n *Side) KeepOn() {
+// StopHandover ends the handing over.
+func (n *Server) StopHandover() {
 	n.passing.Store(false)
 	n.ln.keepOn()
 }
 
-// Adopt goes on with a connection of another process.
-func (n *Side) Adopt(nc net.Conn, proven, client bool) {
+// AdoptConn goes on with a connection of another process.
+func (n *Server) AdoptConn(nc net.Conn, proven, client bool) {
 	c := n.ln.admit(nc)
 	if c == nil {
 		return
@@ -169,9 +169,9 @@
 	n.server.ServeConn(c)
 }
 
-// Shut ends the taking in: idle clients are sent elsewhere, and what still comes is refused before anything
+// StopAdmitting ends the taking in: idle clients are sent elsewhere, and what still comes is refused before anything
 // is done for it. Call-backs are taken as before. What was taken before is in hand when it returns.
-func (n *Side) Shut() {
+func (n *Server) StopAdmitting() {
 	n.taking.Lock()
 	n.shut = true
 	n.taking.Unlock()
@@ -180,7 +180,7 @@
 
 // Close ends the listening and the idle connections, and waits for the busy ones. What the system has accepted and
 // nobody has taken yet would be reset by that, and is served first.
-func (n *Side) Close(ctx context.Context) error {
+func (n *Server) Close(ctx context.Context) error {
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -197,7 +197,7 @@
 	return n.server.ShutdownWithContext(ctx)
 }
 
-func (n *Side) handle(ctx *fasthttp.RequestCtx) {
+func (n *Server) handle(ctx *fasthttp.RequestCtx) {
 	c := ctx.Conn().(*conn)
 	fault := misframed(&ctx.Request, c.got)
 	if c.stray {
@@ -219,7 +219,7 @@
 		if !n.method(ctx, fasthttp.MethodPost) {
 			return
 		}
-		taken, err := n.back.CallBack(ctx.Request.Body())
+		taken, err := n.back.HandleCallback(ctx.Request.Body())
 		if err != nil {
 			if faults.allow() {
 				slog.Warn("callback", "error", err)
@@ -237,7 +237,7 @@
 		if !n.method(ctx, fasthttp.MethodGet) {
 			return
 		}
-		if !n.Ready() {
+		if !n.IsReady() {
 			say(ctx, fasthttp.StatusServiceUnavailable, "not ready")
 		}
 	default:
@@ -245,7 +245,7 @@
 	}
 }
 
-func (n *Side) method(ctx *fasthttp.RequestCtx, want string) bool {
+func (n *Server) method(ctx *fasthttp.RequestCtx, want string) bool {
 	if got := string(ctx.Method()); got == want || got == fasthttp.MethodHead && want == fasthttp.MethodGet {
 		return true
 	}
@@ -300,16 +300,16 @@
 }
 
 // message takes in one message and writes its final answer.
-func (n *Side) message(ctx *fasthttp.RequestCtx, c *conn) {
-	m, fault := n.read(&ctx.Request, n.core.Of(c.first))
+func (n *Server) message(ctx *fasthttp.RequestCtx, c *conn) {
+	m, fault := n.read(&ctx.Request, n.core.FromTime(c.first))
 	if fault != "" {
 		reject(ctx, fasthttp.StatusBadRequest, fault)
 		return
 	}
 	c.presence = &presence{conn: c.Conn}
-	left := c.presence.Left() // such a message may have lain in the socket for long
-	if !c.prove(true) {       // its connection had to go for another: nothing is done for it
-		n.o.Metrics.End(m.Class, metrics.Declined)
+	left := c.presence.Disconnected() // such a message may have lain in the socket for long
+	if !c.prove(true) {               // its connection had to go for another: nothing is done for it
+		n.o.Metrics.CountJob(m.Class, metrics.Declined)
 		ctx.SetConnectionClose()
 		say(ctx, fasthttp.StatusServiceUnavailable, "not taken")
 		return
@@ -323,9 +323,9 @@
 	defer n.inHand.Add(-1)
 	// Beyond the clients' share, connections are kept for the hosts: a call-back that finds none is an
 	// answer lost.
-	x := n.take(exchange.For(c.presence, m))
+	x := n.take(exchange.NewForClient(c.presence, m))
 	if x == nil {
-		n.o.Metrics.End(m.Class, metrics.Declined)
+		n.o.Metrics.CountJob(m.Class, metrics.Declined)
 		ctx.SetConnectionClose()
 		say(ctx, fasthttp.StatusServiceUnavailable, "not taken")
 		return
@@ -337,19 +337,19 @@
 }
 
 // take gives a message to the core, or returns nil if none is taken any more, or at the moment.
-func (n *Side) take(x *exchange.Exchange) *exchange.Exchange {
+func (n *Server) take(x *exchange.Exchange) *exchange.Exchange {
 	n.taking.RLock()
 	defer n.taking.RUnlock()
 	if n.inHand.Add(1) > n.most.Load() || n.shut {
 		return nil
 	}
-	n.core.Arrive(x)
+	n.core.Submit(x)
 	return x
 }
 
 // conclude waits for the final answer to a message and puts it into ctx. It tells whether there is one: if not,
 // another process goes on with the message and its connection.
-func (n *Side) conclude(ctx *fasthttp.RequestCtx, c *conn, x *exchange.Exchange, more bool) bool {
+func (n *Server) conclude(ctx *fasthttp.RequestCtx, c *conn, x *exchange.Exchange, more bool) bool {
 	gone, going, retry := c.watch(), n.ln.goes(), (<-chan time.Time)(nil)
 	for answered := false; !answered; {
 		select {
@@ -360,7 +360,7 @@
 		case <-gone:
 			// Should the client have closed one direction only, it still gets an answer, and no empty 200: that
 			// would be a result that no host made.
-			n.core.Gone(x)
+			n.core.ClientDisconnected(x)
 			slog.Info("gone", "id", x.ID)
 			ctx.SetConnectionClose()
 			write(ctx, x, <-x.Answer(), c.first)
@@ -384,11 +384,11 @@
 	return true
 }
 
-func (n *Side) handOver(c *conn, x *exchange.Exchange, more bool) bool {
+func (n *Server) handOver(c *conn, x *exchange.Exchange, more bool) bool {
 	to, sc := n.ln.elsewhere.Load(), c.socket()
-	return to != nil && sc != nil && n.core.HandOver(x, func(b dispatch.Begun) error {
+	return to != nil && sc != nil && n.core.HandOver(x, func(b dispatch.InFlightMessage) error {
 		more = c.presence.release() || more
-		err := (*to)(Kept{Conn: sc, Proven: true, Client: true, Begun: &b, More: more})
+		err := (*to)(HandoverConn{Conn: sc, Proven: true, Client: true, Begun: &b, More: more})
 		if err != nil {
 			c.presence.retain()
 		}
@@ -396,20 +396,20 @@
 	})
 }
 
-// Continue goes on with a message that another process has begun, and with its connection.
-func (n *Side) Continue(nc net.Conn, b dispatch.Begun, more bool) {
+// ResumeMessage goes on with a message that another process has begun, and with its connection.
+func (n *Server) ResumeMessage(nc net.Conn, b dispatch.InFlightMessage, more bool) {
 	p := &presence{conn: nc}
 	x := n.core.Resume(b, p) // first: what comes over the link next may be about it
 	go func() {
 		c := n.ln.admit(nc)
 		if c == nil { // all places are taken by busy connections
-			n.core.Gone(x)
+			n.core.ClientDisconnected(x)
 			return
 		}
 		c.presence = p
 		track(c, fasthttp.StateActive)
 		c.prove(true)
-		c.first = n.core.At(x.Arrived)
+		c.first = n.core.ToTime(x.Arrived)
 		n.inHand.Add(1)
 		defer n.inHand.Add(-1)
 		var ctx fasthttp.RequestCtx
@@ -436,37 +436,37 @@
 }
 
 func write(ctx *fasthttp.RequestCtx, x *exchange.Exchange, a exchange.Answer, arrived time.Time) {
-	switch a.Verdict {
+	switch a.Result {
 	case exchange.Served:
 		ctx.SetBody(a.Body)
 	case exchange.Refused:
-		if a.After > 0 {
-			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(float64(a.After)/1e6, 'f', 3, 64))
+		if a.RetryAfter > 0 {
+			ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/1e6, 'f', 3, 64))
 		}
 		say(ctx, fasthttp.StatusServiceUnavailable, "refused")
 	case exchange.Failed:
 		say(ctx, fasthttp.StatusBadGateway, "failed")
 	case exchange.TimedOut:
 		say(ctx, fasthttp.StatusGatewayTimeout, "timed out")
-	case exchange.Twice:
+	case exchange.Duplicate:
 		reject(ctx, fasthttp.StatusConflict, "a message with this id is in hand")
 	}
-	if a.Verdict == exchange.Twice && !faults.allow() { // whoever repeats ids can do so at any speed
+	if a.Result == exchange.Duplicate && !faults.allow() { // whoever repeats ids can do so at any speed
 		return
 	}
 	slog.LogAttrs(context.Background(), slog.LevelInfo, "answer", slog.String("id", x.ID), slog.Int("class", x.Class),
-		slog.Int("tenant", x.Tenant), slog.Int("status", ctx.Response.StatusCode()), slog.Int64("after_us", a.After),
+		slog.Int("tenant", x.Tenant), slog.Int("status", ctx.Response.StatusCode()), slog.Int64("after_us", a.RetryAfter),
 		slog.Int64("took_us", time.Since(arrived).Microseconds()), slog.Int64("hint_us", x.Hint))
 }
 
 // read copies a message that arrived at that time out of a request; fault says what is wrong with it. The
 // client's wait began before the first byte came, so that a slow body takes from it.
-func (n *Side) read(r *fasthttp.Request, arrived int64) (m exchange.Message, fault string) {
+func (n *Server) read(r *fasthttp.Request, arrived int64) (m exchange.Message, fault string) {
 	m = exchange.Message{Method: string(r.Header.Method()), Path: string(r.Header.RequestURI()),
 		Arrived: arrived, Class: -1, Tenant: -1, Slots: 1, Body: append([]byte(nil), r.Body()...)}
 	wait, t := time.Duration(-1), n.tables.Load()
 	for name, value := range r.Header.All() {
-		f := exchange.Field{Name: string(name), Value: string(value)}
+		f := exchange.HeaderField{Name: string(name), Value: string(value)}
 		m.Fields = append(m.Fields, f)
 		switch exchange.Lower(f.Name) {
 		case "x-request-id":
@@ -517,7 +517,7 @@
 func cookieKey(cookies string) uint64 {
 	for pair := range strings.SplitSeq(cookies, ";") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name == "key" && value != "" {
-			return affinity.Key(value)
+			return affinity.HashKey(value)
 		}
 	}
 	return 0
--- a/internal/frontend/leaving_test.go
+++ b/internal/frontend/leaving_test.go
@@ -32,23 +32,23 @@
 
 func (h hosts) Send(r *exchange.Relay) {
 	if h.eager.Load() {
-		h.began <- r.Start(r.Sent)
+		h.began <- r.TryStart(r.Sent)
 	}
 	h.sent <- r
 }
-func (h hosts) CallOff(r *exchange.Relay)             { r.End(); h.off <- r }
-func (h hosts) Probe(*exchange.Host)                  {}
-func (h hosts) Readdress(string, []addresses.Address) {}
-func (h hosts) Follow()                               {}
-func (h hosts) Fetch()                                {}
-func (h hosts) CallBack([]byte) (bool, error)         { return false, nil }
+func (h hosts) Cancel(r *exchange.Relay)                 { r.End(); h.off <- r }
+func (h hosts) Probe(*exchange.Host)                     {}
+func (h hosts) SetAddresses(string, []addresses.Address) {}
+func (h hosts) Follow()                                  {}
+func (h hosts) Fetch()                                   {}
+func (h hosts) HandleCallback([]byte) (bool, error)      { return false, nil }
 
 // dispatcher is a north side on loopback with its core.
 type dispatcher struct {
 	*testing.T
 	hosts
 	core *dispatch.Core
-	side *Side
+	side *Server
 	addr string
 }
 
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	d := &dispatcher{T: t, core: core, addr: ln.Addr().String(),
 		hosts: hosts{make(chan *exchange.Relay, 9), make(chan *exchange.Relay, 9), &atomic.Bool{}, make(chan bool, 9)}}
-	d.side = New(ln, core, d.hosts, &s, Options{Conns: 9, Messages: 9, Large: 9, Metrics: f})
+	d.side = New(ln, core, d.hosts, &s, Options{MaxConns: 9, MaxMessages: 9, MaxLargeRequests: 9, Metrics: f})
 	go core.Run(d.hosts, d.hosts)
 	go d.side.Serve()
 	t.Cleanup(func() {
@@ -84,7 +84,7 @@
 	for _, n := range names {
 		entries = append(entries, dispatch.Entry{Addr: "127.0.0.1:1", Worker: topazfall.Worker{ID: n, State: state}})
 	}
-	d.core.List(topazfall.ListWhole, entries)
+	d.core.ApplyList(topazfall.ListSnapshot, entries)
 	d.core.Sync()
 }
 
@@ -111,7 +111,7 @@
 
 // over waits until nothing is in hand.
 func (d *dispatcher) over() {
-	require.Eventually(d, func() bool { return d.core.InHand() == 0 }, patience, time.Millisecond,
+	require.Eventually(d, func() bool { return d.core.InFlight() == 0 }, patience, time.Millisecond,
 		"a message stays in hand")
 	d.core.Sync() // what its end has led to is done as well
 	d.core.Sync()
@@ -177,7 +177,7 @@
 				require.NoError(t, err)
 				require.NoError(t, leave(c))
 				close(l.on)
-				require.Eventually(t, func() bool { return l.accepted.Load() == 1 && d.side.Conns() == 0 }, patience,
+				require.Eventually(t, func() bool { return l.accepted.Load() == 1 && d.side.OpenConns() == 0 }, patience,
 					time.Millisecond)
 				d.over()
 				require.Empty(t, d.sent)
@@ -203,8 +203,8 @@
 			_, err = nc.Read(make([]byte, 1))
 			require.Error(t, err, "its leaving is here")
 			d.side.ln.mu.Lock() // nobody watches the connection before the core has the message
-			d.side.Continue(nc,
-				dispatch.Begun{Message: exchange.Message{ID: "m", Method: "POST", Path: "/api", Tenant: -1, Slots: 1,
+			d.side.ResumeMessage(nc,
+				dispatch.InFlightMessage{Message: exchange.Message{ID: "m", Method: "POST", Path: "/api", Tenant: -1, Slots: 1,
 					Arrived: d.core.Now(), Due: d.core.Now() + 60e6}, ClassIs: topazfall.Class{Name: "job"}}, false)
 			d.core.Sync()
 			d.core.Sync() // what the message has led to is done as well
@@ -224,7 +224,7 @@
 		r := d.next(d.sent, "sent")
 		leave(c)
 		require.Same(t, r, d.next(d.off, "called off"))
-		require.False(t, r.Start(d.core.Now()))
+		require.False(t, r.TryStart(d.core.Now()))
 		d.over()
 		require.Empty(t, d.sent)
 	})
@@ -235,7 +235,7 @@
 	everyWay(t, func(t *testing.T, leave func(*net.TCPConn)) {
 		d := serving(t)
 		c := d.message()
-		require.Eventually(t, func() bool { return d.core.InHand() == 1 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, patience, time.Millisecond)
 		leave(c)
 		d.over()
 		d.list(topazfall.Ready, "a")
@@ -251,7 +251,7 @@
 		r := d.next(d.sent, "sent")
 		leave(c)
 		require.Same(t, r, d.next(d.off, "called off"))
-		d.core.Ended(r, topazfall.Saturated, topazfall.NoLoad) // what came while it left
+		d.core.RelayEnded(r, topazfall.Saturated, topazfall.NoLoad) // what came while it left
 		d.over()
 		require.Empty(t, d.sent)
 	})
@@ -265,12 +265,12 @@
 			everyWay(t, func(t *testing.T, leave func(*net.TCPConn)) {
 				old, young := serving(t), serving(t) // no host is listed: the message waits
 				c := old.message()
-				require.Eventually(t, func() bool { return old.core.InHand() == 1 }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return old.core.InFlight() == 1 }, patience, time.Millisecond)
 				handed := make(chan struct{})
 				if when == "before" {
 					go leave(c)
 				}
-				old.side.PassOn(func(k Kept) error {
+				old.side.StartHandover(func(k HandoverConn) error {
 					if k.Begun == nil {
 						return net.ErrClosed
 					}
@@ -278,7 +278,7 @@
 					if when == "between" {
 						go leave(c) // what it sends ahead is read by whoever has the connection
 					}
-					young.side.Continue(nc, *k.Begun, k.More)
+					young.side.ResumeMessage(nc, *k.Begun, k.More)
 					close(handed)
 					return nil
 				})
@@ -318,13 +318,13 @@
 		d := serving(t, "a", "b")
 		c := d.message()
 		r := d.next(d.sent, "sent")
-		d.side.PassOn(func(k Kept) error {
+		d.side.StartHandover(func(k HandoverConn) error {
 			require.Nil(t, k.Begun, "handed over")
 			return net.ErrClosed
 		})
 		leave(c)
 		require.Same(t, r, d.next(d.off, "called off"))
-		require.False(t, r.Start(d.core.Now()))
+		require.False(t, r.TryStart(d.core.Now()))
 		d.over()
 		require.Empty(t, d.sent)
 	})
@@ -337,7 +337,7 @@
 	d.side.taking.RLock() // as whoever takes one
 	shut := make(chan struct{})
 	go func() {
-		d.side.Shut()
+		d.side.StopAdmitting()
 		close(shut)
 	}()
 	select {
@@ -351,12 +351,12 @@
 	d = serving(t, "a")
 	d.side.taking.Lock() // as Shut
 	c := d.message()
-	require.Eventually(t, func() bool { return d.side.Busy() == 1 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return d.side.BusyConns() == 1 }, patience, time.Millisecond)
 	begin := time.Now()
-	for time.Since(begin) < 200*time.Millisecond && d.core.InHand() == 0 {
+	for time.Since(begin) < 200*time.Millisecond && d.core.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	taken := d.core.InHand()
+	taken := d.core.InFlight()
 	d.side.shut = true
 	d.side.taking.Unlock()
 	require.Zero(t, taken, "it was taken while nothing may be")
@@ -364,7 +364,7 @@
 	answer, err := bufio.NewReader(c).ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, answer, " 503 ")
-	require.Zero(t, d.core.InHand())
+	require.Zero(t, d.core.InFlight())
 	require.Empty(t, d.sent)
 }
 
@@ -374,7 +374,7 @@
 	l := newLate(t)
 	d := servingOn(t, l, "a")
 	c := d.message()
-	d.side.Shut()
+	d.side.StopAdmitting()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	closed := make(chan error, 1)
--- a/internal/frontend/presence.go
+++ b/internal/frontend/presence.go
@@ -24,7 +24,7 @@
 
 // Left looks whether the client has closed, half closed or reset its connection, or sends without end. It does not
 // wait.
-func (p *presence) Left() bool {
+func (p *presence) Disconnected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -19,7 +19,7 @@
 
 // Core takes the list.
 type Core interface {
-	List(kind topazfall.EventKind, entries []dispatch.Entry)
+	ApplyList(kind topazfall.EventKind, entries []dispatch.Entry)
 	Now() int64
 	Sync() // returns when what it was told has been dealt with
 }
@@ -29,7 +29,7 @@
 	core Core
 
 	mu     sync.Mutex
-	merge  *sources.Merge
+	merge  *sources.Merger
 	timer  *time.Timer
 	closed bool
 }
@@ -50,26 +50,26 @@
 	}
 	now := l.core.Now()
 	change(now)
-	changed := l.merge.List(now)
+	changed := l.merge.Merge(now)
 	for len(changed) > 0 {
 		n := min(portion, len(changed))
 		entries := make([]dispatch.Entry, n)
 		for i, e := range changed[:n] {
 			entries[i] = dispatch.Entry(e)
 		}
-		l.core.List(topazfall.ListPatch, entries)
+		l.core.ApplyList(topazfall.ListPatch, entries)
 		l.core.Sync() // what waits has its turn before the next
 		changed = changed[n:]
 	}
-	if next := l.merge.Next(now); next > 0 {
+	if next := l.merge.NextChange(now); next > 0 {
 		l.timer.Reset(time.Duration(next-now) * time.Microsecond)
 	}
 }
 
-// List takes news of the inventory.
-func (l *List) List(kind topazfall.EventKind, entries []dispatch.Entry) {
-	if kind == topazfall.ListBroken {
-		l.core.List(kind, nil)
+// ApplyList takes news of the inventory.
+func (l *List) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+	if kind == topazfall.ListFailed {
+		l.core.ApplyList(kind, nil)
 		return
 	}
 	l.do(func(int64) {
@@ -77,54 +77,54 @@
 		for i, e := range entries {
 			roster[i] = sources.Entry(e)
 		}
-		l.merge.Roster(kind, roster)
+		l.merge.UpdateRoster(kind, roster)
 	})
 }
 
 // Configure changes the knobs, and the names that are asked for.
-func (l *List) Configure(s sources.Settings, names map[string]sources.Name) {
+func (l *List) Configure(s sources.Settings, names map[string]sources.NameSettings) {
 	l.do(func(int64) { l.merge.Configure(s, maps.Clone(names)) })
 }
 
-// Answer takes a good answer for a name.
-func (l *List) Answer(name string, records []sources.Record) {
-	l.do(func(now int64) { l.merge.Answer(now, name, records) })
+// ApplyAnswer takes a good answer for a name.
+func (l *List) ApplyAnswer(name string, records []sources.Record) {
+	l.do(func(now int64) { l.merge.HandleAnswer(now, name, records) })
 }
 
-// Old takes records that were known before a restart.
-func (l *List) Old(name string, records []sources.Record) {
-	l.do(func(now int64) { l.merge.Old(now, name, records) })
+// RestoreRecords takes records that were known before a restart.
+func (l *List) RestoreRecords(name string, records []sources.Record) {
+	l.do(func(now int64) { l.merge.Restore(now, name, records) })
 }
 
-// Empty takes an authoritative answer that a name has no hosts.
-func (l *List) Empty(name string) {
+// ApplyEmptyAnswer takes an authoritative answer that a name has no hosts.
+func (l *List) ApplyEmptyAnswer(name string) {
 	l.do(func(now int64) {
-		if believed := l.merge.Empty(now, name); believed {
+		if believed := l.merge.HandleEmptyAnswer(now, name); believed {
 			slog.Warn("sources", "name", name, "state", "empty")
 		}
 	})
 }
 
-// Failed notes that no resolver answers for a name.
-func (l *List) Failed(name, fault string) {
-	l.do(func(int64) { l.merge.Failed(name, fault) })
+// RecordFailure notes that no resolver answers for a name.
+func (l *List) RecordFailure(name, fault string) {
+	l.do(func(int64) { l.merge.HandleFailure(name, fault) })
 }
 
 // Now is the core's time.
 func (l *List) Now() int64 { return l.core.Now() }
 
 // Hosts returns the merged list, and what is wrong with each name.
-func (l *List) Hosts() ([]sources.Info, map[string]string) {
+func (l *List) Hosts() ([]sources.Host, map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.merge.Hosts(), l.merge.Faults()
 }
 
-// Known returns the records that are listed for a name.
-func (l *List) Known(name string) []sources.Record {
+// KnownRecords returns the records that are listed for a name.
+func (l *List) KnownRecords(name string) []sources.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.merge.Known(name)
+	return l.merge.Records(name)
 }
 
 // Close ends it: the core is told nothing more.
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -16,12 +16,12 @@
 
 type nothing struct{}
 
-func (nothing) Send(*exchange.Relay)                  {}
-func (nothing) CallOff(*exchange.Relay)               {}
-func (nothing) Probe(*exchange.Host)                  {}
-func (nothing) Readdress(string, []addresses.Address) {}
-func (nothing) Follow()                               {}
-func (nothing) Fetch()                                {}
+func (nothing) Send(*exchange.Relay)                     {}
+func (nothing) Cancel(*exchange.Relay)                   {}
+func (nothing) Probe(*exchange.Host)                     {}
+func (nothing) SetAddresses(string, []addresses.Address) {}
+func (nothing) Follow()                                  {}
+func (nothing) Fetch()                                   {}
 
 const jobs = "_jobs._tcp.w.example"
 
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	go core.Run(nothing{}, nothing{})
 	l := New(core)
-	l.Configure(sources.Defaults, map[string]sources.Name{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
+	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
 	return core, l
 }
 
@@ -48,9 +48,9 @@
 // BenchmarkReplace replaces 500 of 2,000 hosts, through the merge and the dispatch goroutine.
 func BenchmarkReplace(b *testing.B) {
 	core, l := start(b)
-	l.Answer(jobs, records(0, 2000))
+	l.ApplyAnswer(jobs, records(0, 2000))
 	for i := 1; b.Loop(); i++ {
-		l.Answer(jobs, records(500*i, 2000))
+		l.ApplyAnswer(jobs, records(500*i, 2000))
 		core.Sync()
 	}
 }
@@ -63,7 +63,7 @@
 
 func (o *order) Now() int64 { return 1 }
 func (o *order) Sync()      { o.sync++ }
-func (o *order) List(_ topazfall.EventKind, entries []dispatch.Entry) {
+func (o *order) ApplyList(_ topazfall.EventKind, entries []dispatch.Entry) {
 	o.told = append(o.told, entries)
 }
 
@@ -72,14 +72,14 @@
 	o := &order{}
 	l := New(o)
 	defer l.Close()
-	l.Configure(sources.Defaults, map[string]sources.Name{jobs: {WeightUnit: 100}})
-	l.Answer(jobs, records(0, 100))
-	l.List(topazfall.ListPatch,
+	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100}})
+	l.ApplyAnswer(jobs, records(0, 100))
+	l.ApplyList(topazfall.ListPatch,
 		[]dispatch.Entry{{Addr: "10.0.0.7:9000", Worker: topazfall.Worker{ID: "s", State: topazfall.Draining}}})
 	last := o.told[len(o.told)-1]
 	require.Equal(t, topazfall.Gone, last[0].State, "w7.example, which is s")
 	require.Equal(t, topazfall.Draining, last[1].State)
-	l.Answer(jobs, records(50, 100))
+	l.ApplyAnswer(jobs, records(50, 100))
 	gone := 0
 	for _, entries := range o.told[len(o.told)-25:] {
 		require.LessOrEqual(t, len(entries), portion)
@@ -93,9 +93,9 @@
 	}
 	require.Equal(t, len(o.told), o.sync)
 	before := len(o.told)
-	l.List(topazfall.ListBroken, nil)
+	l.ApplyList(topazfall.ListFailed, nil)
 	require.Len(t, o.told, before+1)
 	l.Close()
-	l.Answer(jobs, nil)
+	l.ApplyAnswer(jobs, nil)
 	require.Len(t, o.told, before+1, "closed")
 }
--- a/internal/instance/entry.go
+++ b/internal/instance/entry.go
@@ -11,8 +11,8 @@
 	"topazfall/internal/takeover"
 )
 
-// ErrToldToEnd is that a signal to end came before the process had its address.
-var ErrToldToEnd = errors.New("told to end before it could begin")
+// ErrInterrupted is that a signal to end came before the process had its address.
+var ErrInterrupted = errors.New("told to end before it could begin")
 
 // errNoListener is that a process gave its listening socket away without saying so, or is no dispatcher.
 var errNoListener = errors.New("no listening descriptor came")
@@ -47,7 +47,7 @@
 		said = err.Error()
 		select {
 		case <-stop:
-			return entrance{}, ErrToldToEnd
+			return entrance{}, ErrInterrupted
 		case <-time.After(again):
 		}
 	}
@@ -75,7 +75,7 @@
 	if err := l.Send(frameHello, nil, nil); err != nil {
 		return nil, nil, err
 	}
-	f, err := l.Next()
+	f, err := l.ReadFrame()
 	if err != nil {
 		f.File = l.TakeFile()
 	}
--- a/internal/instance/handover.go
+++ b/internal/instance/handover.go
@@ -29,8 +29,8 @@
 	path     string // of the socket at which successors find this process
 	listener net.Listener
 	core     *dispatch.Core
-	workers  *upstream.Side
-	clients  *frontend.Side
+	workers  *upstream.Transport
+	clients  *frontend.Server
 	list     *discovery.Watch
 	settings tenantSettings
 
@@ -54,14 +54,14 @@
 	if h.successor != nil {
 		mine.Share /= 2
 	}
-	in.Conns = max(in.Conns-mine.Conns, 1)
-	in.Messages = max(in.Conns*2/3, 1)
-	in.Large = int(float64(in.Large) * mine.Share)
-	h.clients.SetBounds(in)
-	h.workers.SetConns(max(int(float64(out)*mine.Share), 1))
+	in.MaxConns = max(in.MaxConns-mine.Conns, 1)
+	in.MaxMessages = max(in.MaxConns*2/3, 1)
+	in.MaxLargeRequests = int(float64(in.MaxLargeRequests) * mine.Share)
+	h.clients.SetLimits(in)
+	h.workers.SetMaxConns(max(int(float64(out)*mine.Share), 1))
 	within(h.config, mine.Share)
 	if h.successorAccepts {
-		h.successor.Send(frameHeld, encode(held{Conns: h.clients.Conns() + mine.Conns, Share: mine.Share}), nil)
+		h.successor.Send(frameHeld, encode(held{Conns: h.clients.OpenConns() + mine.Conns, Share: mine.Share}), nil)
 	}
 }
 
@@ -75,7 +75,7 @@
 	h.mu.Lock()
 	h.predecessor = predecessor
 	_, in := bounds(h.config)
-	h.predecessorHolds = held{Conns: in.Conns / 2, Share: 0.5}
+	h.predecessorHolds = held{Conns: in.MaxConns / 2, Share: 0.5}
 	h.share()
 	h.mu.Unlock()
 	said, gone := make(chan struct{}), make(chan struct{})
@@ -116,7 +116,7 @@
 	}
 	defer l.Abandon()
 	l.SetReadDeadline(time.Now().Add(again))
-	_, err = l.Next()
+	_, err = l.ReadFrame()
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -125,7 +125,7 @@
 	case frameState: // it did not come in time: of what it says, the ids are still of use
 		var state handoverState
 		if decode(f.Body, &state) == nil {
-			h.core.Learn(state.Core.Known)
+			h.core.AddKnownIDs(state.Core.Known)
 		}
 	case frameHeld:
 		var now held
@@ -139,7 +139,7 @@
 	case frameKnownIDs:
 		var ids []string
 		if decode(f.Body, &ids) == nil {
-			h.core.Learn(ids)
+			h.core.AddKnownIDs(ids)
 		}
 	case frameConnection:
 		var k keptConnection
@@ -156,10 +156,10 @@
 		h.share()
 		h.mu.Unlock()
 		if k.Begun != nil {
-			h.clients.Continue(nc, *k.Begun, k.More)
+			h.clients.ResumeMessage(nc, *k.Begun, k.More)
 			break
 		}
-		go h.clients.Adopt(nc, k.Proven, k.Client)
+		go h.clients.AdoptConn(nc, k.Proven, k.Client)
 	}
 	if f.File != nil {
 		f.File.Close()
@@ -195,7 +195,7 @@
 			slog.Warn("takeover", "path", h.path, "error", err)
 			time.Sleep(again)
 		default:
-			go h.meet(takeover.New(c))
+			go h.meet(takeover.NewLink(c))
 		}
 	}
 }
@@ -203,7 +203,7 @@
 func (h *handover) meet(l *takeover.Link) {
 	defer l.Abandon()
 	l.SetReadDeadline(time.Now().Add(helloTime))
-	if f, err := l.Next(); err != nil || f.Kind != frameHello {
+	if f, err := l.ReadFrame(); err != nil || f.Kind != frameHello {
 		return
 	}
 	l.SetReadDeadline(time.Time{})
@@ -211,7 +211,7 @@
 		return
 	}
 	slog.Info("takeover", "young", "here")
-	now := handoverState{h.list.Legacy(), h.core.Legacy(), h.workers.Legacy()}
+	now := handoverState{h.list.HandoverState(), h.core.HandoverState(), h.workers.HandoverState()}
 	err := l.Send(frameState, encode(now), h.listener.(syscall.Conn))
 	if err == nil {
 		err = l.Run(h.fromSuccessor, func(body []byte) bool { return h.answer(body, l) })
@@ -225,9 +225,9 @@
 	if !accepted {
 		return
 	}
-	h.core.Replaced(false)
-	h.clients.KeepOn()
-	h.clients.Resume()
+	h.core.SetReplaced(false)
+	h.clients.StopHandover()
+	h.clients.ResumeAccepting()
 	links.Close() // the path was the successor's, if it came so far
 	go h.wait()
 }
@@ -259,20 +259,20 @@
 	l := h.successor
 	h.successorAccepts = true
 	h.mu.Unlock()
-	h.core.Replaced(true)
+	h.core.SetReplaced(true)
 	_, in := bounds(h.config)
-	h.clients.Pause(in.Conns / 2)
+	h.clients.PauseAccepting(in.MaxConns / 2)
 	h.mu.Lock()
 	h.share()
 	h.mu.Unlock()
 	go func() { // what this process holds becomes less
-		for last := h.clients.Conns(); ; time.Sleep(holdTime) {
+		for last := h.clients.OpenConns(); ; time.Sleep(holdTime) {
 			h.mu.Lock()
 			if h.successor != l {
 				h.mu.Unlock()
 				return
 			}
-			if now := h.clients.Conns(); now != last {
+			if now := h.clients.OpenConns(); now != last {
 				last = now
 				h.share()
 			}
@@ -290,7 +290,7 @@
 
 // answer takes a call-back that came from one process, or asks the one beyond.
 func (h *handover) answer(body []byte, from *takeover.Link) bool {
-	taken, err := h.workers.CallBack(body)
+	taken, err := h.workers.HandleCallback(body)
 	if err == nil && !taken {
 		taken, _ = h.ask(body, from)
 	}
@@ -301,7 +301,7 @@
 // crossed the question: it came before the answer, and is here now.
 func (h *handover) ask(body []byte, except *takeover.Link) (taken bool, err error) {
 	if taken, err = h.askOthers(body, except); !taken && err == nil {
-		taken, _ = h.workers.CallBack(body)
+		taken, _ = h.workers.HandleCallback(body)
 	}
 	return taken, err
 }
@@ -318,7 +318,7 @@
 		if took {
 			return true, nil
 		}
-		if fault == takeover.ErrSilent {
+		if fault == takeover.ErrNoReply {
 			err = fault
 		}
 	}
--- a/internal/instance/handover_test.go
+++ b/internal/instance/handover_test.go
@@ -22,13 +22,13 @@
 // formerState, formerConnection and formerHeld are what the first version with a hand-over sends and reads.
 type (
 	formerState struct {
-		List      discovery.Legacy
-		Core      dispatch.Legacy
-		Addresses upstream.Legacy
+		List      discovery.HandoverState
+		Core      dispatch.HandoverState
+		Addresses upstream.HandoverState
 	}
 	formerConnection struct {
 		Proven, Client, More bool
-		Begun                *dispatch.Begun
+		Begun                *dispatch.InFlightMessage
 	}
 	formerHeld struct {
 		Conns int
@@ -44,15 +44,15 @@
 
 // What a process says to one of the first version with a hand-over, and that to it, loses nothing on the way.
 func TestTransferWithTheFormerVersion(t *testing.T) {
-	list := discovery.Legacy{Discovery: "127.0.0.1:1", Seq: 41, Hosts: map[string]dispatch.Entry{
+	list := discovery.HandoverState{Discovery: "127.0.0.1:1", Seq: 41, Hosts: map[string]dispatch.Entry{
 		"s-a": {Worker: topazfall.Worker{ID: "s-a", Zone: "hall", Weight: 2}, Addr: "127.0.0.1:2"}}}
-	core := dispatch.Legacy{Known: []string{"one", "tw\xffo"}}
+	core := dispatch.HandoverState{Known: []string{"one", "tw\xffo"}}
 	require.Equal(t, formerState{List: list, Core: core},
 		carried[formerState](t, handoverState{List: list, Core: core}))
 	require.Equal(t, handoverState{List: list, Core: core},
 		carried[handoverState](t, formerState{List: list, Core: core}))
-	begun := &dispatch.Begun{Message: exchange.Message{ID: "one", Body: []byte("x")}, Of: "acme",
-		Relays: []dispatch.BegunRelay{{Host: "s-a", Sent: 7}}}
+	begun := &dispatch.InFlightMessage{Message: exchange.Message{ID: "one", Body: []byte("x")}, Of: "acme",
+		Relays: []dispatch.InFlightRelay{{Host: "s-a", Sent: 7}}}
 	require.Equal(t, formerConnection{Proven: true, Begun: begun},
 		carried[formerConnection](t, keptConnection{Proven: true, Begun: begun}))
 	require.Equal(t, keptConnection{Client: true, More: true},
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	c := &config.Config{Sockets: 256, Settings: s}
 	out, in := bounds(c)
-	workers := upstream.New(core, upstream.Options{Conns: out, Metrics: counts})
+	workers := upstream.New(core, upstream.Options{MaxConns: out, Metrics: counts})
 	clients := frontend.New(ln, core, workers, &s, in)
 	h := &handover{config: c, workers: workers, clients: clients, predecessor: &takeover.Link{}}
 	for _, says := range []held{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -32,24 +32,24 @@
 // noDiscovery is the address of discovery where hosts come from an extension alone.
 const noDiscovery = "none"
 
-// Parts are what an extension works with.
-type Parts struct {
+// Dependencies are what an extension works with.
+type Dependencies struct {
 	Config  *config.Config
 	Core    *dispatch.Core
-	Hosts   *upstream.Side
+	Hosts   *upstream.Transport
 	Metrics *metrics.Metrics
 	// SetTenants brings tenants into force beside those of the configuration; one that is in both is as it is here.
 	SetTenants func([]topazfall.Tenant)
 }
 
-// Reserver is an Extension that needs descriptors of its own, of those that the limits allow.
-type Reserver interface{ Descriptors(name string) int }
+// DescriptorReserver is an Extension that needs descriptors of its own, of those that the limits allow.
+type DescriptorReserver interface{ Descriptors(name string) int }
 
 // Extension is what other installations add to a dispatcher. It is started before the first list comes, and takes the
 // inventory's news in the core's place; its end is asked for when the dispatcher has left.
 type Extension interface {
-	discovery.Lister
-	Start(Parts) error
+	discovery.ListReceiver
+	Start(Dependencies) error
 	Close()
 }
 
@@ -63,12 +63,12 @@
 	hangups chan os.Signal // SIGHUP
 
 	core    *dispatch.Core
-	workers *upstream.Side
-	clients *frontend.Side
+	workers *upstream.Transport
+	clients *frontend.Server
 	list    *discovery.Watch
 	peers   *peers.Peers // nil where there are none
 	place   *handover
-	serving atomic.Pointer[frontend.Side] // clients, once the operators may see them
+	serving atomic.Pointer[frontend.Server] // clients, once the operators may see them
 
 	entrance
 	served chan error // why the accepting ended
@@ -132,7 +132,7 @@
 	case err := <-d.served:
 		return err
 	case s := <-d.signals:
-		slog.Info("main", "state", "leaving", "signal", s, "in_hand", d.core.InHand())
+		slog.Info("main", "state", "leaving", "signal", s, "in_hand", d.core.InFlight())
 	}
 	return d.leave()
 }
@@ -154,7 +154,7 @@
 		runtime.GOMAXPROCS(max(int(math.Ceil(d.config.Cores)), 1))
 	}
 	d.config.Sockets = withinSystem(d.config.Sockets)
-	if r, ok := d.extension.(Reserver); ok {
+	if r, ok := d.extension.(DescriptorReserver); ok {
 		d.config.Sockets = max(d.config.Sockets-r.Descriptors(d.config.Name), 0)
 	}
 	within(&d.config, 1)
@@ -167,14 +167,14 @@
 		return err
 	}
 	conns, _ := bounds(&d.config)
-	d.workers = upstream.New(d.core, upstream.Options{Times: times(&d.config), Conns: conns, Metrics: d.metrics,
+	d.workers = upstream.New(d.core, upstream.Options{ConnSettings: times(&d.config), MaxConns: conns, Metrics: d.metrics,
 		Seed: d.config.Settings.Seed})
 	return nil
 }
 
 // enter gets the listening socket, and the predecessor's state with it if there is one.
 func (d *dispatcher) enter() (err error) {
-	path := takeover.Path(d.config.Name, d.config.Listen)
+	path := takeover.SocketPath(d.config.Name, d.config.Listen)
 	d.entrance, err = enter(path, d.config.Listen, d.signals)
 	return err
 }
@@ -185,17 +185,17 @@
 	_, clients := bounds(&d.config)
 	clients.Metrics = d.metrics
 	d.clients = frontend.New(d.listener, d.core, d.workers, settings, clients)
-	var news discovery.Lister = d.core
+	var news discovery.ListReceiver = d.core
 	if d.extension != nil {
 		news = d.extension
 	}
 	d.list = discovery.New(d.config.Discovery, news, discoveryTerms(&d.config))
-	d.list.SetHolder(d.core)
-	d.place = &handover{config: &d.config, path: takeover.Path(d.config.Name, d.config.Listen), listener: d.listener,
+	d.list.SetHoldReceiver(d.core)
+	d.place = &handover{config: &d.config, path: takeover.SocketPath(d.config.Name, d.config.Listen), listener: d.listener,
 		core: d.core, workers: d.workers, clients: d.clients, list: d.list}
 	d.place.settings.configured = *settings
 	d.place.holds(settings)
-	d.clients.Others(d.place.tell)
+	d.clients.SetCallbackForwarder(d.place.tell)
 	d.joinPeers()
 }
 
@@ -227,7 +227,7 @@
 	if d.extension == nil {
 		return nil
 	}
-	return d.extension.Start(Parts{&d.config, d.core, d.workers, d.metrics, d.place.setTenants})
+	return d.extension.Start(Dependencies{&d.config, d.core, d.workers, d.metrics, d.place.setTenants})
 }
 
 func (d *dispatcher) closeExtension() {
@@ -241,12 +241,12 @@
 // says of them.
 func (d *dispatcher) takeKnown() (known int) {
 	if d.state != nil {
-		d.workers.Inherit(d.state.Addresses)
+		d.workers.RestoreState(d.state.Addresses)
 		known = d.list.Inherit(d.state.List)
-		d.core.Inherit(d.state.Core)
+		d.core.RestoreState(d.state.Core)
 	}
 	if known == 0 {
-		known = d.list.Known(d.config.Known)
+		known = d.list.LoadKnown(d.config.KnownHosts)
 	}
 	return known
 }
@@ -263,7 +263,7 @@
 
 // awaitList waits for the first call to discovery to end, where that is of use, and until the core has what is known.
 func (d *dispatcher) awaitList(known int) {
-	awaitFirst(d.list.Tried(), listPatience(&d.config.Settings, known))
+	awaitFirst(d.list.FirstCallDone(), listPatience(&d.config.Settings, known))
 	d.core.Sync()
 }
 
@@ -278,7 +278,7 @@
 // ready tells the operators whether clients are taken.
 func (d *dispatcher) ready() bool {
 	clients := d.serving.Load()
-	return clients != nil && clients.Ready()
+	return clients != nil && clients.IsReady()
 }
 
 // leave ends the taking in, and returns when all that was taken has its answer.
@@ -287,7 +287,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
 	err := d.clients.Close(ctx)
-	slog.Info("main", "state", "left", "in_hand", d.core.InHand())
+	slog.Info("main", "state", "left", "in_hand", d.core.InFlight())
 	if errors.Is(err, context.DeadlineExceeded) { // a connection that never sent a whole message
 		return nil
 	}
@@ -295,14 +295,14 @@
 }
 
 // times are the limits in time that the configuration sets for connections to hosts.
-func times(c *config.Config) upstream.Times {
-	return upstream.Times{DialTimeout: time.Duration(c.Settings.Allowed.DialTimeout) * time.Microsecond,
-		ConnIdle: c.ConnIdle, Probe: c.Settings.Allowed.Probe}
+func times(c *config.Config) upstream.ConnSettings {
+	return upstream.ConnSettings{DialTimeout: time.Duration(c.Settings.Allowed.DialTimeout) * time.Microsecond,
+		IdleTimeout: c.ConnIdle, ProbeAllowed: c.Settings.Allowed.Probe}
 }
 
 // discoveryTerms are what the configuration says of discovery.
-func discoveryTerms(c *config.Config) refresh.Terms {
-	terms := discovery.TermsOf(&c.Settings)
+func discoveryTerms(c *config.Config) refresh.Settings {
+	terms := discovery.RefreshSettings(&c.Settings)
 	terms.HoldOnRefusal = c.HoldOnRefusal
 	return terms
 }
@@ -314,17 +314,17 @@
 	for range hangups {
 		c, err := now.Reload(os.Getenv)
 		if err != nil {
-			counts.HangupsFailed.Add(1)
+			counts.ReloadsRejected.Add(1)
 			slog.Warn("reload", "state", "kept", "error", err)
 			continue
 		}
 		now = &c
 		h.holds(&c.Settings)
 		h.renewConfigured(c.Settings)
-		h.workers.SetTimes(times(now))
-		h.list.Renew(discoveryTerms(&c))
+		h.workers.SetConnSettings(times(now))
+		h.list.UpdateSettings(discoveryTerms(&c))
 		h.list.Move(c.Discovery)
-		counts.HangupsTaken.Add(1)
+		counts.ReloadsApplied.Add(1)
 		slog.Info("reload", "state", "taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes))
 	}
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -19,16 +19,16 @@
 	for _, sockets := range []int{256, 384, 1024} {
 		for _, memory := range []int{32, 64, 192} {
 			out, in := bounds(&config.Config{Sockets: sockets, MemoryMB: memory})
-			require.LessOrEqual(t, out+in.Conns+reserved, sockets)
-			require.GreaterOrEqual(t, in.Messages, sockets*32/100, "%d descriptors, %d MB", sockets, memory)
-			require.Less(t, in.Messages, in.Conns)
-			require.LessOrEqual(t, in.Conns*25, memory<<10/2, "kB")
-			require.LessOrEqual(t, in.Large*256, memory<<10/4, "kB")
+			require.LessOrEqual(t, out+in.MaxConns+reserved, sockets)
+			require.GreaterOrEqual(t, in.MaxMessages, sockets*32/100, "%d descriptors, %d MB", sockets, memory)
+			require.Less(t, in.MaxMessages, in.MaxConns)
+			require.LessOrEqual(t, in.MaxConns*25, memory<<10/2, "kB")
+			require.LessOrEqual(t, in.MaxLargeRequests*256, memory<<10/4, "kB")
 		}
 	}
 	require.GreaterOrEqual(t, reserved, ownDescriptors, "what the program itself needs is kept for it")
 	_, in := bounds(&config.Config{Sockets: 1024})
-	require.Equal(t, 736, in.Conns, "no limit on memory is given")
+	require.Equal(t, 736, in.MaxConns, "no limit on memory is given")
 }
 
 // The system's limit on descriptors holds where it is lower than the one that the configuration tells.
@@ -61,6 +61,6 @@
 	stop := make(chan os.Signal, 1)
 	stop <- syscall.SIGTERM
 	e, err := enter(filepath.Join(t.TempDir(), "none"), other.Addr().String(), stop)
-	require.ErrorIs(t, err, ErrToldToEnd)
+	require.ErrorIs(t, err, ErrInterrupted)
 	require.Nil(t, e.listener)
 }
--- a/internal/instance/leaving.go
+++ b/internal/instance/leaving.go
@@ -33,7 +33,7 @@
 func (h *handover) leave() {
 	l := &leaving{handover: h, passing: h.passOn()}
 	if !l.passing { // an answer between the two would end its connection, which the successor could go on with
-		h.clients.Leave()
+		h.clients.StartDrain()
 	}
 	l.began = time.Now()
 	for {
@@ -56,9 +56,9 @@
 		l.passing = false
 	case l.passing && !l.hopeless && since > hopeTime:
 		l.hopeless = true
-		l.core.EndUnanswered(time.Second.Microseconds()) // a message with such an attempt cannot be handed over
+		l.core.CancelUnanswered(time.Second.Microseconds()) // a message with such an attempt cannot be handed over
 	case !l.passing && !l.shut && since > lateComes:
-		l.clients.Shut()
+		l.clients.StopAdmitting()
 		l.shut = true
 	}
 }
@@ -68,12 +68,12 @@
 func (l *leaving) over(since time.Duration, predecessor bool) bool {
 	late := since > l.longestWait()+lastCall
 	// A predecessor that hangs is not waited for any longer than clients are.
-	done := l.core.InHand() == 0 && !l.workers.Busy() && (!predecessor || late)
+	done := l.core.InFlight() == 0 && !l.workers.HasPendingCancels() && (!predecessor || late)
 	if !l.passing {
 		return l.shut && done && since > lateComes+settle
 	}
 	// Idle connections go by themselves, but not in no time: one that is still here would be closed with the rest.
-	passed := l.clients.Conns() == 0 || l.clients.Busy() == 0 && since > passTime
+	passed := l.clients.OpenConns() == 0 || l.clients.BusyConns() == 0 && since > passTime
 	return late || done && passed
 }
 
@@ -85,8 +85,8 @@
 	if !takes {
 		return false
 	}
-	l.Send(frameKnownIDs, encode(h.core.Legacy().Known), nil)
-	h.clients.PassOn(func(k frontend.Kept) error {
+	l.Send(frameKnownIDs, encode(h.core.HandoverState().Known), nil)
+	h.clients.StartHandover(func(k frontend.HandoverConn) error {
 		return l.Send(frameConnection, encode(keptConnection{k.Proven, k.Client, k.More, k.Begun}), k.Conn)
 	})
 	return true
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -22,7 +22,7 @@
 	configFile      = 1 // read at SIGHUP
 
 	ownDescriptors = standardStreams + runtimeFiles + listeners + justAccepted + discoveryConns + handoverLinks +
-		passedOn + configFile + manage.Places
+		passedOn + configFile + manage.MaxConns
 )
 
 // reserved are the descriptors that are kept for the program itself, whatever clients do: more than ownDescriptors, so
@@ -32,7 +32,7 @@
 // While one process replaces another the connections of both keep within one limit (see handover.share). Of reserved,
 // each has half then: the 13 or less that are open all the time, and the places of the operators. The system's limit
 // holds for each process by itself, so that either may still have ownDescriptors for a moment.
-const reserved = 2 * (13 + manage.Places)
+const reserved = 2 * (13 + manage.MaxConns)
 
 // withinSystem is how many descriptors this process may have: as many as it is told, or as the system allows if that is
 // less. The runtime has raised the soft limit to the hard one by now.
@@ -55,7 +55,7 @@
 		memory = 1 << 10 // as good as unlimited
 	}
 	conns := min(sockets*3/4, max(memory*16, 6))
-	return sockets / 4, frontend.Options{Conns: conns, Messages: conns * 2 / 3, Large: memory}
+	return sockets / 4, frontend.Options{MaxConns: conns, MaxMessages: conns * 2 / 3, MaxLargeRequests: memory}
 }
 
 // within keeps the runtime within the limit on memory, or a share of it: it cannot see that by itself.
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -41,7 +41,7 @@
 	switch {
 	case known == 0:
 		return firstList
-	case s.AskForList:
+	case s.ListOnRequest:
 		return 0
 	}
 	// What the agent has counts as told already, and a worker may drain: its grace runs.
--- a/internal/instance/readiness_test.go
+++ b/internal/instance/readiness_test.go
@@ -32,7 +32,7 @@
 		{9, false, time.Minute, firstList},
 		{9, false, 0, 0},
 	} {
-		s := topazfall.Settings{AskForList: c.asked, Contract: topazfall.Contract{DrainGrace: c.grace.Microseconds()}}
+		s := topazfall.Settings{ListOnRequest: c.asked, Contract: topazfall.Contract{DrainGrace: c.grace.Microseconds()}}
 		require.Equal(t, c.want, listPatience(&s, c.known), "%+v", c)
 	}
 }
--- a/internal/instance/tenants.go
+++ b/internal/instance/tenants.go
@@ -46,5 +46,5 @@
 		}
 	}
 	// The core first: no class may come that it does not know.
-	h.clients.Renew(&now, h.core.Renew(now))
+	h.clients.ApplySettings(&now, h.core.UpdateSettings(now))
 }
--- a/internal/instance/transfer.go
+++ b/internal/instance/transfer.go
@@ -23,16 +23,16 @@
 // handoverState is what a successor starts with. Its fields' names are the format in which it travels between two
 // versions of the program: gob matches them by name, and passes over what only one side has.
 type handoverState struct {
-	List discovery.Legacy
-	Core dispatch.Legacy
+	List discovery.HandoverState
+	Core dispatch.HandoverState
 
-	Addresses upstream.Legacy // of the hosts
+	Addresses upstream.HandoverState // of the hosts
 }
 
 // keptConnection is what comes with a connection: its fields' names are a format too.
 type keptConnection struct {
 	Proven, Client, More bool
-	Begun                *dispatch.Begun
+	Begun                *dispatch.InFlightMessage
 }
 
 // encode and decode have the form in which the two processes speak. It keeps strings as the bytes that they are, which
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -133,7 +133,7 @@
 	go core.Run(nothing{}, nothing{})
 	portions := &timed{Core: core, took: hdrhistogram.New(1, 60_000_000, 3)}
 	l := hostlist.New(portions)
-	l.Configure(sources.Defaults, map[string]sources.Name{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
+	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
 	list := func(from int) (records []sources.Record) {
 		for i := from; i < from+2000; i++ {
 			a, err := addresses.Parse(fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255))
@@ -144,22 +144,22 @@
 		}
 		return records
 	}
-	l.Answer(jobs, list(0))
+	l.ApplyAnswer(jobs, list(0))
 	m := sources.New(sources.Defaults)
-	m.Configure(sources.Defaults, map[string]sources.Name{jobs: {WeightUnit: 100}})
-	m.Answer(1, jobs, list(0))
-	m.List(1)
+	m.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100}})
+	m.HandleAnswer(1, jobs, list(0))
+	m.Merge(1)
 	portions.took.Reset() // the first time all are new, and there is nobody to wait
 	var whole time.Duration
 	var merges []time.Duration
 	for i := range 10 {
 		next := list(500 * (i + 1))
 		began := time.Now()
-		m.Answer(2, jobs, next)
-		m.List(2)
+		m.HandleAnswer(2, jobs, next)
+		m.Merge(2)
 		merges = append(merges, time.Since(began))
 		began = time.Now()
-		l.Answer(jobs, next)
+		l.ApplyAnswer(jobs, next)
 		whole = max(whole, time.Since(began))
 	}
 	l.Close()
@@ -184,9 +184,9 @@
 	took  *hdrhistogram.Histogram // microseconds
 }
 
-func (t *timed) List(kind topazfall.EventKind, entries []dispatch.Entry) {
+func (t *timed) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	t.began = time.Now()
-	t.Core.List(kind, entries)
+	t.Core.ApplyList(kind, entries)
 }
 
 func (t *timed) Sync() {
@@ -196,12 +196,12 @@
 
 type nothing struct{}
 
-func (nothing) Send(*exchange.Relay)                  {}
-func (nothing) CallOff(*exchange.Relay)               {}
-func (nothing) Probe(*exchange.Host)                  {}
-func (nothing) Readdress(string, []addresses.Address) {}
-func (nothing) Follow()                               {}
-func (nothing) Fetch()                                {}
+func (nothing) Send(*exchange.Relay)                     {}
+func (nothing) Cancel(*exchange.Relay)                   {}
+func (nothing) Probe(*exchange.Host)                     {}
+func (nothing) SetAddresses(string, []addresses.Address) {}
+func (nothing) Follow()                                  {}
+func (nothing) Fetch()                                   {}
 
 // measureChange replaces the only host, and waits for the first message at the other.
 func measureChange(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -94,7 +94,7 @@
 		{l.Reweighs, figureReweighB, axisWorkers, sizeWorkers, 1}, {l.Lists, figureLoadBytes, axisWorkers,
 			sizeWorkers, kilo},
 		{l.Revisions, figureReloadBytes, axisTeams, sizeTeams, 1}})
-	return sum + l.Words*(gossip.Size+datagramOverhead), err
+	return sum + l.Words*(gossip.MessageSize+datagramOverhead), err
 }
 
 // margin is by how much the cost of a hollow dispatcher may differ from that of a real one, as a part of the latter.
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -63,9 +63,9 @@
 }
 
 // List implements discovery.Lister.
-func (h *hollowDispatcher) List(kind topazfall.EventKind, entries []dispatch.Entry) {
+func (h *hollowDispatcher) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	h.entries.Add(int64(len(entries)))
-	h.core.List(kind, entries)
+	h.core.ApplyList(kind, entries)
 }
 
 func startHollow(settings topazfall.Settings, d HollowDispatcher, words string) (*hollowDispatcher, error) {
@@ -76,9 +76,9 @@
 		return nil, err
 	}
 	h.core = core
-	workers := upstream.New(core, upstream.Options{Times: upstream.Times{DialTimeout: dialLimit, ConnIdle: idleLimit},
-		Conns: hollowConns, Metrics: h.counts, Seed: settings.Seed})
-	list := discovery.New(d.Discovery, h, discovery.TermsOf(&settings))
+	workers := upstream.New(core, upstream.Options{ConnSettings: upstream.ConnSettings{DialTimeout: dialLimit, IdleTimeout: idleLimit},
+		MaxConns: hollowConns, Metrics: h.counts, Seed: settings.Seed})
+	list := discovery.New(d.Discovery, h, discovery.RefreshSettings(&settings))
 	if words != "" {
 		others, err := peers.New(peers.Addresses{Listen: d.Listen, Peers: []string{words}, All: words}, core)
 		if err != nil {
@@ -133,8 +133,8 @@
 		known := h.counts.Discovered.Load()
 		s.LeastWorkers, s.MostWorkers = min(s.LeastWorkers, known), max(s.MostWorkers, known)
 		s.Entries += h.entries.Load()
-		s.Words += h.counts.Words.Load()
-		s.Dropped += h.counts.Unheeded.Load()
+		s.Words += h.counts.PeerMessages.Load()
+		s.Dropped += h.counts.PeerMessagesDropped.Load()
 	}
 	return s
 }
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -116,7 +116,7 @@
 
 func (p *player) whole() {
 	p.reweighAll()
-	p.on(topazfall.Event{Kind: topazfall.ListWhole, List: p.fleet})
+	p.on(topazfall.Event{Kind: topazfall.ListSnapshot, List: p.fleet})
 }
 
 func (p *player) patchAll() {
@@ -139,7 +139,7 @@
 func (p *player) word() {
 	op := []gossip.Op{gossip.Sent, gossip.Ended}[p.request%2]
 	p.request++
-	word := gossip.Word{Op: op, At: p.now, Host: gossip.Name(p.fleet[p.chance.IntN(len(p.fleet))].ID),
+	word := gossip.Message{Op: op, At: p.now, Host: gossip.HostHash(p.fleet[p.chance.IntN(len(p.fleet))].ID),
 		Work: requestTicks}
 	p.on(topazfall.Event{Kind: topazfall.PeerMessage, From: 0, Data: word.Append(nil)})
 }
@@ -155,7 +155,7 @@
 			p.now += requestTicks
 			p.on(topazfall.Event{Kind: topazfall.AttemptDone, Request: p.request, Worker: a.Worker,
 				Outcome: topazfall.Completed,
-				Took:    requestTicks, Final: true, Load: topazfall.NoLoad})
+				Elapsed: requestTicks, Final: true, Load: topazfall.NoLoad})
 			return
 		}
 	}
@@ -170,7 +170,7 @@
 		return err
 	}
 	fleet := heap()
-	p.on(topazfall.Event{Kind: topazfall.ListWhole, List: p.fleet})
+	p.on(topazfall.Event{Kind: topazfall.ListSnapshot, List: p.fleet})
 	b.Add(figureHeap, axis, "MB", fromModule, x, (heap()-fleet)/1e6)
 	const us = 1e6
 	for range repeats {
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -13,8 +13,8 @@
 	"topazfall/internal/metrics"
 )
 
-// Places is how many connections may be open here at a time.
-const Places = 8
+// MaxConns is how many connections may be open here at a time.
+const MaxConns = 8
 
 const callTime = time.Second // for a call to come, and for its answer to be read
 
@@ -22,7 +22,7 @@
 func Serve(ln net.Listener, ready func() bool, f *metrics.Metrics) error {
 	s := &fasthttp.Server{
 		Handler: func(ctx *fasthttp.RequestCtx) { answer(ctx, ready, f) }, Logger: quiet{},
-		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, Concurrency: 4 * Places,
+		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, Concurrency: 4 * MaxConns,
 		MaxRequestBodySize: 4 << 10, ReduceMemoryUsage: true, NoDefaultServerHeader: true, NoDefaultDate: true,
 	}
 	return s.Serve(&places{Listener: ln, open: list.New()})
@@ -89,7 +89,7 @@
 func (l *places) admit(nc net.Conn) *caller {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open.Len() >= Places {
+	if l.open.Len() >= MaxConns {
 		l.drop(l.open.Front().Value.(*caller))
 	}
 	c := &caller{Conn: nc, l: l}
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -50,7 +50,7 @@
 func TestSilentCallers(t *testing.T) {
 	addr := serve(t, true)
 	var silent []net.Conn
-	for range Places {
+	for range MaxConns {
 		silent = append(silent, open(t, addr, ""), open(t, addr, "GET /-/rea"))
 	}
 	require.Contains(t, call(t, addr, "GET /-/ready"), "HTTP/1.1 200 OK")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,12 +11,12 @@
 	"sync/atomic"
 )
 
-// Ending is how a job ended for its client.
-type Ending int
+// JobResult is how a job ended for its client.
+type JobResult int
 
 // The endings.
 const (
-	Succeeded Ending = iota
+	Succeeded JobResult = iota
 	Declined
 	Aborted
 	endings
@@ -26,14 +26,14 @@
 
 // Metrics are the counts of one process. The zero value counts no class yet.
 type Metrics struct {
-	Outstanding, Discovered, Ejected      atomic.Int64 // as they are now
-	Forwards, HangupsTaken, HangupsFailed atomic.Int64 // since the start; the latter are files read at SIGHUP
+	Outstanding, Discovered, Ejected          atomic.Int64 // as they are now
+	Forwards, ReloadsApplied, ReloadsRejected atomic.Int64 // since the start; the latter are files read at SIGHUP
 
-	Words, Unheeded atomic.Int64 // of other dispatchers: heard, and of these dropped; shown once there was one
+	PeerMessages, PeerMessagesDropped atomic.Int64 // of other dispatchers: heard, and of these dropped; shown once there was one
 
 	// Of hosts with several addresses, since the start; they are shown once there was one.
-	Several                                 atomic.Bool
-	Opened, Unopened, Moved, Resets, Trials atomic.Int64
+	HasMultiAddress                                                          atomic.Bool
+	AddressOpened, AddressFailed, AddressMoves, AddressResets, AddressTrials atomic.Int64
 
 	mu      sync.Mutex // of those who add classes or parts
 	parts   []func(io.Writer)
@@ -62,15 +62,15 @@
 	f.classes.Store(&all)
 }
 
-// Extend has another part of the program write its figures behind these.
-func (f *Metrics) Extend(write func(io.Writer)) {
+// AddWriter has another part of the program write its figures behind these.
+func (f *Metrics) AddWriter(write func(io.Writer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.parts = append(f.parts, write)
 }
 
-// End counts a job of the class at that place.
-func (f *Metrics) End(class int, e Ending) {
+// CountJob counts a job of the class at that place.
+func (f *Metrics) CountJob(class int, e JobResult) {
 	if all := f.classes.Load(); all != nil && class >= 0 && class < len(*all) {
 		(*all)[class].ended[e].Add(1)
 	}
@@ -94,13 +94,13 @@
 	for _, v := range []figure{
 		{"forwards_total", "counter", &f.Forwards}, {"outstanding", "gauge", &f.Outstanding},
 		{"discovered", "gauge", &f.Discovered}, {"ejected", "gauge", &f.Ejected},
-		{"sighup_applied_total", "counter", &f.HangupsTaken}, {"sighup_rejected_total", "counter", &f.HangupsFailed},
+		{"sighup_applied_total", "counter", &f.ReloadsApplied}, {"sighup_rejected_total", "counter", &f.ReloadsRejected},
 	} {
 		v.write(w)
 	}
-	if f.Words.Load() > 0 {
-		figure{"peer_words_total", "counter", &f.Words}.write(w)
-		figure{"peer_words_dropped_total", "counter", &f.Unheeded}.write(w)
+	if f.PeerMessages.Load() > 0 {
+		figure{"peer_words_total", "counter", &f.PeerMessages}.write(w)
+		figure{"peer_words_dropped_total", "counter", &f.PeerMessagesDropped}.write(w)
 	}
 	f.writeAddresses(w)
 	f.mu.Lock()
@@ -112,13 +112,13 @@
 }
 
 func (f *Metrics) writeAddresses(w io.Writer) {
-	if !f.Several.Load() {
+	if !f.HasMultiAddress.Load() {
 		return
 	}
 	for _, v := range []figure{
-		{"address_opened_total", "counter", &f.Opened}, {"address_failed_total", "counter", &f.Unopened},
-		{"address_moves_total", "counter", &f.Moved}, {"address_resets_total", "counter", &f.Resets},
-		{"address_trials_total", "counter", &f.Trials},
+		{"address_opened_total", "counter", &f.AddressOpened}, {"address_failed_total", "counter", &f.AddressFailed},
+		{"address_moves_total", "counter", &f.AddressMoves}, {"address_resets_total", "counter", &f.AddressResets},
+		{"address_trials_total", "counter", &f.AddressTrials},
 	} {
 		v.write(w)
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,14 +10,14 @@
 // All classes show 0 from the start. A class that went keeps its line and its place, one that came has its own.
 func TestClassesKeepTheirLines(t *testing.T) {
 	f := &Metrics{}
-	f.End(0, Declined) // nobody's
+	f.CountJob(0, Declined) // nobody's
 	f.AddClasses("lookup", "report")
-	f.End(1, Succeeded)
-	f.End(1, Succeeded)
+	f.CountJob(1, Succeeded)
+	f.CountJob(1, Succeeded)
 	f.AddClasses("report", `n"é`)
-	f.End(2, Aborted)
-	f.End(3, Aborted)
-	f.End(-1, Aborted)
+	f.CountJob(2, Aborted)
+	f.CountJob(3, Aborted)
+	f.CountJob(-1, Aborted)
 	f.Forwards.Add(4)
 	f.Outstanding.Add(5)
 	var text strings.Builder
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -19,10 +19,10 @@
 	again   = 100 * time.Millisecond // between tries for an address that is taken
 )
 
-// Listener is told what a peer says, and of what comes from somebody else with a number below 0: that counts as
+// Receiver is told what a peer says, and of what comes from somebody else with a number below 0: that counts as
 // dropped. The bytes are its own, and one more than the largest of what was too long.
-type Listener interface {
-	Heard(from int, data []byte)
+type Receiver interface {
+	ReceivePeerMessage(from int, data []byte)
 }
 
 // Addresses are where the dispatchers of a tier hear each other.
@@ -34,7 +34,7 @@
 
 // Peers sends to the other dispatchers and listens to them.
 type Peers struct {
-	core  Listener
+	core  Receiver
 	own   netip.AddrPort
 	to    []netip.AddrPort
 	all   netip.AddrPort
@@ -44,7 +44,7 @@
 }
 
 // New reads the addresses. The error names the one that is none.
-func New(a Addresses, core Listener) (*Peers, error) {
+func New(a Addresses, core Receiver) (*Peers, error) {
 	p := &Peers{core: core, from: map[netip.AddrPort]int{}}
 	parse := func(name, text string) (addr netip.AddrPort, err error) {
 		if addr, err = netip.ParseAddrPort(text); err != nil {
@@ -103,12 +103,12 @@
 		if !known {
 			from = -1
 		}
-		p.core.Heard(from, append([]byte(nil), buf[:n]...))
+		p.core.ReceivePeerMessage(from, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// Tell sends a word to a dispatcher, or to all of them. It may be lost.
-func (p *Peers) Tell(peer int, data []byte) {
+// Send sends a word to a dispatcher, or to all of them. It may be lost.
+func (p *Peers) Send(peer int, data []byte) {
 	conn, to := p.conn.Load(), p.all
 	if peer != topazfall.AllPeers {
 		if peer < 0 || peer >= len(p.to) {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,7 +17,7 @@
 
 type ear chan heard
 
-func (e ear) Heard(from int, data []byte) { e <- heard{from, string(data)} }
+func (e ear) ReceivePeerMessage(from int, data []byte) { e <- heard{from, string(data)} }
 
 func free(t *testing.T) string {
 	t.Helper()
@@ -55,9 +55,9 @@
 	a, _ := start(t, Addresses{addrs[0], addrs, addrs[1]}) // all: here, the other
 	b, heardB := start(t, Addresses{addrs[1], addrs, addrs[0]})
 
-	a.Tell(1, []byte("one"))
+	a.Send(1, []byte("one"))
 	require.Equal(t, heard{0, "one"}, heardB.next(t))
-	a.Tell(topazfall.AllPeers, []byte("all"))
+	a.Send(topazfall.AllPeers, []byte("all"))
 	require.Equal(t, heard{0, "all"}, heardB.next(t))
 
 	stranger, err := net.Dial("udp4", addrs[1])
@@ -65,15 +65,15 @@
 	defer stranger.Close()
 	stranger.Write([]byte("from nobody"))
 	require.Equal(t, heard{-1, "from nobody"}, heardB.next(t))
-	a.Tell(7, []byte("to nobody"))
-	a.Tell(1, make([]byte, largest+1)) // the platform forbids it
-	a.Tell(1, make([]byte, largest))
+	a.Send(7, []byte("to nobody"))
+	a.Send(1, make([]byte, largest+1)) // the platform forbids it
+	a.Send(1, make([]byte, largest))
 	require.Len(t, heardB.next(t).data, largest)
 	require.Empty(t, heardB)
 
 	b.Close()
-	a.Tell(1, []byte("lost")) // to nobody who listens: no more than lost
-	a.Tell(1, []byte("lost"))
+	a.Send(1, []byte("lost")) // to nobody who listens: no more than lost
+	a.Send(1, []byte("lost"))
 }
 
 // The process that is replaced still has the address.
@@ -86,7 +86,7 @@
 	require.NoError(t, err)
 	done := make(chan struct{})
 	go func() { p.Run(); close(done) }()
-	p.Tell(0, []byte("not from the address that counts"))
+	p.Send(0, []byte("not from the address that counts"))
 	time.Sleep(again / 2)
 	require.Nil(t, p.conn.Load())
 	old.Close()
--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -24,8 +24,8 @@
 // ErrEntries is wrapped by what says why entries make no document.
 var ErrEntries = errors.New("entries that make no settings")
 
-// Entries returns a sound document as entries by key.
-func Entries(doc *pb.Settings) (map[string][]byte, error) {
+// ToEntries returns a sound document as entries by key.
+func ToEntries(doc *pb.Settings) (map[string][]byte, error) {
 	entries := map[string][]byte{}
 	var faults error
 	put := func(key string, m proto.Message) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,12 +73,12 @@
 func addressDurations(a *pb.Addresses) []duration {
 	d := addresses.Defaults
 	return []duration{
-		{"delay_least", &a.DelayLeast, us(d.DelayLeast), 10 * time.Millisecond, 2 * time.Second},
-		{"delay_first", &a.DelayFirst, us(d.DelayFirst), 10 * time.Millisecond, 2 * time.Second},
-		{"delay_most", &a.DelayMost, us(d.DelayMost), 10 * time.Millisecond, 2 * time.Second},
-		{"rest_least", &a.RestLeast, us(d.RestLeast), 10 * time.Millisecond, time.Minute},
-		{"rest_most", &a.RestMost, us(d.RestMost), 10 * time.Millisecond, 10 * time.Minute},
-		{"calm", &a.Calm, us(d.Calm), 0, time.Hour},
+		{"delay_least", &a.DelayLeast, us(d.MinDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"delay_first", &a.DelayFirst, us(d.InitialDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"delay_most", &a.DelayMost, us(d.MaxDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"rest_least", &a.RestLeast, us(d.MinBackoff), 10 * time.Millisecond, time.Minute},
+		{"rest_most", &a.RestMost, us(d.MaxBackoff), 10 * time.Millisecond, 10 * time.Minute},
+		{"calm", &a.Calm, us(d.CalmPeriod), 0, time.Hour},
 	}
 }
 
@@ -277,8 +277,8 @@
 	}
 }
 
-// Teams are the teams as the decision module knows them.
-func Teams(doc *pb.Settings) []topazfall.Tenant {
+// Tenants are the teams as the decision module knows them.
+func Tenants(doc *pb.Settings) []topazfall.Tenant {
 	teams := make([]topazfall.Tenant, len(doc.GetTeams()))
 	for i, team := range doc.GetTeams() {
 		teams[i] = topazfall.Tenant{Name: team.Name, Share: team.Share, Quota: team.Quota}
@@ -292,23 +292,23 @@
 // AddressLimits are the knobs of addresses.
 func AddressLimits(effective *pb.Settings) addresses.Limits {
 	a := effective.Addresses
-	return addresses.Limits{DelayLeast: a.DelayLeast.AsDuration().Microseconds(),
-		DelayFirst: a.DelayFirst.AsDuration().Microseconds(), DelayMost: a.DelayMost.AsDuration().Microseconds(),
-		RestLeast: a.RestLeast.AsDuration().Microseconds(),
-		RestMost:  a.RestMost.AsDuration().Microseconds(), Calm: a.Calm.AsDuration().Microseconds()}
+	return addresses.Limits{MinDelay: a.DelayLeast.AsDuration().Microseconds(),
+		InitialDelay: a.DelayFirst.AsDuration().Microseconds(), MaxDelay: a.DelayMost.AsDuration().Microseconds(),
+		MinBackoff: a.RestLeast.AsDuration().Microseconds(),
+		MaxBackoff: a.RestMost.AsDuration().Microseconds(), CalmPeriod: a.Calm.AsDuration().Microseconds()}
 }
 
-// Merge are the knobs of the merge of sources, and the names with theirs.
-func Merge(effective *pb.Settings) (sources.Settings, map[string]sources.Name) {
+// MergeSettings are the knobs of the merge of sources, and the names with theirs.
+func MergeSettings(effective *pb.Settings) (sources.Settings, map[string]sources.NameSettings) {
 	s := effective.Sources
-	names := map[string]sources.Name{}
+	names := map[string]sources.NameSettings{}
 	for _, n := range s.Srv {
 		places := make([]sources.Place, len(n.Places))
 		for i, p := range n.Places {
 			places[i] = sources.Place{Suffix: strings.TrimSuffix(strings.ToLower(p.Suffix), "."), Zone: p.Zone,
 				Kind: p.Kind}
 		}
-		names[Canonical(n.Name)] = sources.Name{Zone: n.Zone, Kind: n.Kind, Places: places,
+		names[Canonical(n.Name)] = sources.NameSettings{Zone: n.Zone, Kind: n.Kind, Places: places,
 			WeightUnit: int(n.WeightUnit), WithPort: n.NamedWithPort}
 	}
 	return sources.Settings{Hold: s.Hold.AsDuration().Microseconds(),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,12 +72,12 @@
 	require.ErrorIs(t, err, StaleError{0, 1})
 	_, err = s.Apply(doc(t, `{"sources":{"hold":"-1s"}}`), 1, time.Now())
 	require.ErrorAs(t, err, &Faults{})
-	now, _ := s.Now()
+	now, _ := s.Current()
 	require.True(t, proto.Equal(r, now))
 	s.Close()
 	_, err = s.Apply(doc(t, `{}`), 1, time.Now())
 	require.ErrorIs(t, err, ErrReadOnly)
-	now, _ = open(t, dir).Now()
+	now, _ = open(t, dir).Current()
 	require.True(t, proto.Equal(r, now))
 }
 
@@ -90,7 +90,7 @@
 	require.NoError(t, os.RemoveAll(dir))
 	_, err = s.Apply(doc(t, `{}`), 1, time.Now())
 	require.ErrorContains(t, err, "could not be saved")
-	now, _ := s.Now()
+	now, _ := s.Current()
 	require.EqualValues(t, 1, now.Number)
 }
 
@@ -103,10 +103,10 @@
 	_, err = old.Apply(doc(t, sound), 0, time.Now())
 	require.NoError(t, err)
 	old.Close()
-	r, err := young.After(t.Context(), 0)
+	r, err := young.NextAfter(t.Context(), 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 1, r.Number)
-	require.Eventually(t, func() bool { _, ro := young.Now(); return ro == "" }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, ro := young.Current(); return ro == "" }, 10*time.Second, time.Millisecond)
 	_, err = young.Apply(doc(t, `{}`), 1, time.Now())
 	require.NoError(t, err)
 }
@@ -127,7 +127,7 @@
 	s, fault, err := Open(dir)
 	require.NoError(t, err)
 	require.ErrorContains(t, fault, "the one before is used")
-	now, _ := s.Now()
+	now, _ := s.Current()
 	require.EqualValues(t, 1, now.Number)
 	s.Close()
 }
@@ -144,7 +144,7 @@
 	for i := range watchers {
 		watching.Go(func() {
 			for last := uint64(0); last < writers*each; {
-				r, err := s.After(ctx, last)
+				r, err := s.NextAfter(ctx, last)
 				if err != nil {
 					t.Error(err)
 					return
@@ -157,7 +157,7 @@
 	for range writers {
 		writing.Go(func() {
 			for done := 0; done < each; {
-				now, _ := s.Now()
+				now, _ := s.Current()
 				if _, err := s.Apply(doc(t, sound), now.Number, time.Now()); err == nil {
 					done++
 				}
@@ -172,7 +172,7 @@
 		}
 		require.EqualValues(t, writers*each, list[len(list)-1])
 	}
-	_, err := s.After(ctx, writers*each+1)
+	_, err := s.NextAfter(ctx, writers*each+1)
 	require.ErrorIs(t, err, ErrGap)
 }
 
@@ -202,7 +202,7 @@
 		require.ErrorAs(t, err, &Faults{})
 		require.Regexp(t, `^(sources|addresses)\.[a-z_]+`, err.Error())
 	}
-	now, _ := s.Now()
+	now, _ := s.Current()
 	require.True(t, proto.Equal(before, now))
 }
 
@@ -219,7 +219,7 @@
 		}
 		e := Effective(d) // what is sound can be used
 		require.NoError(t, AddressLimits(e).Check())
-		knobs, names := Merge(e)
+		knobs, names := MergeSettings(e)
 		require.Positive(t, knobs.Confirmations)
 		require.Len(t, names, len(d.GetSources().GetSrv()))
 	})
--- a/internal/settings/shared_test.go
+++ b/internal/settings/shared_test.go
@@ -29,31 +29,31 @@
 	s := open(t, dir)
 	_, err := s.Apply(doc(t, sound), 0, time.Now())
 	require.NoError(t, err)
-	s.Manage()
-	now, _ := s.Now()
+	s.SetManaged()
+	now, _ := s.Current()
 	require.Zero(t, now.Number, "it stays in force until the first of theirs comes")
 	require.NotEmpty(t, now.Settings.Sources.Srv)
 	_, err = s.Apply(doc(t, `{}`), 0, time.Now())
 	require.ErrorIs(t, err, ErrManaged)
 
 	for _, number := range []uint64{1, 2, 7} {
-		since, err := s.Take(made(number, "1@a", time.Second))
+		since, err := s.ApplyManaged(made(number, "1@a", time.Second))
 		require.NoError(t, err)
 		require.EqualValues(t, number, since.UnixMilli())
 	}
 	again := made(7, "1@a", time.Second)
 	again.Taken = timestamppb.Now()
-	since, err := s.Take(again)
+	since, err := s.ApplyManaged(again)
 	require.NoError(t, err)
 	require.EqualValues(t, 7, since.UnixMilli(), "since it came first")
 	for _, r := range []*pb.Revision{made(6, "1@a", 0), made(6, "9@a", 0), made(7, "2@b", 0)} {
-		_, err = s.Take(r)
+		_, err = s.ApplyManaged(r)
 		require.ErrorIs(t, err, ErrOlder)
 	}
 	s.Close()
 	s = open(t, dir)
-	s.Manage()
-	now, _ = s.Now()
+	s.SetManaged()
+	now, _ = s.Current()
 	require.True(t, proto.Equal(made(7, "1@a", time.Second), now))
 }
 
@@ -61,25 +61,25 @@
 func TestSecondProcessFollows(t *testing.T) {
 	dir := t.TempDir()
 	old, young := open(t, dir), open(t, dir)
-	old.Manage()
-	young.Manage()
+	old.SetManaged()
+	young.SetManaged()
 	select {
-	case <-young.Owned():
+	case <-young.LockAcquired():
 		t.Fatal("two have it")
-	case <-old.Owned():
+	case <-old.LockAcquired():
 	}
 	for number := uint64(1); number < 4; number++ {
-		_, err := old.Take(made(number, "1@a", time.Second))
+		_, err := old.ApplyManaged(made(number, "1@a", time.Second))
 		require.NoError(t, err)
-		r, err := young.After(t.Context(), number-1)
+		r, err := young.NextAfter(t.Context(), number-1)
 		require.NoError(t, err)
 		require.Equal(t, number, r.Number)
 	}
-	_, err := young.Take(made(4, "1@a", time.Second))
+	_, err := young.ApplyManaged(made(4, "1@a", time.Second))
 	require.ErrorIs(t, err, ErrReadOnly)
 	old.Close()
-	<-young.Owned()
-	_, err = young.Take(made(4, "1@a", time.Second))
+	<-young.LockAcquired()
+	_, err = young.ApplyManaged(made(4, "1@a", time.Second))
 	require.NoError(t, err)
 }
 
@@ -101,9 +101,9 @@
 			"but for the empty one at the start and the one in force")
 	}
 	require.Greater(t, len(s.log), 10)
-	_, err := s.After(t.Context(), revisions-5)
+	_, err := s.NextAfter(t.Context(), revisions-5)
 	require.NoError(t, err)
-	_, err = s.After(t.Context(), 1)
+	_, err = s.NextAfter(t.Context(), 1)
 	require.ErrorIs(t, err, ErrGap)
 }
 
@@ -126,14 +126,14 @@
 			d.Teams = append(d.Teams,
 				&pb.Team{Name: fmt.Sprintf("t%02d", i), Quota: rapid.Float64Range(0, 9).Draw(t, "quota")})
 		}
-		entries, err := Entries(d)
+		entries, err := ToEntries(d)
 		require.NoError(t, err)
 		entries["of a newer program"] = []byte{0xff}
 		back, err := FromEntries(entries)
 		require.NoError(t, err)
 		require.True(t, proto.Equal(d, back), "%v\n%v", d, back)
 	})
-	entries, err := Entries(&pb.Settings{Teams: []*pb.Team{{Name: "a"}, {Name: "b"}}})
+	entries, err := ToEntries(&pb.Settings{Teams: []*pb.Team{{Name: "a"}, {Name: "b"}}})
 	require.NoError(t, err)
 	require.Len(t, entries, 2)
 	_, err = FromEntries(map[string][]byte{"sources": {0xff}})
@@ -173,5 +173,5 @@
 	} {
 		require.Contains(t, Check(d).Error(), want)
 	}
-	require.Equal(t, 3., Teams(list(&pb.Team{Name: "a", Quota: 3}))[0].Quota)
+	require.Equal(t, 3., Tenants(list(&pb.Team{Name: "a", Quota: 3}))[0].Quota)
 }
--- a/internal/settings/store.go
+++ b/internal/settings/store.go
@@ -105,9 +105,9 @@
 	return s, fault, nil
 }
 
-// Manage says that revisions are made by the installation's origins and come by Take. What was taken at this instance
+// SetManaged says that revisions are made by the installation's origins and come by Take. What was taken at this instance
 // alone stays in force as revision 0 until the first of theirs comes.
-func (s *Store) Manage() {
+func (s *Store) SetManaged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.managed = true
@@ -123,8 +123,8 @@
 	return r
 }
 
-// Owned is closed when this process has the folder, and no other.
-func (s *Store) Owned() <-chan struct{} { return s.owned }
+// LockAcquired is closed when this process has the folder, and no other.
+func (s *Store) LockAcquired() <-chan struct{} { return s.owned }
 
 func (s *Store) load() (r *pb.Revision, fault, err error) {
 	r = &pb.Revision{Settings: &pb.Settings{}}
@@ -224,8 +224,8 @@
 	s.news = make(chan struct{})
 }
 
-// Now returns the revision in force, and why no other can be taken, if so. Revision 0 is that nothing was ever taken.
-func (s *Store) Now() (r *pb.Revision, readOnly string) {
+// Current returns the revision in force, and why no other can be taken, if so. Revision 0 is that nothing was ever taken.
+func (s *Store) Current() (r *pb.Revision, readOnly string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last(), s.readOnly
@@ -243,7 +243,7 @@
 	}
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	last, readOnly := s.Now()
+	last, readOnly := s.Current()
 	switch {
 	case s.isManaged():
 		return nil, ErrManaged
@@ -280,12 +280,12 @@
 	return s.managed
 }
 
-// Take brings a sound revision of the installation's origins into force, once it is saved, and returns since when it
+// ApplyManaged brings a sound revision of the installation's origins into force, once it is saved, and returns since when it
 // is: one that is in force already is left as it is. Its errors are ErrOlder, ErrReadOnly, or that of saving.
-func (s *Store) Take(r *pb.Revision) (since time.Time, err error) {
+func (s *Store) ApplyManaged(r *pb.Revision) (since time.Time, err error) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	last, readOnly := s.Now()
+	last, readOnly := s.Current()
 	switch {
 	case readOnly != "":
 		return since, fmt.Errorf("%w: %s", ErrReadOnly, readOnly)
@@ -300,9 +300,9 @@
 	return r.Taken.AsTime(), nil
 }
 
-// After returns the revision that follows the one of that number, and waits for it if need be. So a watcher sees each
+// NextAfter returns the revision that follows the one of that number, and waits for it if need be. So a watcher sees each
 // once and in order, and a slow one holds nobody up. After 0 it begins with the one in force, if there ever was one.
-func (s *Store) After(ctx context.Context, number uint64) (*pb.Revision, error) {
+func (s *Store) NextAfter(ctx context.Context, number uint64) (*pb.Revision, error) {
 	for {
 		s.mu.Lock()
 		last, first, news := s.last().Number, s.log[0].Number, s.news
--- a/internal/srv/lookup.go
+++ b/internal/srv/lookup.go
@@ -151,7 +151,7 @@
 		where := targets[strings.ToLower(s.Target)]
 		for _, ip := range where.ips {
 			if a, err := addresses.Parse(netip.AddrPortFrom(ip, s.Port).String()); err == nil &&
-				len(r.Addresses) < addresses.Most {
+				len(r.Addresses) < addresses.MaxAddresses {
 				r.Addresses = append(r.Addresses, a)
 			}
 		}
--- a/internal/srv/srv.go
+++ b/internal/srv/srv.go
@@ -20,16 +20,16 @@
 // Sink is told what becomes of each name.
 type Sink interface {
 	Now() int64 // microseconds; what expires does so on this clock
-	Answer(name string, records []sources.Record)
-	Empty(name string)
-	Failed(name, fault string)
+	ApplyAnswer(name string, records []sources.Record)
+	ApplyEmptyAnswer(name string)
+	RecordFailure(name, fault string)
 }
 
 // Options say whom to ask, and how.
 type Options struct {
-	Resolvers   []string // IP:port
-	Timeout     time.Duration
-	Least, Most time.Duration // bounds on lifetimes
+	Resolvers                []string // IP:port
+	Timeout                  time.Duration
+	MinLifetime, MaxLifetime time.Duration // bounds on lifetimes
 }
 
 // Source keeps asking for names, each before its lifetime ends.
@@ -52,7 +52,7 @@
 		stop()
 	}
 	clear(s.names)
-	l := &lookup{resolvers: newResolvers(o.Resolvers, o.Timeout), least: o.Least, most: o.Most,
+	l := &lookup{resolvers: newResolvers(o.Resolvers, o.Timeout), least: o.MinLifetime, most: o.MaxLifetime,
 		places: map[string]place{}}
 	for _, name := range names {
 		ctx, stop := context.WithCancel(context.Background())
@@ -101,17 +101,17 @@
 		pause := refresh(f.life)
 		switch {
 		case err != nil:
-			s.sink.Failed(name, err.Error())
+			s.sink.RecordFailure(name, err.Error())
 			pause = min(retryLeast<<min(failures, 10), retryMost)
 			pause = pause/2 + rand.N(pause/2+1)
 			failures++
 		case f.empty:
-			s.sink.Empty(name)
+			s.sink.ApplyEmptyAnswer(name)
 		default:
 			for i := range f.records { // from when it was asked for: it may have been on its way for long
 				f.records[i].Expires = asked + f.lives[i].Microseconds()
 			}
-			s.sink.Answer(name, f.records)
+			s.sink.ApplyAnswer(name, f.records)
 		}
 		if err == nil {
 			failures = 0
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -185,11 +185,11 @@
 	s.events, s.when = append(s.events, e), append(s.when, time.Now())
 }
 func (s *sink) Now() int64 { return time.Now().UnixMicro() }
-func (s *sink) Answer(_ string, records []sources.Record) {
+func (s *sink) ApplyAnswer(_ string, records []sources.Record) {
 	s.add(fmt.Sprintf("answer %d", len(records)))
 }
-func (s *sink) Empty(string)           { s.add("empty") }
-func (s *sink) Failed(_, fault string) { s.add("failed " + fault) }
+func (s *sink) ApplyEmptyAnswer(string)       { s.add("empty") }
+func (s *sink) RecordFailure(_, fault string) { s.add("failed " + fault) }
 func (s *sink) all() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,7 @@
 	k := &sink{}
 	s := New(k)
 	s.Configure(Options{Resolvers: []string{r.Address()}, Timeout: 100 * time.Millisecond,
-		Least: 100 * time.Millisecond, Most: time.Hour}, []string{jobs})
+		MinLifetime: 100 * time.Millisecond, MaxLifetime: time.Hour}, []string{jobs})
 	time.Sleep(4200 * time.Millisecond)
 	n := r.Queries(jobs, "SRV")
 	require.GreaterOrEqual(t, n, 4)
@@ -230,8 +230,8 @@
 	var all []*Source
 	for range 48 {
 		s := New(&sink{})
-		s.Configure(Options{Resolvers: []string{r.Address()}, Timeout: time.Second, Least: time.Second,
-			Most: time.Hour}, []string{jobs})
+		s.Configure(Options{Resolvers: []string{r.Address()}, Timeout: time.Second, MinLifetime: time.Second,
+			MaxLifetime: time.Hour}, []string{jobs})
 		all = append(all, s)
 	}
 	time.Sleep(3 * time.Second)
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -37,9 +37,9 @@
 	headSize  = 5
 )
 
-// Path names the socket of the dispatcher of that name at that address. The name may hold anything, and a socket's
+// SocketPath names the socket of the dispatcher of that name at that address. The name may hold anything, and a socket's
 // path must be short.
-func Path(name, listen string) string {
+func SocketPath(name, listen string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
 			return r
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return New(c), nil
+	return NewLink(c), nil
 }
 
 // Link is one end of the connection between two processes.
@@ -96,8 +96,8 @@
 	files []*os.File // that came and belong to frames not read yet
 }
 
-// New makes a link of a connection.
-func New(c *net.UnixConn) *Link { return &Link{c: c, wait: map[uint32]chan bool{}} }
+// NewLink makes a link of a connection.
+func NewLink(c *net.UnixConn) *Link { return &Link{c: c, wait: map[uint32]chan bool{}} }
 
 // Close ends the link.
 func (l *Link) Close() error { return l.c.Close() }
@@ -135,8 +135,8 @@
 
 // What comes of a question without an answer.
 var (
-	ErrEnded  = errors.New("the other process has gone")
-	ErrSilent = errors.New("the other process does not answer")
+	ErrLinkClosed = errors.New("the other process has gone")
+	ErrNoReply    = errors.New("the other process does not answer")
 )
 
 // Ask puts a question and waits for its answer.
@@ -145,7 +145,7 @@
 	l.mu.Lock()
 	if l.ended {
 		l.mu.Unlock()
-		return false, ErrEnded
+		return false, ErrLinkClosed
 	}
 	l.last++
 	id := l.last
@@ -162,11 +162,11 @@
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return false, ErrEnded
+			return false, ErrLinkClosed
 		}
 		return a, nil
 	case <-time.After(limit):
-		return false, ErrSilent
+		return false, ErrNoReply
 	}
 }
 
@@ -175,7 +175,7 @@
 func (l *Link) Run(handle func(Frame), answer func(body []byte) bool) error {
 	defer l.end()
 	for {
-		f, err := l.Next()
+		f, err := l.ReadFrame()
 		if err != nil {
 			return err
 		}
@@ -218,18 +218,18 @@
 	l.files = nil
 }
 
-// ErrTooLarge is a frame of more bytes than any has.
-var ErrTooLarge = errors.New("a frame is too large")
+// ErrFrameTooLarge is a frame of more bytes than any has.
+var ErrFrameTooLarge = errors.New("a frame is too large")
 
-// Next reads one frame. It is for the first words of two processes, before Run. After a deadline that is over it may be
+// ReadFrame reads one frame. It is for the first words of two processes, before Run. After a deadline that is over it may be
 // called again, and goes on where it was.
-func (l *Link) Next() (Frame, error) {
+func (l *Link) ReadFrame() (Frame, error) {
 	if err := l.fill(headSize); err != nil {
 		return Frame{}, err
 	}
 	f, size := Frame{Kind: l.read[0]}, int(binary.BigEndian.Uint32(l.read[1:]))
 	if size > largest {
-		return Frame{}, ErrTooLarge
+		return Frame{}, ErrFrameTooLarge
 	}
 	if err := l.fill(headSize + size); err != nil {
 		return Frame{}, err
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	c, err := ln.AcceptUnix()
 	require.NoError(t, err)
-	b = New(c)
+	b = NewLink(c)
 	t.Cleanup(func() { a.Close(); b.Close() })
 	return a, b
 }
@@ -49,7 +49,7 @@
 		served.Close()
 	}()
 	for _, want := range []struct{ kind, body string }{{"1", long}, {"2", "with"}, {"3", ""}} {
-		f, err := b.Next()
+		f, err := b.ReadFrame()
 		require.NoError(t, err)
 		require.Equal(t, want.kind, string(f.Kind))
 		require.Equal(t, want.body, string(f.Body))
@@ -83,7 +83,7 @@
 	}))
 	require.NoError(t, err)
 	b.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	_, err = b.Next()
+	_, err = b.ReadFrame()
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	f := b.TakeFile()
 	require.NotNil(t, f)
@@ -97,7 +97,7 @@
 		text string
 		file bool
 	}{{"half", false}, {"next", true}} {
-		got, err := b.Next()
+		got, err := b.ReadFrame()
 		require.NoError(t, err)
 		require.Equal(t, want.text, string(got.Body))
 		require.Equal(t, want.file, got.File != nil)
@@ -152,7 +152,7 @@
 }
 
 func TestPath(t *testing.T) {
-	require.NotEqual(t, Path("n1", "127.0.0.1:1"), Path("n1", "127.0.0.1:2"))
-	require.NotEqual(t, Path("n/1", "a"), Path("n_1", "a"))
-	require.Less(t, len(Path(strings.Repeat("../", 99), "a"))-len(os.TempDir()), 28)
+	require.NotEqual(t, SocketPath("n1", "127.0.0.1:1"), SocketPath("n1", "127.0.0.1:2"))
+	require.NotEqual(t, SocketPath("n/1", "a"), SocketPath("n_1", "a"))
+	require.Less(t, len(SocketPath(strings.Repeat("../", 99), "a"))-len(os.TempDir()), 28)
 }
--- a/internal/upstream/attempts_test.go
+++ b/internal/upstream/attempts_test.go
@@ -19,17 +19,17 @@
 // absence is a client that has left once it is set.
 type absence struct{ atomic.Bool }
 
-func (a *absence) Left() bool { return a.Load() }
+func (a *absence) Disconnected() bool { return a.Load() }
 
 // holdDials makes connections to the host come up only when gate is closed, whether it has one address or several.
 func (h *hosting) holdDials(several bool) (gate chan struct{}) {
 	gate = make(chan struct{})
 	client := func() *fasthttp.HostClient { return h.client(h.host.Addr) }
 	if several {
-		list, faults := addresses.List([]string{h.host.Addr})
+		list, faults := addresses.ParseList([]string{h.host.Addr})
 		require.Empty(h, faults)
-		h.host.Several = true
-		h.Readdress(h.host.ID, list)
+		h.host.MultiAddress = true
+		h.SetAddresses(h.host.ID, list)
 		client = func() *fasthttp.HostClient {
 			rt := h.routes[h.host.ID]
 			rt.mu.Lock()
@@ -47,7 +47,7 @@
 
 // attempt makes one of the attempts of an exchange, and tells how it ended.
 func (h *hosting) attempt(x *exchange.Exchange, due int64) (*exchange.Relay, chan ending) {
-	r, end := x.Relay(h.host, h.core.Now(), due), make(chan ending, 1)
+	r, end := x.AddRelay(h.host, h.core.Now(), due), make(chan ending, 1)
 	go func() {
 		o, _, ended := h.relay(r)
 		end <- ending{o, ended}
@@ -56,8 +56,8 @@
 }
 
 func (h *hosting) exchange(client exchange.Client) *exchange.Exchange {
-	return exchange.For(client, exchange.Message{ID: "1", Method: "POST", Path: "/api",
-		Fields: []exchange.Field{{Name: "Host", Value: "x"}, {Name: "X-Request-ID", Value: "1"},
+	return exchange.NewForClient(client, exchange.Message{ID: "1", Method: "POST", Path: "/api",
+		Fields: []exchange.HeaderField{{Name: "Host", Value: "x"}, {Name: "X-Request-ID", Value: "1"},
 			{Name: "X-Timeout-Ms", Value: "60000"}}})
 }
 
@@ -80,7 +80,7 @@
 	everySlowDial(t, func(t *testing.T, h *hosting, held time.Duration, further, several bool) {
 		x, due := h.exchange(nil), h.core.Now()+10e6
 		if further {
-			x.Relay(&exchange.Host{ID: "other"}, h.core.Now(), due).End()
+			x.AddRelay(&exchange.Host{ID: "other"}, h.core.Now(), due).End()
 		}
 		gate := h.holdDials(several)
 		r, end := h.attempt(x, due)
@@ -109,7 +109,7 @@
 					due = h.core.Now() + held.Microseconds()/2
 				}
 				if further {
-					x.Relay(&exchange.Host{ID: "other"}, h.core.Now(), due).End()
+					x.AddRelay(&exchange.Host{ID: "other"}, h.core.Now(), due).End()
 				}
 				gate := h.holdDials(several)
 				r, end := h.attempt(x, due)
@@ -118,13 +118,13 @@
 				close(gate)
 				got, givenUp := take(t, end), several && why == "late"
 				if givenUp { // before the connection is up
-					require.Contains(t, []topazfall.Outcome{topazfall.Superseded, topazfall.RefusedConn}, got.outcome)
+					require.Contains(t, []topazfall.Outcome{topazfall.NeverSent, topazfall.ConnectionRefused}, got.outcome)
 				} else {
-					require.Equal(t, ending{topazfall.Superseded, true}, got)
+					require.Equal(t, ending{topazfall.NeverSent, true}, got)
 				}
-				require.Equal(t, client.Load(), x.HasLeft())
-				h.CallOff(r)
-				require.Eventually(t, func() bool { return h.conns.Load() == 1 && !h.Busy() }, patience,
+				require.Equal(t, client.Load(), x.IsDisconnected())
+				h.Cancel(r)
+				require.Eventually(t, func() bool { return h.conns.Load() == 1 && !h.HasPendingCancels() }, patience,
 					time.Millisecond)
 				next, _ := h.relays("2", true)
 				require.Equal(t, "2", h.next().id, "nothing of the first was written, nor called off")
@@ -160,6 +160,6 @@
 		return c, err
 	}
 	_, end := h.attempt(h.exchange(client), h.core.Now()+60e6)
-	require.Equal(t, ending{topazfall.Superseded, true}, take(t, end))
+	require.Equal(t, ending{topazfall.NeverSent, true}, take(t, end))
 	require.Empty(t, h.got)
 }
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -61,21 +61,21 @@
 				Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3, Cancel: true}}, f)
 			require.NoError(b, err)
 			s := New(core,
-				Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Minute}, Conns: 64, Metrics: f})
+				Options{ConnSettings: ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Minute}, MaxConns: 64, Metrics: f})
 			go core.Run(s, noInventory{})
-			core.List(topazfall.ListStale,
+			core.ApplyList(topazfall.ListRestored,
 				[]dispatch.Entry{{Addr: ln.Addr().String(), Worker: topazfall.Worker{ID: "h", Zone: "z", Kind: "k"}}})
 			body := []byte("a message with its end")
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				x := exchange.New(exchange.Message{ID: strconv.Itoa(i), Method: "POST", Path: "/api", Body: body,
 					Tenant: -1, Due: core.Now() + 60e6, Once: once})
-				core.Arrive(x)
+				core.Submit(x)
 				core.Sync() // the relay is there
-				for !x.Relays[0].Accepted() {
+				for !x.Relays[0].IsAccepted() {
 					runtime.Gosched()
 				}
-				core.Noted(dispatch.Note{ID: x.ID, From: "h", State: dispatch.Over, Outcome: topazfall.Completed,
+				core.PostCallback(dispatch.Callback{ID: x.ID, From: "h", State: dispatch.Finished, Outcome: topazfall.Completed,
 					Load: topazfall.NoLoad})
 				<-x.Answer()
 			}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -21,9 +21,9 @@
 // is written to it is lost as if it had run: a new one costs some milliseconds, a message that must not run
 // twice all of it. And a host may answer the message before a second time, when this one is on its way already: taken
 // for its own, that would end a relay which still runs. The others use kept ones as long as these live.
-func (s *Side) fresh(r *exchange.Relay) bool { return r.Exchange.Own || s.wary() }
+func (s *Transport) fresh(r *exchange.Relay) bool { return r.Exchange.FreshConnOnly || s.wary() }
 
-func (s *Side) wary() bool { return s.core.Now()-s.burnt.Load() < burntTime.Microseconds() }
+func (s *Transport) wary() bool { return s.core.Now()-s.burnt.Load() < burntTime.Microseconds() }
 
 var errNotSent = errors.New("not sent")
 
@@ -44,8 +44,8 @@
 
 // talk makes one call to a host: it writes the request once and reads the answer. written tells whether the last byte
 // was handed to the connection: before that nothing can have run.
-func (s *Side) talk(h *exchange.Host, c call) (written bool, err error) {
-	if h.Several {
+func (s *Transport) talk(h *exchange.Host, c call) (written bool, err error) {
+	if h.MultiAddress {
 		return s.across(h, c)
 	}
 	client := s.client(h.Addr)
@@ -68,7 +68,7 @@
 
 // say makes a call on this connection. n is how many bytes were handed to it, written tells whether all were; keep,
 // whether the connection may be used again.
-func (s *Side) say(client *fasthttp.HostClient, l *line, c call) (n int, written, keep bool, err error) {
+func (s *Transport) say(client *fasthttp.HostClient, l *line, c call) (n int, written, keep bool, err error) {
 	used := l.used
 	l.SetWriteDeadline(c.writeBy)
 	l.SetReadDeadline(c.readBy)
@@ -113,7 +113,7 @@
 	switch out.StatusCode() {
 	case fasthttp.StatusAccepted:
 		if r != nil {
-			r.Accept()
+			r.MarkAccepted()
 		}
 	case fasthttp.StatusNoContent, fasthttp.StatusNotModified: // without a body
 		return nil
@@ -131,9 +131,9 @@
 
 // spent tells that a kept connection is of no use any more: it is stale, or has been idle for so long that the host may
 // be closing it right now. The pool's own cleaner sees to that in time, but for when the process stood still.
-func (s *Side) spent(l *line) bool {
+func (s *Transport) spent(l *line) bool {
 	idle := s.core.Now() - max(l.idle, l.born)
-	return idle > s.timesNow().ConnIdle.Microseconds()*2/3 || stale(l)
+	return idle > s.timesNow().IdleTimeout.Microseconds()*2/3 || stale(l)
 }
 
 // hop names the fields that belong to the client's connection, or that are written anew.
--- a/internal/upstream/callback.go
+++ b/internal/upstream/callback.go
@@ -15,15 +15,15 @@
 	"topazfall/internal/dispatch"
 )
 
-// CallBack takes the body of one call-back and tells whether its message is in hand here. The error says why it
+// HandleCallback takes the body of one call-back and tells whether its message is in hand here. The error says why it
 // cannot be read.
-func (s *Side) CallBack(body []byte) (taken bool, err error) {
+func (s *Transport) HandleCallback(body []byte) (taken bool, err error) {
 	n, known, err := parseNote(body)
 	if err != nil || !known { // a state that says nothing here says nothing anywhere
 		return err == nil, err
 	}
-	taken = s.core.Take(n)
-	if n.State == dispatch.Over {
+	taken = s.core.HandleCallback(n)
+	if n.State == dispatch.Finished {
 		s.lastWords(n.ID, n.From)
 	}
 	return taken, nil
@@ -31,7 +31,7 @@
 
 // lastWords bounds the time for what a host still has to say on the connection of a job that it has told the end of.
 // An answer may come after the call-back, and lets the connection be used again; or it never ends.
-func (s *Side) lastWords(id, host string) {
+func (s *Transport) lastWords(id, host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for r, c := range s.early {
@@ -43,13 +43,13 @@
 
 // ends translates the states that end a job into the module's outcomes.
 var ends = map[string]topazfall.Outcome{"done": topazfall.Completed, "failed": topazfall.Errored,
-	"returned": topazfall.Saturated, "lost": topazfall.Severed}
+	"returned": topazfall.Saturated, "lost": topazfall.ConnectionLost}
 
 // oddLoad finds a load report in a call-back. In a string its quotes would be escaped.
 var oddLoad = regexp.MustCompile(`"load"\s*:\s*\{[^{}"]*("[a-z0-9_]*"[^{}"]*)*\}`)
 
 // parseNote reads a call-back; known is false for a state that says nothing to this dispatcher.
-func parseNote(body []byte) (n dispatch.Note, known bool, err error) {
+func parseNote(body []byte) (n dispatch.Callback, known bool, err error) {
 	var f struct {
 		ID     string              `json:"id"`
 		From   string              `json:"from"`
@@ -71,14 +71,14 @@
 		return n, false, fmt.Errorf("id %q from %q state %q", f.ID, f.From, f.State)
 	}
 	// one that can't be read costs itself only
-	n = dispatch.Note{ID: f.ID, From: f.From, Share: f.Share, Load: bodyLoad(f.Load)}
+	n = dispatch.Callback{ID: f.ID, From: f.From, Progress: f.Share, Load: bodyLoad(f.Load)}
 	switch f.State {
 	case "started":
 		n.State = dispatch.Started
 	case "running":
 		n.State = dispatch.Running
 	default:
-		n.State = dispatch.Over
+		n.State = dispatch.Finished
 		if n.Outcome, known = ends[f.State]; !known {
 			return n, false, nil
 		}
--- a/internal/upstream/callback_test.go
+++ b/internal/upstream/callback_test.go
@@ -13,14 +13,14 @@
 	n, known, err := parseNote([]byte(`{"id":"1","from":"s","state":"returned","load":{"pending":7,"x0":0.4,"odd":1}}`))
 	require.NoError(t, err)
 	require.True(t, known)
-	require.Equal(t, dispatch.Note{ID: "1", From: "s", State: dispatch.Over, Outcome: topazfall.Saturated,
+	require.Equal(t, dispatch.Callback{ID: "1", From: "s", State: dispatch.Finished, Outcome: topazfall.Saturated,
 		Load: topazfall.Load{Queue: 7, Free: 0.4, Inflight: -1, Util: -1}}, n)
 
 	n, known, err = parseNote([]byte(`{"id":"1","from":"s","state":"running","share":0.25}`))
 	require.NoError(t, err)
 	require.True(t, known)
 	require.Equal(t, dispatch.Running, n.State)
-	require.Equal(t, 0.25, n.Share)
+	require.Equal(t, 0.25, n.Progress)
 
 	for _, load := range []string{`null`, `[]`, `"x0=7"`, `{"x0":"7"}`, `{"x0":null,"pending":[]}`, `{"x0":-3}`,
 		`{"x0":1e400}`, `{"x0": NaN, "pending":-Infinity}`} {
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -41,7 +41,7 @@
 
 type hosting struct {
 	*testing.T
-	*Side
+	*Transport
 	host *exchange.Host
 	core *dispatch.Core
 	got  chan got
@@ -74,8 +74,8 @@
 	h.core, err = dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
 		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
-	h.Side = New(h.core,
-		Options{Times: Times{DialTimeout: time.Minute, ConnIdle: time.Hour}, Conns: 9, Metrics: &metrics.Metrics{}})
+	h.Transport = New(h.core,
+		Options{ConnSettings: ConnSettings{DialTimeout: time.Minute, IdleTimeout: time.Hour}, MaxConns: 9, Metrics: &metrics.Metrics{}})
 	return h
 }
 
@@ -88,9 +88,9 @@
 // relays sends a message; own says that its answer must be its own.
 func (h *hosting) relays(id string, own bool) (*exchange.Relay, chan ending) {
 	x := exchange.New(exchange.Message{ID: id, Method: "POST", Path: "/api",
-		Fields: []exchange.Field{{Name: "Host", Value: "x"}, {Name: "X-Request-ID", Value: id}}})
-	x.Own = own
-	r, end := x.Relay(h.host, h.core.Now(), h.core.Now()+time.Minute.Microseconds()), make(chan ending, 1)
+		Fields: []exchange.HeaderField{{Name: "Host", Value: "x"}, {Name: "X-Request-ID", Value: id}}})
+	x.FreshConnOnly = own
+	r, end := x.AddRelay(h.host, h.core.Now(), h.core.Now()+time.Minute.Microseconds()), make(chan ending, 1)
 	go func() {
 		o, _, ended := h.relay(r)
 		end <- ending{o, ended}
@@ -131,7 +131,7 @@
 			second.answer(t, accepted)
 		}
 		require.Equal(t, own, !take(t, end).ended)
-		require.Equal(t, own, r.Accepted())
+		require.Equal(t, own, r.IsAccepted())
 	}
 }
 
@@ -152,7 +152,7 @@
 	require.False(t, first.Conn == second.Conn)
 	second.answer(t, accepted)
 	require.False(t, take(t, end).ended)
-	require.True(t, r.Accepted())
+	require.True(t, r.IsAccepted())
 }
 
 // A relay that is called off when its answer is here and its connection goes back to the others: the call-off must not
@@ -179,7 +179,7 @@
 	h.mu.Unlock()
 	require.False(t, take(t, end).ended)
 	require.Eventually(t, back, patience, time.Millisecond)
-	h.CallOff(r)
+	h.Cancel(r)
 	require.Empty(t, h.early)
 	require.False(t, stale(func() net.Conn {
 		cc, err := client.AcquireConn(0, false)
@@ -193,12 +193,12 @@
 // of it, or when its time is up.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	h := newHosting(t)
-	go h.core.Run(nowhere{h.Side}, nowhere{h.Side})
+	go h.core.Run(nowhere{h.Transport}, nowhere{h.Transport})
 	r, end := h.relays("1", false)
 	first := h.next()
 	first.answer(t, "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nx")
 	r.End() // as when its job is done
-	_, err := h.CallBack([]byte(`{"id":"1","from":"h","state":"done","result":"r"}`))
+	_, err := h.HandleCallback([]byte(`{"id":"1","from":"h","state":"done","result":"r"}`))
 	require.NoError(t, err)
 	require.False(t, take(t, end).ended)
 	take(t, first.ended)
@@ -213,20 +213,20 @@
 		"Transfer-Encoding: chunked\r\n\r\nxyz\r\n"} {
 		for _, several := range []bool{false, true} {
 			h := newHosting(t)
-			if h.host.Several = several; several {
-				list, faults := addresses.List([]string{h.host.Addr})
+			if h.host.MultiAddress = several; several {
+				list, faults := addresses.ParseList([]string{h.host.Addr})
 				require.Empty(t, faults)
-				h.Readdress(h.host.ID, list)
+				h.SetAddresses(h.host.ID, list)
 			}
 			r, end := h.relays("1", false)
 			first := h.next()
 			first.answer(t, "HTTP/1.1 202 Accepted\r\n"+rest)
-			require.Eventually(t, r.Accepted, patience, time.Millisecond, "it can be handed over from now on")
+			require.Eventually(t, r.IsAccepted, patience, time.Millisecond, "it can be handed over from now on")
 			first.Close()
 			require.False(t, take(t, end).ended)
 			require.Eventually(t, func() bool { return h.conns.Load() == 0 }, patience, time.Millisecond)
 			require.Empty(t, h.got)
-			require.Zero(t, h.o.Metrics.Resets.Load(), "its address has lost nothing")
+			require.Zero(t, h.o.Metrics.AddressResets.Load(), "its address has lost nothing")
 		}
 	}
 }
@@ -247,12 +247,12 @@
 			require.Empty(t, end)
 			off.answer(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
-		require.Equal(t, ending{topazfall.Severed, true}, take(t, end))
+		require.Equal(t, ending{topazfall.ConnectionLost, true}, take(t, end))
 		require.Empty(t, h.got)
 	}
 }
 
-type nowhere struct{ *Side }
+type nowhere struct{ *Transport }
 
 func (nowhere) Follow() {}
 func (nowhere) Fetch()  {}
@@ -289,8 +289,8 @@
 	r, end := h.relays("1", true)
 	h.host.SetClosed(true) // it drains meanwhile
 	close(gate)
-	require.Equal(t, ending{topazfall.Superseded, true}, take(t, end))
-	require.False(t, r.Ended())
+	require.Equal(t, ending{topazfall.NeverSent, true}, take(t, end))
+	require.False(t, r.IsEnded())
 	require.EqualValues(t, 1, h.conns.Load())
 	h.host.SetClosed(false)
 	h.relays("2", true)
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -40,7 +40,7 @@
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
 		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
-	s := New(core, Options{Times: Times{DialTimeout: time.Minute, ConnIdle: time.Hour}, Conns: 1})
+	s := New(core, Options{ConnSettings: ConnSettings{DialTimeout: time.Minute, IdleTimeout: time.Hour}, MaxConns: 1})
 	call := func() error {
 		return s.call("GET", "/health", &exchange.Host{ID: "h", Addr: ln.Addr().String()}, time.Minute, nil)
 	}
--- a/internal/upstream/route.go
+++ b/internal/upstream/route.go
@@ -28,9 +28,9 @@
 	pools map[addresses.Address]*fasthttp.HostClient
 }
 
-// Readdress takes the addresses of a host as they are now; nil is for a host that has gone, or has none but its dial.
+// SetAddresses takes the addresses of a host as they are now; nil is for a host that has gone, or has none but its dial.
 // Connections and what was learned of the addresses that stay are kept; the others end what is on them.
-func (s *Side) Readdress(host string, list []addresses.Address) {
+func (s *Transport) SetAddresses(host string, list []addresses.Address) {
 	s.mu.Lock()
 	rt := s.routes[host]
 	switch {
@@ -46,7 +46,7 @@
 	}
 	s.mu.Unlock()
 	if rt != nil {
-		s.o.Metrics.Several.Store(true)
+		s.o.Metrics.HasMultiAddress.Store(true)
 		rt.keep(list)
 	}
 }
@@ -83,7 +83,7 @@
 }
 
 // pool keeps the connections to one address; rt.mu is held. The settings are those of Side.client.
-func (s *Side) pool(rt *route, a addresses.Address, t Times) *fasthttp.HostClient {
+func (s *Transport) pool(rt *route, a addresses.Address, t ConnSettings) *fasthttp.HostClient {
 	c := rt.pools[a]
 	if c == nil {
 		c = s.newClient(a.String(), t, s.dial(a.Network(), a.Target(), t.DialTimeout))
@@ -93,14 +93,14 @@
 }
 
 // limits are the knobs of the addresses; s.mu is held.
-func (s *Side) limits() addresses.Limits {
+func (s *Transport) limits() addresses.Limits {
 	l := s.knobs
-	l.Probe = s.times.Probe
+	l.CanProbe = s.times.ProbeAllowed
 	return l
 }
 
 // SetAddressLimits changes the knobs of the addresses; Probe is that of the settings.
-func (s *Side) SetAddressLimits(l addresses.Limits) {
+func (s *Transport) SetAddressLimits(l addresses.Limits) {
 	s.mu.Lock()
 	s.knobs = l
 	l, routes := s.limits(), slices.Collect(maps.Values(s.routes))
@@ -117,7 +117,7 @@
 
 // way is one call's way to a host with several addresses.
 type way struct {
-	s       *Side
+	s       *Transport
 	rt      *route
 	race    *addresses.Race
 	fresh   bool
@@ -128,14 +128,14 @@
 
 // find begins the race for a connection to the host, which must be found by a time on the core's clock. What is due to
 // be proved beside the messages is so now.
-func (s *Side) find(rt *route, once, fresh bool, by int64) *way {
+func (s *Transport) find(rt *route, once, fresh bool, by int64) *way {
 	w := &way{s: s, rt: rt, fresh: fresh, wake: make(chan struct{}, 1)}
 	now := s.core.Now()
 	rt.mu.Lock()
-	w.race = rt.set.Race(now, by, once)
-	a, how := rt.set.Trial(now)
+	w.race = rt.set.NewRace(now, by, once)
+	a, how := rt.set.NextTrial(now)
 	rt.mu.Unlock()
-	if how != addresses.NoProof {
+	if how != addresses.NoTrial {
 		go s.prove(rt, a, how)
 	}
 	return w
@@ -150,14 +150,14 @@
 		step := w.race.Step(now)
 		won := w.won
 		var client *fasthttp.HostClient
-		if step.Move == addresses.Open {
+		if step.Action == addresses.Open {
 			client = w.s.pool(w.rt, step.Address, t)
 		}
 		w.rt.mu.Unlock()
-		switch step.Move {
+		switch step.Action {
 		case addresses.Use:
 			if w.started > 1 {
-				w.s.o.Metrics.Moved.Add(1)
+				w.s.o.Metrics.AddressMoves.Add(1)
 			}
 			return step.Address, won, nil
 		case addresses.GiveUp:
@@ -201,16 +201,16 @@
 
 // ready takes a connection that can carry something: one on which nothing was sent yet, if fresh is set. One that was
 // opened for it and has ended already is an error: another would most likely fare the same.
-func (s *Side) ready(client *fasthttp.HostClient, fresh bool, began int64) (*line, error) {
+func (s *Transport) ready(client *fasthttp.HostClient, fresh bool, began int64) (*line, error) {
 	for {
 		cc, err := client.AcquireConn(0, false)
 		if err != nil {
-			s.o.Metrics.Unopened.Add(1)
+			s.o.Metrics.AddressFailed.Add(1)
 			return nil, err
 		}
 		l := cc.Conn().(*line)
 		if l.born >= began {
-			s.o.Metrics.Opened.Add(1)
+			s.o.Metrics.AddressOpened.Add(1)
 		}
 		dead := s.spent(l)
 		if !dead && !(fresh && l.used) {
@@ -234,7 +234,7 @@
 
 // park keeps a connection that is not used, if there is room and the host still has the address. The quarter that is
 // left is for the messages that come.
-func (s *Side) park(rt *route, a addresses.Address, client *fasthttp.HostClient, l *line) {
+func (s *Transport) park(rt *route, a addresses.Address, client *fasthttp.HostClient, l *line) {
 	rt.mu.Lock()
 	keep := rt.set.Has(a) && rt.pools[a] == client
 	rt.mu.Unlock()
@@ -245,14 +245,14 @@
 func failure(err error) addresses.Failure {
 	switch {
 	case err == errDead:
-		return addresses.WasReset
+		return addresses.ConnectionReset
 	case errors.Is(err, errTooMany), errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, syscall.EMFILE),
 		errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.EADDRNOTAVAIL), errors.Is(err, syscall.ENOBUFS):
-		return addresses.Elsewhere // we lack something, not the host
+		return addresses.Unrelated // we lack something, not the host
 	case isTimeout(err):
-		return addresses.Unheard
+		return addresses.ConnectTimeout
 	}
-	return addresses.Refused
+	return addresses.ConnectionRefused
 }
 
 func isTimeout(err error) bool {
@@ -261,17 +261,17 @@
 }
 
 // prove tries an address beside the messages.
-func (s *Side) prove(rt *route, a addresses.Address, how addresses.Proof) {
-	s.o.Metrics.Trials.Add(1)
+func (s *Transport) prove(rt *route, a addresses.Address, how addresses.TrialKind) {
+	s.o.Metrics.AddressTrials.Add(1)
 	began, t := s.core.Now(), s.timesNow()
 	rt.mu.Lock()
 	client := s.pool(rt, a, t)
 	rt.mu.Unlock()
-	why := addresses.Fine
+	why := addresses.NoFailure
 	switch l, err := s.ready(client, true, began); {
 	case err != nil:
 		why = failure(err)
-	case how == addresses.Connect:
+	case how == addresses.ConnectTrial:
 		s.park(rt, a, client, l)
 	default:
 		out := fasthttp.AcquireResponse()
@@ -280,18 +280,18 @@
 		_, _, keep, err := s.say(client, l, call{out: out, writeBy: by, readBy: by,
 			compose: bare("GET", "/status/load", rt.host)})
 		if l.give(keep); err != nil {
-			why = addresses.WasReset
+			why = addresses.ConnectionReset
 		}
 	}
 	rt.mu.Lock()
-	rt.set.Tried(s.core.Now(), a, how, began, why)
+	rt.set.TrialEnded(s.core.Now(), a, how, began, why)
 	rt.mu.Unlock()
 	rt.log()
 }
 
 // across is talk for a host with several addresses. Until something is written it moves from one to the next; what
 // became of the call is told to the set.
-func (s *Side) across(h *exchange.Host, c call) (written bool, err error) {
+func (s *Transport) across(h *exchange.Host, c call) (written bool, err error) {
 	s.mu.Lock()
 	rt, by := s.routes[h.ID], s.core.Now()+s.times.DialTimeout.Microseconds()
 	s.mu.Unlock()
@@ -323,19 +323,19 @@
 		now := s.core.Now()
 		switch {
 		case moved: // it is another host's by now, and what listens there perhaps as well
-			w.race.Failed(now, a, addresses.Elsewhere)
+			w.race.Failed(now, a, addresses.Unrelated)
 		case err == nil:
 			rt.set.Answered(now, a, began, !c.proves)
 		case err == errNotSent || isTimeout(err): // no word on the address
-		case c.relay != nil && (c.relay.Ended() || c.relay.Accepted()): // nor this
+		case c.relay != nil && (c.relay.IsEnded() || c.relay.IsAccepted()): // nor this
 		case n > 0 && fresh:
-			s.o.Metrics.Resets.Add(1)
-			rt.set.Reset(now, a, began, c.once)
+			s.o.Metrics.AddressResets.Add(1)
+			rt.set.RequestReset(now, a, began, c.once)
 		case n > 0:
-			rt.set.Broke(a)
+			rt.set.KeptConnectionClosed(a)
 		}
 		if !moved {
-			w.race.Settle()
+			w.race.Finish()
 		}
 		rt.mu.Unlock()
 		rt.log()
@@ -348,11 +348,11 @@
 // log says what is believed anew.
 func (rt *route) log() {
 	rt.mu.Lock()
-	news := rt.set.News()
+	news := rt.set.Changes()
 	rt.mu.Unlock()
 	for _, m := range news {
 		level := slog.LevelInfo
-		if m.State != addresses.Good || m.Doubt != addresses.None {
+		if m.State != addresses.Good || m.Doubt != addresses.NoDoubt {
 			level = slog.LevelWarn
 		}
 		slog.Log(context.Background(), level, "address", "host", rt.host, "address", m.Address, "state", m.State,
@@ -360,15 +360,15 @@
 	}
 }
 
-// Legacy is what another process goes on with: what is believed of the addresses, by host.
-type Legacy map[string][]addresses.Memory
+// HandoverState is what another process goes on with: what is believed of the addresses, by host.
+type HandoverState map[string][]addresses.Memory
 
-// Legacy returns what is believed now.
-func (s *Side) Legacy() Legacy {
+// HandoverState returns what is believed now.
+func (s *Transport) HandoverState() HandoverState {
 	s.mu.Lock()
 	routes := slices.Collect(maps.Values(s.routes))
 	s.mu.Unlock()
-	l := Legacy{}
+	l := HandoverState{}
 	for _, rt := range routes {
 		rt.mu.Lock()
 		l[rt.host] = rt.set.Memory()
@@ -377,8 +377,8 @@
 	return l
 }
 
-// Inherit goes on with a legacy; it comes before the list of hosts.
-func (s *Side) Inherit(l Legacy) {
+// RestoreState goes on with a legacy; it comes before the list of hosts.
+func (s *Transport) RestoreState(l HandoverState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inherited = l
--- a/internal/upstream/route_test.go
+++ b/internal/upstream/route_test.go
@@ -26,34 +26,34 @@
 		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
 	s := New(core,
-		Options{Times: Times{DialTimeout: time.Second, ConnIdle: time.Hour}, Conns: 9, Metrics: &metrics.Metrics{}})
-	both, faults := addresses.List(h.Addresses())
+		Options{ConnSettings: ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour}, MaxConns: 9, Metrics: &metrics.Metrics{}})
+	both, faults := addresses.ParseList(h.Addresses())
 	require.Empty(t, faults)
-	s.Readdress("h", both)
-	to := &exchange.Host{ID: "h", Several: true}
+	s.SetAddresses("h", both)
+	to := &exchange.Host{ID: "h", MultiAddress: true}
 	call := func() error { return s.call("GET", "/health", to, time.Second, nil) }
 	require.NoError(t, call())
 	require.NoError(t, call())
 	require.EqualValues(t, 1, s.conns.Load())
 	require.Equal(t, 1, h.Accepted(0), "kept, and used again")
-	require.Equal(t, addresses.Good, s.Legacy()["h"][0].State)
+	require.Equal(t, addresses.Good, s.HandoverState()["h"][0].State)
 
-	s.SetTimes(Times{DialTimeout: time.Second, ConnIdle: time.Hour, Probe: true})
-	s.Readdress("h", []addresses.Address{both[1], both[0]}) // another order
-	require.Equal(t, addresses.Good, s.Legacy()["h"][1].State)
+	s.SetConnSettings(ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour, ProbeAllowed: true})
+	s.SetAddresses("h", []addresses.Address{both[1], both[0]}) // another order
+	require.Equal(t, addresses.Good, s.HandoverState()["h"][1].State)
 	require.NoError(t, call())
 	require.Equal(t, 1, h.Accepted(0))
-	require.Eventually(t, func() bool { return s.Legacy()["h"][0].State == addresses.Good }, 10*time.Second,
+	require.Eventually(t, func() bool { return s.HandoverState()["h"][0].State == addresses.Good }, 10*time.Second,
 		time.Millisecond, "the one that is preferred now was probed")
 
-	s.Readdress("h", both[1:])
+	s.SetAddresses("h", both[1:])
 	require.Eventually(t, func() bool { return s.conns.Load() == 1 }, 10*time.Second, time.Millisecond,
 		"that of the probe")
 	require.NoError(t, call())
 	require.Equal(t, 1, h.Accepted(0))
 	require.Equal(t, 1, h.Accepted(1))
-	s.Readdress("h", nil)
-	require.Empty(t, s.Legacy())
+	s.SetAddresses("h", nil)
+	require.Empty(t, s.HandoverState())
 	require.ErrorIs(t, call(), errNoWay)
 	require.Eventually(t, func() bool { return s.conns.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
@@ -63,9 +63,9 @@
 	for _, c := range []struct {
 		err  error
 		want addresses.Failure
-	}{{errTooMany, addresses.Elsewhere}, {errDead, addresses.WasReset},
-		{&net.OpError{Err: timeout{}}, addresses.Unheard},
-		{net.ErrClosed, addresses.Refused}} {
+	}{{errTooMany, addresses.Unrelated}, {errDead, addresses.ConnectionReset},
+		{&net.OpError{Err: timeout{}}, addresses.ConnectTimeout},
+		{net.ErrClosed, addresses.ConnectionRefused}} {
 		require.Equal(t, c.want, failure(c.err), c.err)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,17 +23,17 @@
 
 // Options bound what the south side uses.
 type Options struct {
-	Times
-	Conns   int // most connections at a time
-	Metrics *metrics.Metrics
-	Seed    uint64
+	ConnSettings
+	MaxConns int // most connections at a time
+	Metrics  *metrics.Metrics
+	Seed     uint64
 }
 
-// Times are the limits in time on connections to hosts.
-type Times struct {
-	DialTimeout time.Duration
-	ConnIdle    time.Duration // the hosts' idle limit
-	Probe       bool          // hosts may be asked for their load
+// ConnSettings are the limits in time on connections to hosts.
+type ConnSettings struct {
+	DialTimeout  time.Duration
+	IdleTimeout  time.Duration // the hosts' idle limit
+	ProbeAllowed bool          // hosts may be asked for their load
 }
 
 const (
@@ -43,8 +43,8 @@
 	largest   = 64 << 10    // of an answer's body
 )
 
-// Side is the south side.
-type Side struct {
+// Transport is the south side.
+type Transport struct {
 	core  *dispatch.Core
 	o     Options
 	conns atomic.Int64
@@ -53,32 +53,32 @@
 	burnt atomic.Int64 // when a kept connection was last found dead, on the core's clock
 
 	mu      sync.Mutex
-	times   Times
+	times   ConnSettings
 	clients map[string]*fasthttp.HostClient
 	routes  map[string]*route            // to the hosts with several addresses
 	early   map[*exchange.Relay]net.Conn // relays written, or being written, that the host has not answered
 
 	knobs     addresses.Limits
-	inherited Legacy // of the hosts that are not listed yet
+	inherited HandoverState // of the hosts that are not listed yet
 }
 
 // New returns a south side that reports to core.
-func New(core *dispatch.Core, o Options) *Side {
-	s := &Side{core: core, o: o, times: o.Times, clients: map[string]*fasthttp.HostClient{},
+func New(core *dispatch.Core, o Options) *Transport {
+	s := &Transport{core: core, o: o, times: o.ConnSettings, clients: map[string]*fasthttp.HostClient{},
 		routes: map[string]*route{}, knobs: addresses.Defaults,
 		early: map[*exchange.Relay]net.Conn{}}
-	s.SetConns(o.Conns)
+	s.SetMaxConns(o.MaxConns)
 	return s
 }
 
-// SetTimes changes the limits. Connections that are kept under the old ones are used no more.
-func (s *Side) SetTimes(t Times) {
+// SetConnSettings changes the limits. Connections that are kept under the old ones are used no more.
+func (s *Transport) SetConnSettings(t ConnSettings) {
 	s.mu.Lock()
 	if s.times == t {
 		s.mu.Unlock()
 		return
 	}
-	old, anew := s.clients, s.times.DialTimeout != t.DialTimeout || s.times.ConnIdle != t.ConnIdle
+	old, anew := s.clients, s.times.DialTimeout != t.DialTimeout || s.times.IdleTimeout != t.IdleTimeout
 	s.times, s.clients = t, map[string]*fasthttp.HostClient{}
 	l, routes := s.limits(), slices.Collect(maps.Values(s.routes))
 	s.mu.Unlock()
@@ -90,20 +90,20 @@
 	}
 }
 
-func (s *Side) timesNow() Times {
+func (s *Transport) timesNow() ConnSettings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.times
 }
 
-// SetConns changes the bound on connections. Those over it end by themselves.
-func (s *Side) SetConns(most int) { s.most.Store(int64(most)) }
+// SetMaxConns changes the bound on connections. Those over it end by themselves.
+func (s *Transport) SetMaxConns(most int) { s.most.Store(int64(most)) }
 
 var errTooMany = errors.New("too many connections")
 
 // client keeps the connections to one address. The newest is used first, so that the rest fall idle; they
 // are closed well before the host would do it, as what crosses the host's closing is lost.
-func (s *Side) client(addr string) *fasthttp.HostClient {
+func (s *Transport) client(addr string) *fasthttp.HostClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.clients[addr]
@@ -114,13 +114,13 @@
 	return c
 }
 
-func (s *Side) newClient(addr string, t Times, dial fasthttp.DialFunc) *fasthttp.HostClient {
-	return &fasthttp.HostClient{Addr: addr, MaxConns: s.o.Conns, MaxIdleConnDuration: t.ConnIdle * 2 / 3,
+func (s *Transport) newClient(addr string, t ConnSettings, dial fasthttp.DialFunc) *fasthttp.HostClient {
+	return &fasthttp.HostClient{Addr: addr, MaxConns: s.o.MaxConns, MaxIdleConnDuration: t.IdleTimeout * 2 / 3,
 		ConnPoolStrategy: fasthttp.LIFO, MaxIdemponentCallAttempts: 1, Dial: dial}
 }
 
 // dial opens a connection, within the bound that the limit on descriptors sets.
-func (s *Side) dial(network, target string, limit time.Duration) fasthttp.DialFunc {
+func (s *Transport) dial(network, target string, limit time.Duration) fasthttp.DialFunc {
 	return func(string) (net.Conn, error) {
 		if s.conns.Add(1) > s.most.Load() {
 			s.conns.Add(-1)
@@ -138,29 +138,29 @@
 }
 
 // Send carries out a relay.
-func (s *Side) Send(r *exchange.Relay) {
+func (s *Transport) Send(r *exchange.Relay) {
 	go func() {
 		if o, l, ended := s.relay(r); ended {
-			s.core.Ended(r, o, l)
+			s.core.RelayEnded(r, o, l)
 		}
 	}()
 }
 
 // relay writes the message to the host and reads its first answer. A 202 does not end the relay: the
 // call-backs tell the rest.
-func (s *Side) relay(r *exchange.Relay) (o topazfall.Outcome, l topazfall.Load, ended bool) {
+func (s *Transport) relay(r *exchange.Relay) (o topazfall.Outcome, l topazfall.Load, ended bool) {
 	l = topazfall.NoLoad
 	out := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(out)
 	written, err := s.talk(r.Host, call{once: r.Exchange.Once, fresh: s.fresh(r), proves: !r.Exchange.Once, relay: r,
 		out: out,
 		// When it is due it is called off, if it has not ended before: what is not read then is of no use to anybody.
-		writeBy: s.core.At(r.Due), readBy: s.core.At(r.Due).Add(sideCall),
+		writeBy: s.core.ToTime(r.Due), readBy: s.core.ToTime(r.Due).Add(sideCall),
 		compose: func(c net.Conn) []byte {
 			bytes := request(r, s.core.Now()) // before it is asked whether they may go: they go at once then
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if !r.Start(s.core.Now()) {
+			if !r.TryStart(s.core.Now()) {
 				return nil
 			}
 			s.early[r] = c // from here on a call-off closes the connection
@@ -168,27 +168,27 @@
 		}})
 	switch {
 	case err == errNotSent:
-		return topazfall.Superseded, l, true
-	case r.Accepted(): // what else there is of the answer, or is not, says nothing of the job
+		return topazfall.NeverSent, l, true
+	case r.IsAccepted(): // what else there is of the answer, or is not, says nothing of the job
 		return 0, l, false
-	case err != nil && r.Ended(): // called off: its outcome is known
+	case err != nil && r.IsEnded(): // called off: its outcome is known
 		return 0, l, false
 	case err != nil:
-		slog.Warn("relay", "id", r.Exchange.ID, "n", r.N, "host", r.Host.ID, "written", written, "error", err)
+		slog.Warn("relay", "id", r.Exchange.ID, "n", r.Index, "host", r.Host.ID, "written", written, "error", err)
 		if !written {
-			return topazfall.RefusedConn, l, true
+			return topazfall.ConnectionRefused, l, true
 		}
 		if !broke(err) { // it is we who end it: the host may have taken the job, and must not run it beside a repeat
 			s.call("DELETE", "/jobs/"+r.Exchange.ID, r.Host, probeTime, nil)
 		}
-		return topazfall.Severed, l, true
+		return topazfall.ConnectionLost, l, true
 	}
 	l = headerLoad(out.Header.Peek("X-Server-Load"))
 	switch status := out.StatusCode(); {
 	case (status == 503 || status == 504) && string(out.Header.Peek("X-Not-Processed")) == "1":
 		return topazfall.Saturated, l, true
 	default:
-		slog.Info("relay", "id", r.Exchange.ID, "n", r.N, "host", r.Host.ID, "status", status)
+		slog.Info("relay", "id", r.Exchange.ID, "n", r.Index, "host", r.Host.ID, "status", status)
 		if status/100 == 4 && status != 408 && status != 429 { // the host means the message, not itself
 			return topazfall.Unusable, l, true
 		}
@@ -196,9 +196,9 @@
 	}
 }
 
-// CallOff makes the host drop a relay that has ended here. Where it has not answered yet, the closed
+// Cancel makes the host drop a relay that has ended here. Where it has not answered yet, the closed
 // connection may do; if its 202 is on the way, only DELETE does.
-func (s *Side) CallOff(r *exchange.Relay) {
+func (s *Transport) Cancel(r *exchange.Relay) {
 	s.mu.Lock()
 	wasStarted := r.End()
 	if c := s.early[r]; c != nil {
@@ -215,7 +215,7 @@
 }
 
 // Probe asks a host for its load.
-func (s *Side) Probe(h *exchange.Host) {
+func (s *Transport) Probe(h *exchange.Host) {
 	go func() {
 		began, l, o := s.core.Now(), topazfall.NoLoad, topazfall.ProbeFailed
 		if s.call("GET", "/status/load", h, probeTime, func(out *fasthttp.Response) {
@@ -225,13 +225,13 @@
 		}) != nil {
 			l = topazfall.NoLoad
 		}
-		s.core.Probed(h, o, s.core.Now()-began, l)
+		s.core.ProbeDone(h, o, s.core.Now()-began, l)
 	}()
 }
 
 // call makes a call without a body, which may be made again: so it is, on a new connection, where the kept one
 // turned out to be dead. It holds a connection for a limited time only.
-func (s *Side) call(method, path string, h *exchange.Host, limit time.Duration, use func(*fasthttp.Response)) error {
+func (s *Transport) call(method, path string, h *exchange.Host, limit time.Duration, use func(*fasthttp.Response)) error {
 	out := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(out)
 	by := time.Now().Add(limit)
@@ -256,5 +256,5 @@
 	return nil
 }
 
-// Busy tells whether call-offs are still on their way.
-func (s *Side) Busy() bool { return s.side.Load() > 0 }
+// HasPendingCancels tells whether call-offs are still on their way.
+func (s *Transport) HasPendingCancels() bool { return s.side.Load() > 0 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -225,11 +225,11 @@
 
 var outcomes = map[string]topazfall.Outcome{
 	"completed": topazfall.Completed, "errored": topazfall.Errored, "saturated": topazfall.Saturated,
-	"overdue": topazfall.Overdue, "refused_conn": topazfall.RefusedConn, "severed": topazfall.Severed,
-	"recalled": topazfall.Recalled, "superseded": topazfall.Superseded}
+	"overdue": topazfall.TimedOut, "refused_conn": topazfall.ConnectionRefused, "severed": topazfall.ConnectionLost,
+	"recalled": topazfall.Cancelled, "superseded": topazfall.NeverSent}
 
-var listKinds = map[string]topazfall.EventKind{"patch": topazfall.ListPatch, "whole": topazfall.ListWhole,
-	"stale_copy": topazfall.ListStale, "broken": topazfall.ListBroken}
+var listKinds = map[string]topazfall.EventKind{"patch": topazfall.ListPatch, "whole": topazfall.ListSnapshot,
+	"stale_copy": topazfall.ListRestored, "broken": topazfall.ListFailed}
 
 // occurrence decodes an event of the selected instance into d.event.
 func (d *Decoder) occurrence(word []byte, known *names) error {
@@ -248,7 +248,7 @@
 			e.Tenant = i
 		}
 		if key := d.part(); string(key) != "-" { // an absent one
-			e.Key = affinity.Key(string(key))
+			e.Key = affinity.HashKey(string(key))
 		}
 		e.Due, e.Hint, e.Slots = d.integer(), d.integer(), d.number()
 		d.part() // memory
@@ -288,7 +288,7 @@
 		d.outcome(e)
 		d.load(e)
 	case "FIRST_BYTE":
-		e.Kind, e.Request, e.Took = topazfall.StreamBegan, d.id(), d.integer()
+		e.Kind, e.Request, e.Elapsed = topazfall.StreamStarted, d.id(), d.integer()
 		e.Attempt, e.Worker = int(d.integer()), d.word()
 	case "WHISPER":
 		e.Kind, e.From = topazfall.PeerMessage, int(d.integer())
@@ -310,7 +310,7 @@
 	}
 	e.Kind = kind
 	ref := int(d.integer())
-	if err := d.done(); err != nil || kind == topazfall.ListBroken {
+	if err := d.done(); err != nil || kind == topazfall.ListFailed {
 		return err
 	}
 	if e.List, ok = d.lists[ref]; !ok {
@@ -325,7 +325,7 @@
 	if !ok && d.err == nil {
 		d.err = fmt.Errorf("unknown outcome %q", clip(rc))
 	}
-	e.Outcome, e.Took = code, d.integer()
+	e.Outcome, e.Elapsed = code, d.integer()
 }
 
 func (d *Decoder) payload(e *topazfall.Event) {
@@ -502,11 +502,11 @@
 		out = strconv.AppendUint(append(out, ' '), a.Token, 10)
 	case topazfall.ProbeWorker:
 		out = append(append(out, "ASK_LOAD "...), a.Worker...)
-	case topazfall.FollowList:
+	case topazfall.WatchList:
 		out = append(out, "FOLLOW 1"...)
 	case topazfall.FetchList:
 		out = append(out, "QUERY_ALL"...)
-	case topazfall.TellPeer:
+	case topazfall.SendToPeer:
 		out = append(out, "NOTIFY "...)
 		if a.Peer == topazfall.AllPeers {
 			out = append(out, "all"...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -48,8 +48,8 @@
 	if s.Seed != 9 || s.Me != 2 || s.Dispatchers != 5 || len(s.Classes) != 2 ||
 		s.Classes[1].Repeat != topazfall.Keyed ||
 		s.Classes[1].Group != topazfall.GroupCell || s.Classes[1].Kind != "fast" || s.Classes[0].Kind != "" ||
-		s.Classes[0].Stretch != 1.75 || !s.Allowed.Probe || s.Allowed.Attempts != 3 || !s.TellsStart ||
-		s.ReportsIn != topazfall.ReportsInAnswers || s.Tenants[0].Quota != 4 {
+		s.Classes[0].Stretch != 1.75 || !s.Allowed.Probe || s.Allowed.Attempts != 3 || !s.ReportsStart ||
+		s.LoadReports != topazfall.ReportsInAnswers || s.Tenants[0].Quota != 4 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -58,7 +58,7 @@
 	list := "LIST 0 2\nWORKER w1 z fast 4 ready 1.5 -\nWORKER w2 z std 4 gone 1 77\n"
 	for line, want := range map[string]topazfall.Event{
 		"CALL 17 book t 99 8000 120 2 - 3": {Kind: topazfall.Arrival, Request: 17, Class: 1, Tenant: 0, Due: 8000,
-			Hint: 120, Key: affinity.Key("99"), Slots: 2, Retry: true, Load: topazfall.NoLoad},
+			Hint: 120, Key: affinity.HashKey("99"), Slots: 2, Retry: true, Load: topazfall.NoLoad},
 		"CALL 17 plan 0 - 8000 120 - - 0": {Kind: topazfall.Arrival, Request: 17, Tenant: -1, Due: 8000,
 			Load: topazfall.NoLoad},
 		"BELL 12": {Kind: topazfall.TimerDue, Token: 12, Tenant: -1, Load: topazfall.NoLoad},
@@ -66,13 +66,13 @@
 			Tenant: -1, Load: topazfall.NoLoad},
 		"CANCELLED_BY_CLIENT 17": {Kind: topazfall.ClientGone, Request: 17, Tenant: -1, Load: topazfall.NoLoad},
 		"HEALTH_RESULT w1 completed 1400 busy_reqs:7,cpu_share:0.62,pending:3,x0:-0.4,odd:1": {
-			Kind: topazfall.ProbeDone, Worker: "w1", Took: 1400, Tenant: -1,
+			Kind: topazfall.ProbeDone, Worker: "w1", Elapsed: 1400, Tenant: -1,
 			Load: topazfall.Load{Queue: 3, Inflight: 7, Free: -0.4, Util: 0.62}},
 		"COMPLETED 17 1 w1 severed 18500 0 - -": {Kind: topazfall.AttemptDone, Request: 17, Attempt: 1, Worker: "w1",
-			Outcome: topazfall.Severed, Took: 18500, Tenant: -1, Load: topazfall.NoLoad},
-		"FIRST_BYTE 17 9250 0 w1": {Kind: topazfall.StreamBegan, Request: 17, Took: 9250, Worker: "w1", Tenant: -1,
+			Outcome: topazfall.ConnectionLost, Elapsed: 18500, Tenant: -1, Load: topazfall.NoLoad},
+		"FIRST_BYTE 17 9250 0 w1": {Kind: topazfall.StreamStarted, Request: 17, Elapsed: 9250, Worker: "w1", Tenant: -1,
 			Load: topazfall.NoLoad},
-		"TARGETS 4 broken 0": {Kind: topazfall.ListBroken, Tenant: -1, Load: topazfall.NoLoad},
+		"TARGETS 4 broken 0": {Kind: topazfall.ListFailed, Tenant: -1, Load: topazfall.NoLoad},
 	} {
 		msgs, err := decode(start(list + line + "\nCOMMIT\n"))
 		if err != io.EOF || len(msgs) != 4 {
@@ -127,9 +127,9 @@
 		{Kind: topazfall.Send, Request: 7, Worker: "w1", After: 9}, {Kind: topazfall.Refuse, Request: 7, After: 5},
 		{Kind: topazfall.Fail, Request: 7}, {Kind: topazfall.CancelAttempt, Request: 7, Attempt: 1},
 		{Kind: topazfall.SetTimer, After: 4, Token: 29}, {Kind: topazfall.ProbeWorker, Worker: "w1"},
-		{Kind: topazfall.FollowList}, {Kind: topazfall.FetchList},
-		{Kind: topazfall.TellPeer, Peer: 2, Data: []byte("hi 7")},
-		{Kind: topazfall.TellPeer, Peer: topazfall.AllPeers, Data: []byte{1}},
+		{Kind: topazfall.WatchList}, {Kind: topazfall.FetchList},
+		{Kind: topazfall.SendToPeer, Peer: 2, Data: []byte("hi 7")},
+		{Kind: topazfall.SendToPeer, Peer: topazfall.AllPeers, Data: []byte{1}},
 		{Kind: topazfall.Log, Text: "two words"}} {
 		out = AppendAction(out, &a)
 	}
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -137,7 +137,7 @@
 		}
 		for id := range r.b.requests {
 			r.on(Event{Kind: ClientGone, Request: id})
-			r.done(id, 0, r.homeIDs(key)[0], Recalled)
+			r.done(id, 0, r.homeIDs(key)[0], Cancelled)
 		}
 	}
 	if now := r.b.runs["safe"].mean; now != class {
--- a/list_test.go
+++ b/list_test.go
@@ -19,7 +19,7 @@
 			}
 		}
 	}
-	r.on(Event{Kind: ListWhole, List: nil})
+	r.on(Event{Kind: ListSnapshot, List: nil})
 	if _, acts := r.arrive(safe); len(acts) != 1 || acts[0].Kind != SetTimer {
 		t.Errorf("with an empty list a job is held: %+v", acts)
 	}
@@ -64,7 +64,7 @@
 	size := len(r.b.buddies)
 	id, acts := r.arrive(unsafe)
 	dead := r.sends(acts).Worker
-	r.done(id, 0, dead, RefusedConn)
+	r.done(id, 0, dead, ConnectionRefused)
 	for _, w := range r.b.buddies {
 		if w.ID == dead {
 			t.Error("a worker that refuses connections is still a buddy")
@@ -86,7 +86,7 @@
 
 func TestWideChangesOfTheList(t *testing.T) {
 	r := newRig(t, settings(), fleet(12)...)
-	r.on(Event{Kind: ListWhole, List: nil})
+	r.on(Event{Kind: ListSnapshot, List: nil})
 	if len(r.b.buddies) != 0 {
 		t.Error("buddies without a list")
 	}
@@ -94,7 +94,7 @@
 	for i := range 5 {
 		other = append(other, Worker{ID: fmt.Sprintf("new%d", i), Zone: "b", Kind: "odd"})
 	}
-	r.on(Event{Kind: ListWhole, List: append(other, other[0])})
+	r.on(Event{Kind: ListSnapshot, List: append(other, other[0])})
 	if len(r.b.ranked) != 5 || len(r.b.buddies) != 5 {
 		t.Errorf("%d ranked, %d buddies", len(r.b.ranked), len(r.b.buddies))
 	}
@@ -123,25 +123,25 @@
 // Where the list must be asked for, a start subscribes, and a failure is answered at the next pulse, not at once.
 func TestListIsFollowed(t *testing.T) {
 	s := settings()
-	s.AskForList = true
+	s.ListOnRequest = true
 	b, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 100e6}
-	if n, _ := count(r.on(Event{Kind: ListStale, List: fleet(3)}), FollowList); n != 1 {
+	if n, _ := count(r.on(Event{Kind: ListRestored, List: fleet(3)}), WatchList); n != 1 {
 		t.Error("a start does not subscribe")
 	}
-	if acts := r.on(Event{Kind: ListBroken}); len(acts) != 0 || len(r.b.ranked) != 3 {
+	if acts := r.on(Event{Kind: ListFailed}); len(acts) != 0 || len(r.b.ranked) != 3 {
 		t.Errorf("a failure: %+v, %d workers", acts, len(r.b.ranked))
 	}
 	r.now += r.b.pulse()
-	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), FollowList); n != 1 {
+	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), WatchList); n != 1 {
 		t.Error("a failed subscription is not asked for again")
 	}
 	r.on(Event{Kind: ListPatch, List: fleet(4)[3:]})
 	r.now += r.b.pulse()
-	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), FollowList); n != 0 || len(r.b.ranked) != 4 {
+	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), WatchList); n != 0 || len(r.b.ranked) != 4 {
 		t.Errorf("asked again without need, %d workers", len(r.b.ranked))
 	}
 	if p := r.b.pulse(); p > 4e6 {
--- a/memory.go
+++ b/memory.go
@@ -77,8 +77,8 @@
 func (b *Balancer) renew(s Settings) {
 	s.Seed = b.s.Seed
 	b.s = s
-	b.shares.Quotas, b.shares.Part = s.quotas(), s.part()
-	b.circle = ramp.NewCircle(s.Dispatchers)
+	b.shares.Quotas, b.shares.Fraction = s.quotas(), s.part()
+	b.circle = ramp.NewRotation(s.Dispatchers)
 	for len(b.patience) < len(s.Classes) {
 		b.patience = append(b.patience, 0)
 	}
@@ -150,9 +150,9 @@
 	}
 }
 
-// Inherit makes a balancer that has decided nothing yet go on with what another has learned, of the workers that its
+// Restore makes a balancer that has decided nothing yet go on with what another has learned, of the workers that its
 // list names already. What makes no sense is left as it was.
-func (b *Balancer) Inherit(now int64, m Memory) {
+func (b *Balancer) Restore(now int64, m Memory) {
 	if m.JobTime <= 0 || m.Least <= 0 || m.StartLag <= 0 {
 		return
 	}
--- a/memory_test.go
+++ b/memory_test.go
@@ -12,11 +12,11 @@
 	old := newRig(t, settings(), fleet(6)...)
 	id, acts := old.arrive(unsafe)
 	first := old.sends(acts).Worker
-	second := old.sends(old.done(id, 0, first, RefusedConn)).Worker
+	second := old.sends(old.done(id, 0, first, ConnectionRefused)).Worker
 	old.on(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second})
 
 	young := newRig(t, settings(), fleet(6)...)
-	young.b.Inherit(young.now, old.b.Memory())
+	young.b.Restore(young.now, old.b.Memory())
 	tries := old.b.Tries(id)
 	if acts := old.on(Event{Kind: HandedOver, Request: id}); len(acts) > 0 || len(old.b.requests) > 0 {
 		t.Errorf("the old one wants %+v and holds %d", acts, len(old.b.requests))
@@ -34,7 +34,7 @@
 	if w := young.b.workers[second]; len(w.own) != 1 || w.own[0].started != young.now {
 		t.Errorf("the job at %s is not known", second)
 	}
-	if n, _ := count(young.done(77, 1, second, Severed), Fail); n != 1 {
+	if n, _ := count(young.done(77, 1, second, ConnectionLost), Fail); n != 1 {
 		t.Error("what may have run must fail")
 	}
 }
@@ -66,12 +66,12 @@
 
 	workers[0] = cold
 	young := newRig(t, s, workers...)
-	if young.b.Avoided(young.now) != 0 {
+	if young.b.UnavailableWorkers(young.now) != 0 {
 		t.Error("a new one avoids nobody")
 	}
 	before := young.b.backlog(young.b.workers[busy])
-	young.b.Inherit(young.now, old.b.Memory())
-	if n := young.b.Avoided(young.now); n != 1 {
+	young.b.Restore(young.now, old.b.Memory())
+	if n := young.b.UnavailableWorkers(young.now); n != 1 {
 		t.Errorf("%d are avoided", n)
 	}
 	if a, b := young.b.coldShare(young.b.workers["w0"]), old.b.coldShare(old.b.workers["w0"]); a != b {
@@ -87,8 +87,8 @@
 	if old.b.coldShare(old.b.workers["w0"]) > 0 {
 		t.Error("one that is replaced leaves cold workers to the other")
 	}
-	young.b.Inherit(young.now, Memory{})
-	if young.b.jobTime <= 0 || young.b.Avoided(young.now) != 1 {
+	young.b.Restore(young.now, Memory{})
+	if young.b.jobTime <= 0 || young.b.UnavailableWorkers(young.now) != 1 {
 		t.Error("an empty memory is no memory")
 	}
 }
@@ -106,7 +106,7 @@
 	stricter.Allowed.Attempts = 1
 	was := s.Classes[safe]
 	was.Repeat, was.Aim = Unsafe, 1
-	stricter.Classes = AppendClasses(s.Classes, []Class{{Name: "new", Deadline: 1e6, Aim: 1e6}, was})
+	stricter.Classes = MergeClasses(s.Classes, []Class{{Name: "new", Deadline: 1e6, Aim: 1e6}, was})
 	if len(stricter.Classes) != len(s.Classes)+1 || stricter.Classes[safe].Aim != 1 || s.Classes[safe].Aim == 1 {
 		t.Fatalf("classes %+v", stricter.Classes)
 	}
@@ -117,7 +117,7 @@
 	if c := r.b.requests[kept].class; c.Repeat != Unsafe || c.Aim != s.Classes[safe].Aim {
 		t.Errorf("the class of a request in hand is %+v", *c)
 	}
-	if n, _ := count(r.done(kept, 0, first, Severed), Fail); n != 1 {
+	if n, _ := count(r.done(kept, 0, first, ConnectionLost), Fail); n != 1 {
 		t.Error("what may have run is not failed under the stricter rule")
 	}
 	if _, acts := r.arrive(len(s.Classes)); len(acts) == 0 {
--- a/random_test.go
+++ b/random_test.go
@@ -96,7 +96,7 @@
 			c.bad("keyed left its group")
 		}
 	}
-	if out > 2 || out > 1 && !c.s.Allowed.SecondCopies || len(r.tries) >= c.s.Allowed.Attempts {
+	if out > 2 || out > 1 && !c.s.Allowed.HedgedRequests || len(r.tries) >= c.s.Allowed.Attempts {
 		c.bad("%d attempts out, %d made", out, len(r.tries))
 	}
 	r.tries = append(r.tries, seenTry{worker: a.Worker, at: c.now})
@@ -136,8 +136,8 @@
 }
 
 func (w *world) list() {
-	e := Event{Kind: []EventKind{ListPatch, ListPatch, ListWhole, ListStale, ListBroken}[w.rng.Intn(5)]}
-	if e.Kind == ListBroken {
+	e := Event{Kind: []EventKind{ListPatch, ListPatch, ListSnapshot, ListRestored, ListFailed}[w.rng.Intn(5)]}
+	if e.Kind == ListFailed {
 		w.feed(e)
 		return
 	}
@@ -174,9 +174,9 @@
 	}
 	e.Kind, e.Outcome = AttemptDone, Outcome(w.rng.Intn(int(Unusable)+1))
 	if w.now >= r.due {
-		e.Outcome = Overdue
+		e.Outcome = TimedOut
 	}
-	x.over, x.clean = true, e.Outcome == Saturated || e.Outcome == RefusedConn || e.Outcome == Superseded
+	x.over, x.clean = true, e.Outcome == Saturated || e.Outcome == ConnectionRefused || e.Outcome == NeverSent
 	if e.Outcome == Completed && r.answers == 0 {
 		r.answers = 1
 	}
@@ -226,7 +226,7 @@
 		s := settings()
 		s.Seed, s.Zones, s.Dispatchers = uint64(seed), []string{"a", "b"}, 1+int(seed%5)
 		s.Me = int(seed) % s.Dispatchers
-		s.Allowed.SecondCopies, s.Allowed.Cancel, s.TellsStart = seed%2 == 0, seed%3 != 0, seed%5 != 0
+		s.Allowed.HedgedRequests, s.Allowed.Cancel, s.ReportsStart = seed%2 == 0, seed%3 != 0, seed%5 != 0
 		s.Allowed.Attempts, s.LiveWeights = 1+int(seed%6), seed%7 < 3
 		if seed%4 == 0 {
 			s.Classes[unsafe].Kind = "big"
--- a/rig_test.go
+++ b/rig_test.go
@@ -19,8 +19,8 @@
 			class("keyed", Keyed, GroupAll), class("zoned", Keyed, GroupZone), class("celled", Keyed, GroupCell)},
 		Contract: Contract{AnswerSlack: 20e3, DrainGrace: 500e3, ColdFrom: 0.2, RampTime: 20e6,
 			FallMultiple: 2.5, FallTime: 1e6},
-		Allowed: Allowed{Cancel: true, SecondCopies: true, Attempts: 5, DialTimeout: 250e3},
-		Tick:    5e3, ReportsIn: ReportsInAnswers, TellsStart: true,
+		Allowed: Allowed{Cancel: true, HedgedRequests: true, Attempts: 5, DialTimeout: 250e3},
+		Tick:    5e3, LoadReports: ReportsInAnswers, ReportsStart: true,
 	}
 }
 
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 100e6}
-	r.on(Event{Kind: ListStale, List: workers})
+	r.on(Event{Kind: ListRestored, List: workers})
 	return r
 }
 
--- a/state.go
+++ b/state.go
@@ -25,7 +25,7 @@
 	reach    int                // how many of the ranked the buddies are taken from: more where some are out
 	others   []*worker          // the rest, from the dispatcher's own place on: all must not turn to the same
 	started  []*worker          // those of the others that were cold when the buddies were chosen
-	circle   ramp.Circle        // the turns of the dispatchers at cold workers
+	circle   ramp.Rotation      // the turns of the dispatchers at cold workers
 	kinds    map[string]*kind
 	jobTime  float64 // mean running time of a job
 	least    float64 // work of a small job; sets TH1
@@ -80,8 +80,8 @@
 	rank      string // its place in the common order
 	name      uint32 // in gossip
 	listed    bool
-	told      gossip.Tally // what others have done here since the report
-	reportOf  int64        // the time that the last report is of
+	told      gossip.PeerLoad // what others have done here since the report
+	reportOf  int64           // the time that the last report is of
 	kind      *kind
 	inHand    float64 // jobs, by the last live weight; below 0 where it could not tell
 	held      float64 // jobs waiting by the last report that moved x; below 0: free slots
@@ -254,7 +254,7 @@
 
 // worth counts a message of a tenant, and tells what it is worth as a share of its class's.
 func (b *Balancer) worth(tenant int) float64 {
-	if b.shares.Within(b.now, tenant) {
+	if b.shares.IsWithin(b.now, tenant) {
 		return 1
 	}
 	return b.s.OverShare
@@ -297,7 +297,7 @@
 		return nil
 	}
 	var places [cover]int
-	for _, i := range affinity.Homes(key, len(b.ranked), cover, func(i int) (uint32, bool) {
+	for _, i := range affinity.PreferredHosts(key, len(b.ranked), cover, func(i int) (uint32, bool) {
 		w := b.ranked[i]
 		return w.name, w.State == Ready
 	}, places[:0]) {
@@ -327,8 +327,8 @@
 	w.kind.fresh[region][column]++
 }
 
-// Avoided is how many of the listed workers get nothing new at that time.
-func (b *Balancer) Avoided(now int64) (n int) {
+// UnavailableWorkers is how many of the listed workers get nothing new at that time.
+func (b *Balancer) UnavailableWorkers(now int64) (n int) {
 	for _, w := range b.ranked {
 		if now < w.downUntil || w.State != Ready {
 			n++
--- a/topazfall.go
+++ b/topazfall.go
@@ -73,36 +73,36 @@
 
 // Allowed holds what the site permits.
 type Allowed struct {
-	Cancel        bool // CancelAttempt
-	Probe         bool // ProbeWorker
-	PeerMessages  bool
-	SecondCopies  bool // two attempts of one job at once
-	RetryAfter    bool // advice with a refusal
-	MaxRetryAfter int64
-	Attempts      int // most attempts of one job
-	DialTimeout   int64
+	Cancel         bool // CancelAttempt
+	Probe          bool // ProbeWorker
+	PeerMessages   bool
+	HedgedRequests bool // two attempts of one job at once
+	RetryAfter     bool // advice with a refusal
+	MaxRetryAfter  int64
+	Attempts       int // most attempts of one job
+	DialTimeout    int64
 }
 
 // Settings is everything a balancer is told at start.
 type Settings struct {
-	Seed        uint64
-	Me          int // number of this dispatcher among Dispatchers, from 0
-	Dispatchers int
-	Zone        string
-	Zones       []string
-	Kinds       []string
-	Classes     []Class
-	Tenants     []Tenant
-	Contract    Contract
-	Allowed     Allowed
-	Tick        int64 // least time between two deliveries of events
-	ReportsIn   ReportSource
-	TellsStart  bool    // workers say when a job begins
-	Progress    int64   // interval of progress notes; 0 for none
-	LiveWeights bool    // a worker's weight is its size divided by 1 + its jobs per core
-	AskForList  bool    // list changes arrive only on FollowList or FetchList
-	CrossZone   float64 // worth lost, as a share, by sending to another zone
-	OverShare   float64 // share of the worth kept by jobs beyond a tenant's quota
+	Seed          uint64
+	Me            int // number of this dispatcher among Dispatchers, from 0
+	Dispatchers   int
+	Zone          string
+	Zones         []string
+	Kinds         []string
+	Classes       []Class
+	Tenants       []Tenant
+	Contract      Contract
+	Allowed       Allowed
+	Tick          int64 // least time between two deliveries of events
+	LoadReports   ReportSource
+	ReportsStart  bool    // workers say when a job begins
+	Progress      int64   // interval of progress notes; 0 for none
+	LiveWeights   bool    // a worker's weight is its size divided by 1 + its jobs per core
+	ListOnRequest bool    // list changes arrive only on FollowList or FetchList
+	CrossZone     float64 // worth lost, as a share, by sending to another zone
+	OverShare     float64 // share of the worth kept by jobs beyond a tenant's quota
 }
 
 // ReportSource says where load reports come from.
@@ -149,42 +149,42 @@
 
 // The outcomes of an attempt. NotRun tells which of them prove that the job never ran.
 const (
-	Completed     Outcome = iota
-	Errored               // the worker answered with an error
-	Saturated             // turned away unseen
-	Overdue               // no answer in time
-	RefusedConn           // no connection
-	Severed               // the connection broke
-	Recalled              // cancelled by the dispatcher
-	Superseded            // never sent
-	Unusable              // the worker answered that the job itself cannot be used
-	ProbeFailed           // of probes only: anything but Completed
-	numOfOutcomes = int(ProbeFailed) + 1
+	Completed         Outcome = iota
+	Errored                   // the worker answered with an error
+	Saturated                 // turned away unseen
+	TimedOut                  // no answer in time
+	ConnectionRefused         // no connection
+	ConnectionLost            // the connection broke
+	Cancelled                 // cancelled by the dispatcher
+	NeverSent                 // never sent
+	Unusable                  // the worker answered that the job itself cannot be used
+	ProbeFailed               // of probes only: anything but Completed
+	numOfOutcomes     = int(ProbeFailed) + 1
 )
 
 // NotRun reports whether the outcome proves that the job never ran.
-func (o Outcome) NotRun() bool { return o == Saturated || o == RefusedConn || o == Superseded }
+func (o Outcome) NotRun() bool { return o == Saturated || o == ConnectionRefused || o == NeverSent }
 
 // EventKind names what happened.
 type EventKind int
 
 // The events, with the fields of Event that each one uses.
 const (
-	Arrival     EventKind = iota // Request, Class, Tenant, Due, Hint, Key, Slots, Retry
-	AttemptDone                  // Request, Attempt, Worker, Outcome, Took, Final, Load
-	JobStarted                   // Request, Attempt, Worker
-	JobProgress                  // Request, Attempt, Worker, Amount
-	StreamBegan                  // Request, Attempt, Worker, Took
-	ClientGone                   // Request
-	ProbeDone                    // Worker, Outcome, Took, Load
-	TimerDue                     // Token
-	ListPatch                    // List: changed entries
-	ListWhole                    // List: all entries
-	ListStale                    // List: all entries as last held before a restart
-	ListBroken                   // a list call failed or the subscription broke
-	PeerMessage                  // From, Data
-	HandedOver                   // Request: another process goes on with it
-	Resumed                      // as Arrival, and Tries: a request that another process has begun
+	Arrival       EventKind = iota // Request, Class, Tenant, Due, Hint, Key, Slots, Retry
+	AttemptDone                    // Request, Attempt, Worker, Outcome, Took, Final, Load
+	JobStarted                     // Request, Attempt, Worker
+	JobProgress                    // Request, Attempt, Worker, Amount
+	StreamStarted                  // Request, Attempt, Worker, Took
+	ClientGone                     // Request
+	ProbeDone                      // Worker, Outcome, Took, Load
+	TimerDue                       // Token
+	ListPatch                      // List: changed entries
+	ListSnapshot                   // List: all entries
+	ListRestored                   // List: all entries as last held before a restart
+	ListFailed                     // a list call failed or the subscription broke
+	PeerMessage                    // From, Data
+	HandedOver                     // Request: another process goes on with it
+	Resumed                        // as Arrival, and Tries: a request that another process has begun
 	// Settings: they passed Check, and their Classes and Tenants begin with those from before
 	NewSettings
 	Replaced // Amount: 1 from when another process takes the new jobs, 0 if it does no more
@@ -204,7 +204,7 @@
 	Slots   float64
 	Retry   bool // the client has tried before
 	Outcome Outcome
-	Took    int64
+	Elapsed int64
 	Final   bool // the request has its final answer
 	Amount  float64
 	Load    Load
@@ -235,9 +235,9 @@
 	CancelAttempt                   // Request, Attempt
 	SetTimer                        // After, Token
 	ProbeWorker                     // Worker
-	FollowList                      // -
+	WatchList                       // -
 	FetchList                       // -
-	TellPeer                        // Peer, Data: at most 256 bytes
+	SendToPeer                      // Peer, Data: at most 256 bytes
 	Log                             // Text
 )
 
@@ -257,14 +257,14 @@
 	Text    string
 }
 
-// AppendClasses returns old, with the classes in it that now names as they are now, and behind these what is new: so
+// MergeClasses returns old, with the classes in it that now names as they are now, and behind these what is new: so
 // that an index means the same class for ever. Which of them are in use is now's to say.
-func AppendClasses(old, now []Class) []Class {
+func MergeClasses(old, now []Class) []Class {
 	return appendNamed(slices.Clone(old), now, func(c Class) string { return c.Name })
 }
 
-// AppendTenants does the same for tenants. Those that are gone have no bound: what they still have in hand is theirs.
-func AppendTenants(old, now []Tenant) (all []Tenant) {
+// MergeTenants does the same for tenants. Those that are gone have no bound: what they still have in hand is theirs.
+func MergeTenants(old, now []Tenant) (all []Tenant) {
 	for _, t := range old {
 		all = append(all, Tenant{Name: t.Name})
 	}
