--- a/balancer.go
+++ b/balancer.go
@@ -541,7 +541,7 @@
 	if lost > 0 {
 		w.sample(a.region, columns-1)
 	}
-	if e.Outcome != ConnectionLost && e.Outcome != ConnectionRefused { // a broken worker, not a queue, is to blame
+	if e.Outcome != ConnectionLost && e.Outcome != ConnectionRefused { // due to a fault, not to a queue
 		b.loss += (lost - b.loss) / 16
 	}
 	b.report(w, e.Load)
