--- a/balancer.go
+++ b/balancer.go
@@ -1,7 +1,8 @@
 package topazfall
 
 // The decision module. Its interface (settings, events, actions) is in topazfall.go. In reading order: the
-// life of a request, choice, legality, what is observed of a worker, learned tables, the list and buddy set.
+// life of a request, the choice of a worker, the rules for sends, observations of workers, the learned
+// tables, the worker list and the buddy set (the subset of workers that this dispatcher uses first).
 
 import (
 	"cmp"
@@ -17,275 +18,313 @@
 )
 
 const (
-	regions  = 5   // K: free; under one job; about one; up to 2.6; more
-	columns  = 18  // of a table: no wait, sixteen steps of a quarter job, failed
-	blend    = 0.5 // a: the last T_p and all before count alike
-	grain    = 40  // risks closer than 1/grain tie: the samples of a light dispatcher resolve no more
-	cover    = 3   // dispatchers that share a worker, at least
-	distrust = 32  // pulses for which a fault that is not repeated counts
-	smallest = 6   // buddies, at least: what two jobs a second keep fresh
-	spares   = 4   // of so many sends one may be a copy: a fleet of which every third worker is silent
+	// regionCount is K, the number of backlog regions: free; under one job; about one; up to 2.6 jobs; more.
+	regionCount = 5
+	// columnCount is the length of a table row: no wait, sixteen steps of a quarter of the job time, failed.
+	columnCount = 18
+	// blendWeight is a: the samples of the last interval T_p and all earlier ones count alike.
+	blendWeight = 0.5
+	// riskSteps is the resolution of a risk. Risks closer than 1/riskSteps tie: the few samples of a lightly
+	// loaded dispatcher resolve no finer difference.
+	riskSteps = 40
+	// redundancy is the minimum number of dispatchers that share a worker, and the number of preferred
+	// workers of a key.
+	redundancy = 3
+	// faultMemory is the number of probe intervals after which a fault that was not repeated is forgotten.
+	faultMemory = 32
+	// minBuddies is the minimum size of the buddy set: two jobs a second keep so many load reports fresh.
+	minBuddies = 6
+	// sendsPerHedge limits hedged requests to one in so many sends. That is enough for a fleet in which
+	// every third worker is silent.
+	sendsPerHedge = 4
 )
 
-// New returns a balancer for one dispatcher, or an error that names the setting that cannot work.
+// New returns a balancer for one dispatcher, or an error that names the invalid setting.
 func New(s Settings) (*Balancer, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	job := float64(s.Classes[0].Deadline) / 10 // until jobs tell better
-	return &Balancer{s: s, startLag: float64(5 * max(s.Tick, 1000)), jobTime: job, least: job,
-		copies: 1, requests: map[uint64]*request{}, workers: map[string]*worker{}, kinds: map[string]*kind{},
-		patience: make([]int64, len(s.Classes)), shares: share.Shares{Quotas: s.quotas(), Fraction: s.part()},
-		circle: ramp.NewRotation(s.Dispatchers)}, nil
+	job := float64(s.Classes[0].Deadline) / 10 // a first estimate, until jobs have run
+	return &Balancer{
+		settings: s, startLag: float64(5 * max(s.Tick, 1000)), jobTime: job, smallJobWork: job,
+		hedgeBudget: 1, requests: map[uint64]*request{}, workers: map[string]*worker{},
+		kinds:        map[string]*workerKind{},
+		maxTimeout:   make([]int64, len(s.Classes)),
+		tenantShares: share.Shares{Quotas: s.tenantQuotas(), Fraction: s.dispatcherShare()},
+		rotation:     ramp.NewRotation(s.Dispatchers),
+	}, nil
 }
 
-// Handle takes one event and appends the actions it calls for to out. What is unknown to it is ignored.
+// Handle processes one event and appends the resulting actions to out. It ignores an event about a request,
+// an attempt or a worker that it does not know.
 func (b *Balancer) Handle(now int64, e *Event, out []Action) []Action {
-	if b.out = out; b.now == 0 {
-		b.timer(b.pulse(), tokenPulse)
+	if b.actions = out; b.now == 0 {
+		b.setTimer(b.probeInterval(), tokenPeriodic)
 	}
 	b.now = max(b.now, now, 1)
 	switch e.Kind {
 	case Arrival:
-		b.arrive(e)
+		b.handleArrival(e)
 	case AttemptDone:
-		b.finish(e)
+		b.handleAttemptDone(e)
 	case JobStarted, JobProgress, StreamStarted:
-		b.sign(e)
+		b.handleProgress(e)
 	case ClientGone:
-		b.close(b.requests[e.Request])
+		b.closeRequest(b.requests[e.Request])
 	case ProbeDone:
-		b.report(b.workers[e.Worker], e.Load)
+		b.recordLoad(b.workers[e.Worker], e.Load)
 	case PeerMessage:
-		b.hear(e)
+		b.handlePeerMessage(e)
 	case TimerDue:
-		b.timerDue(e.Token)
+		b.handleTimer(e.Token)
 	case ListPatch, ListSnapshot, ListRestored, ListFailed:
-		b.list(e)
+		b.handleList(e)
 	case HandedOver, Resumed, Replaced, NewSettings:
-		b.succession(e)
+		b.handleSuccession(e)
 	}
-	return b.out
+	return b.actions
 }
 
 // ---- the life of a request ----
 
-const tokenPulse, tokenLook = 0, 1 // of timers; with the latter comes a request's id, shifted
+// The kinds of timer tokens. A tokenRecheck carries the request's id in the bits above the lowest two.
+const tokenPeriodic, tokenRecheck = 0, 1
 
-func (b *Balancer) timerDue(token uint64) {
-	if r := b.requests[token>>2]; token == tokenPulse {
-		b.beat()
-	} else if r != nil && !r.closed && r.out == 0 {
-		b.place(r)
+func (b *Balancer) handleTimer(token uint64) {
+	if r := b.requests[token>>2]; token == tokenPeriodic {
+		b.runPeriodicTasks()
+	} else if r != nil && !r.closed && r.outstanding == 0 {
+		b.dispatch(r)
 	} else if r != nil && !r.closed {
-		b.second(r)
+		b.maybeHedge(r)
 	}
 }
 
-func (b *Balancer) arrive(e *Event) {
-	switch r := b.open(e); {
+func (b *Balancer) handleArrival(e *Event) {
+	switch r := b.openRequest(e); {
 	case r == nil:
-	case r.class.Repeat == Unsafe && b.probe(int64(b.jobTime)): // its choice is final: worth a fresh look
-		b.look(r, float64(b.s.Tick))
+	case r.class.Repeat == Unsafe && b.probeBuddies(int64(b.jobTime)):
+		// The choice of a worker for an unsafe job is final, so it waits for fresh load reports.
+		b.scheduleRecheck(r, float64(b.settings.Tick))
 	default:
-		b.place(r)
+		b.dispatch(r)
 	}
 }
 
-func (b *Balancer) open(e *Event) *request {
-	if b.requests[e.Request] != nil || e.Class < 0 || e.Class >= len(b.s.Classes) {
+func (b *Balancer) openRequest(e *Event) *request {
+	if b.requests[e.Request] != nil || e.Class < 0 || e.Class >= len(b.settings.Classes) {
 		return nil
 	}
-	c := &b.s.Classes[e.Class]
-	r := &request{id: e.Request, class: c, due: e.Due, key: e.Key, hint: b.hint(c, e.Hint)}
-	r.work, r.worth = r.hint, b.worth(e.Tenant)
-	b.least = min(b.least+b.least/16, r.work) // the smallest of late
-	// A client's later try shares the deadline of its first: it began a whole deadline before it is due. One
-	// whose aim would be lost by that is no such try, as no first is kept for so long: its client waits less.
-	b.patience[e.Class] = max(b.patience[e.Class], r.due-b.now)
+	c := &b.settings.Classes[e.Class]
+	r := &request{id: e.Request, class: c, due: e.Due, key: e.Key, hint: b.expectedWork(c, e.Hint)}
+	r.work, r.value = r.hint, b.countTenantRequest(e.Tenant)
+	b.smallJobWork = min(b.smallJobWork+b.smallJobWork/16, r.work) // the minimum of recent jobs
+	// A client's retry has the deadline of its first try. The first try is taken to have begun the longest
+	// known timeout of the class before the deadline, and the aim counts from then. If the aim would have
+	// passed by now, this is no retry, because no first try is kept for so long: the client has a shorter
+	// timeout, and the aim counts from now.
+	b.maxTimeout[e.Class] = max(b.maxTimeout[e.Class], r.due-b.now)
 	span := c.Aim + int64(c.Stretch*r.hint)
-	left := max(r.due-b.patience[e.Class]+span-b.now, 0)
-	r.aim = min(r.due, b.now+cmp.Or(left, span))
+	aimLeft := max(r.due-b.maxTimeout[e.Class]+span-b.now, 0)
+	r.aim = min(r.due, b.now+cmp.Or(aimLeft, span))
 	b.requests[r.id] = r
 	return r
 }
 
-// probe asks the buddies not heard of for so long, where reports come only so and no list tells of all: whom
-// one with live weights does not name has not changed. It tells whether it did.
-func (b *Balancer) probe(age int64) (asked bool) {
-	may := b.s.LoadReports == ReportsInProbes && b.s.Allowed.Probe && (!b.s.LiveWeights || b.unheard)
+// probeBuddies probes the buddies (the workers in this dispatcher's subset) whose last load report is at
+// least age microseconds old. It does so only where load reports come in probes alone, and not beside a
+// working list with live weights: a worker that such a list does not name has not changed. It returns whether
+// it probed any.
+func (b *Balancer) probeBuddies(age int64) (asked bool) {
+	allowed := b.settings.LoadReports == ReportsInProbes && b.settings.Allowed.Probe &&
+		(!b.settings.LiveWeights || b.listFailed)
 	for _, w := range b.buddies {
-		if may && b.now-w.heardAt >= age {
-			b.do(Action{Kind: ProbeWorker, Worker: w.ID})
+		if allowed && b.now-w.evidenceAt >= age {
+			b.emit(Action{Kind: ProbeWorker, Worker: w.ID})
 			asked = true
 		}
 	}
 	return asked
 }
 
-// place sends a request that nothing is out for, or holds it for a moment where no worker may take it: a
-// timer always follows, so that the answer comes in time. A job that promises less than the price is
-// refused, as is one beyond its tenant's share that no worker is free for.
-func (b *Balancer) place(r *request) {
-	w := b.choose(r)
+// dispatch sends a request that has no outstanding attempt, or holds it for a moment if no worker may take
+// it. A held request always has a timer, so that its answer comes in time. Load shedding: a job whose
+// expected value is below the price of late jobs is refused, and so is one beyond its tenant's share if no
+// worker is free.
+func (b *Balancer) dispatch(r *request) {
+	w := b.chooseWorker(r)
 	switch {
-	case b.now >= r.due || len(r.tries) >= b.s.Allowed.Attempts || b.barred(r, nil) || w == nil && b.hopeless(r):
-		b.giveUp(r)
+	case b.now >= r.due || len(r.attempts) >= b.settings.Allowed.Attempts || b.isBarred(r, nil) ||
+		w == nil && b.cannotBeServed(r):
+		b.reject(r)
 	case w == nil:
-		b.look(r, 4*b.startLag)
-	case b.mayRefuse(r) && (r.worth < 0.5 && b.region(w) > 0 || 1-min(b.risk(r, w), 1) < 2*b.loss):
-		b.loss -= b.loss / 64 // a late job makes another late; the price falls slowly as long as it keeps jobs out
-		b.giveUp(r)
+		b.scheduleRecheck(r, 4*b.startLag)
+	case b.mayRefuse(r) && (r.value < 0.5 && b.currentRegion(w) > 0 || 1-min(b.risk(r, w), 1) < 2*b.lateLoss):
+		// The price is twice the loss because a late job makes another one late. It decays slowly while it
+		// keeps jobs out.
+		b.lateLoss -= b.lateLoss / 64
+		b.reject(r)
 	default:
 		b.send(r, w)
 	}
 }
 
-// hopeless tells of a request that no worker may take whether to hold it is in vain: all have been tried, or
-// its aim is lost by the time one could. The client is told at once, and may ask again.
-func (b *Balancer) hopeless(r *request) bool {
-	lost := float64(r.aim-b.now) < r.hint && r.class.LateWorth <= b.loss
-	return lost || len(r.tries) > 0 && !slices.ContainsFunc(b.ranked, func(w *worker) bool {
-		return w.State == Ready && !r.tried(w) && (r.class.Kind == "" || r.class.Kind == w.Kind)
+// cannotBeServed reports whether it is useless to hold a request that no worker may take now: all workers
+// have been tried, or the aim would be missed in any case and a late answer is not worth the price. The
+// client is then answered at once and may retry.
+func (b *Balancer) cannotBeServed(r *request) bool {
+	lost := float64(r.aim-b.now) < r.hint && r.class.LateWorth <= b.lateLoss
+	return lost || len(r.attempts) > 0 && !slices.ContainsFunc(b.ranked, func(w *worker) bool {
+		return w.State == Ready && !r.hasTried(w) && (r.class.Kind == "" || r.class.Kind == w.Kind)
 	})
 }
 
+// send starts an attempt of a request at a worker.
 func (b *Balancer) send(r *request, w *worker) {
-	a := &attempt{r: r, n: len(r.tries), w: w, sent: b.now, wait: b.backlog(w)}
-	a.region, r.tries, r.out = b.regionOf(w, a.wait), append(r.tries, a), r.out+1
-	w.own, w.lastTry, w.silent = append(w.own, a), b.now, cmp.Or(w.silent, b.now)
-	b.copies = min(b.copies+1./spares, 1)
-	b.do(Action{Kind: Send, Request: r.id, Worker: w.ID})
-	b.tell(gossip.Sent, a)
-	b.follow(r, a)
+	a := &attempt{request: r, index: len(r.attempts), worker: w, sentAt: b.now, expectedWait: b.backlog(w)}
+	a.region, r.attempts, r.outstanding = b.regionOf(w, a.expectedWait), append(r.attempts, a), r.outstanding+1
+	w.ownAttempts, w.lastSentAt, w.silentSince = append(w.ownAttempts, a), b.now, cmp.Or(w.silentSince, b.now)
+	b.hedgeBudget = min(b.hedgeBudget+1./sendsPerHedge, 1)
+	b.emit(Action{Kind: Send, Request: r.id, Worker: w.ID})
+	b.announce(gossip.Sent, a)
+	b.scheduleRechecks(r, a)
 }
 
-// follow looks whether a job has begun: when half of what its aim leaves is over and its worker in doubt,
-// when it is a job time late, and when its aim is about to be lost.
-func (b *Balancer) follow(r *request, a *attempt) {
-	slack, wait := float64(r.aim-a.sent)-r.hint*a.w.pace, float64(a.sent-b.now)+a.wait
-	a.doubt = b.now + int64(wait+min(b.jobTime, max(3*b.startLag, slack/2)))
-	if b.s.ReportsStart {
-		b.look(r, float64(a.doubt-b.now)+1)
-		b.look(r, wait+b.jobTime+1)
-		b.look(r, float64(r.aim-b.now)-r.hint*a.w.pace+r.hint)
+// scheduleRechecks sets timers to check whether a job has started: when half of its slack is over and its
+// worker becomes suspect, when it is late by a job time, and when its aim is about to be missed.
+func (b *Balancer) scheduleRechecks(r *request, a *attempt) {
+	slack, wait := float64(r.aim-a.sentAt)-r.hint*a.worker.pace, float64(a.sentAt-b.now)+a.expectedWait
+	a.suspectAt = b.now + int64(wait+min(b.jobTime, max(3*b.startLag, slack/2)))
+	if b.settings.ReportsStart {
+		b.scheduleRecheck(r, float64(a.suspectAt-b.now)+1)
+		b.scheduleRecheck(r, wait+b.jobTime+1)
+		b.scheduleRecheck(r, float64(r.aim-b.now)-r.hint*a.worker.pace+r.hint)
 	}
 }
 
-func (b *Balancer) finish(e *Event) {
-	a := b.attempt(e)
+func (b *Balancer) handleAttemptDone(e *Event) {
+	a := b.findAttempt(e)
 	if a == nil {
 		return
 	}
-	r := a.r
-	a.done, a.notRun, a.broken, r.out = true, e.Outcome.NotRun(), e.Outcome == ConnectionLost, r.out-1
-	b.tell(gossip.Ended, a)
-	b.judge(a, e)
-	a.w.own = slices.DeleteFunc(a.w.own, func(o *attempt) bool { return o == a })
+	r := a.request
+	a.done, a.notRun, a.connectionLost, r.outstanding =
+		true, e.Outcome.NotRun(), e.Outcome == ConnectionLost, r.outstanding-1
+	b.announce(gossip.Ended, a)
+	b.recordOutcome(a, e)
+	a.worker.ownAttempts = slices.DeleteFunc(a.worker.ownAttempts, func(o *attempt) bool { return o == a })
 	switch {
 	case r.closed || e.Final || e.Outcome == Completed:
-		b.close(r)
-	case r.count(func(a *attempt) bool { return a.unusable }) > 1: // two workers agree: it is the job
-		b.do(Action{Kind: Fail, Request: r.id})
-		b.close(r)
-	case r.out == 0:
-		b.place(r)
+		b.closeRequest(r)
+	case r.countAttempts(func(a *attempt) bool { return a.unusable }) > 1: // two workers agree on it
+		b.emit(Action{Kind: Fail, Request: r.id})
+		b.closeRequest(r)
+	case r.outstanding == 0:
+		b.dispatch(r)
 	default:
-		b.second(r)
+		b.maybeHedge(r)
 	}
 }
 
-// close ends a request and calls off what is still out for it.
-func (b *Balancer) close(r *request) {
+// closeRequest ends a request and cancels its outstanding attempts.
+func (b *Balancer) closeRequest(r *request) {
 	if r == nil {
 		return
 	}
 	r.closed = true
-	if b.recall(r, nil); r.out == 0 {
+	if b.cancelAttempts(r, nil); r.outstanding == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-func (b *Balancer) recall(r *request, keep *attempt) {
-	for _, a := range r.tries {
-		if a != keep && !a.done && !a.recalled && b.s.Allowed.Cancel {
-			a.recalled = true
-			b.do(Action{Kind: CancelAttempt, Request: r.id, Attempt: a.n})
+// cancelAttempts cancels the outstanding attempts of a request except one, where the site allows it.
+func (b *Balancer) cancelAttempts(r *request, except *attempt) {
+	for _, a := range r.attempts {
+		if a != except && !a.done && !a.cancelled && b.settings.Allowed.Cancel {
+			a.cancelled = true
+			b.emit(Action{Kind: CancelAttempt, Request: r.id, Attempt: a.index})
 		}
 	}
 }
 
-func (b *Balancer) giveUp(r *request) {
+// reject answers a request that is not served: with a refusal if a retry is harmless, else with a failure.
+func (b *Balancer) reject(r *request) {
 	if b.mayRefuse(r) {
-		b.do(Action{Kind: Refuse, Request: r.id, After: b.advice()})
+		b.emit(Action{Kind: Refuse, Request: r.id, After: b.retryAfter()})
 	} else {
-		b.do(Action{Kind: Fail, Request: r.id})
+		b.emit(Action{Kind: Fail, Request: r.id})
 	}
-	b.close(r)
+	b.closeRequest(r)
 }
 
-// advice is how long a refused client should stay away: until the first buddy may have worked off half of
-// its backlog. Who asks sooner finds the same; who waits for all of it comes when others have been taken.
-func (b *Balancer) advice() int64 {
-	if !b.s.Allowed.RetryAfter {
+// retryAfter returns the backoff that a refused client is advised of, in microseconds: until the least loaded
+// buddy has worked off half of its backlog. A client that retries sooner finds the same backlog; one that
+// waits for all of it comes when others have been accepted in its place.
+func (b *Balancer) retryAfter() int64 {
+	if !b.settings.Allowed.RetryAfter {
 		return 0
 	}
-	wait := float64(b.s.Allowed.MaxRetryAfter)
+	wait := float64(b.settings.Allowed.MaxRetryAfter)
 	for _, w := range b.buddies {
 		wait = min(wait, b.backlog(w))
 	}
 	return int64(wait / 2)
 }
 
-// sign takes a note that a job has begun or goes on: the surest evidence that its worker lives.
-func (b *Balancer) sign(e *Event) {
-	a := b.attempt(e)
+// handleProgress processes a note that a job has started or goes on. It is the surest sign that its worker is
+// alive.
+func (b *Balancer) handleProgress(e *Event) {
+	a := b.findAttempt(e)
 	if a == nil {
 		return
 	}
-	a.w.alive()
-	if wait := float64(b.now - a.sent); a.started == 0 && e.Kind == JobStarted {
+	a.worker.markAlive()
+	if wait := float64(b.now - a.sentAt); a.startedAt == 0 && e.Kind == JobStarted {
 		if wait < 2*b.startLag {
 			b.startLag += (wait - b.startLag) / 8
 			wait = 0
 		}
-		a.w.sample(a.region, b.column(wait)) // a report of the backlog met, with the region held then
-		// All that was ahead has begun: with our own, no more run than there are slots.
-		a.w.held = min(a.w.held, -1-a.w.count(func(o *attempt) bool { return o.started != 0 }))
-	}
-	a.heard = b.now
-	if a.started == 0 {
-		a.started = b.now
-		b.recall(a.r, a) // one copy runs; the other would only take a slot from someone
-	}
-}
-
-// second looks after a job that has not begun. While it waits as foretold it is left alone: a worker may run
-// what is called off all the same. If it is late by a job time and its aim is lost, even if its hint errs by
-// half, it is withdrawn, unless a late answer is worth the price. Where a repeat is harmless and its worker
-// was silent since, it gets a copy elsewhere, or a third try in place of one; the first to begin stays. Where
-// all are late, copies only make them later: their number is bounded.
-func (b *Balancer) second(r *request) {
-	newest := r.tries[0]
-	for _, a := range r.tries {
-		if !a.done && a.started != 0 {
+		// The wait is a sample of the actual backlog in the region that was observed at the send.
+		a.worker.addSample(a.region, b.columnOf(wait))
+		// All jobs ahead of this one have started, so with this dispatcher's own no more jobs run than there
+		// are slots.
+		a.worker.queued = min(a.worker.queued,
+			-1-a.worker.countAttempts(func(o *attempt) bool { return o.startedAt != 0 }))
+	}
+	a.progressAt = b.now
+	if a.startedAt == 0 {
+		a.startedAt = b.now
+		b.cancelAttempts(a.request, a) // a hedged copy would only take a slot from another job
+	}
+}
+
+// maybeHedge checks a job that has not started. While it waits no longer than expected it is left alone,
+// because a worker may run a cancelled attempt all the same. If it is late by a job time and its aim is
+// missed, with the hinted work as an allowance for a hint that errs by half, it is withdrawn, unless a late
+// answer is worth the price. If a repeat is harmless and the worker has been silent since the send, the job
+// gets a hedged request at another worker, or a third attempt in place of the older one; the first to start
+// is kept. Where all workers are late, hedged requests only add to the delay, so their number is limited.
+func (b *Balancer) maybeHedge(r *request) {
+	newest := r.attempts[0]
+	for _, a := range r.attempts {
+		if !a.done && a.startedAt != 0 {
 			return
 		}
 		if !a.done {
 			newest = a
 		}
 	}
-	w, late := newest.w, float64(b.now-newest.sent) > newest.wait+b.jobTime
+	w, isLate := newest.worker, float64(b.now-newest.sentAt) > newest.expectedWait+b.jobTime
 	switch {
-	case late && float64(r.aim-b.now)+r.hint < r.hint*w.pace && r.class.LateWorth < b.loss:
-		b.giveUp(r)
-	case !b.s.Allowed.HedgedRequests || r.class.Repeat == Unsafe || b.now <= newest.doubt || w.silent == 0 ||
-		w.silent > newest.sent || b.copies < 1:
-	case r.out > 1 && len(r.tries) < b.s.Allowed.Attempts:
-		b.recall(r, newest) // its outcome brings us here again
+	case isLate && float64(r.aim-b.now)+r.hint < r.hint*w.pace && r.class.LateWorth < b.lateLoss:
+		b.reject(r)
+	case !b.settings.Allowed.HedgedRequests || r.class.Repeat == Unsafe || b.now <= newest.suspectAt ||
+		w.silentSince == 0 || w.silentSince > newest.sentAt || b.hedgeBudget < 1:
+	case r.outstanding > 1 && len(r.attempts) < b.settings.Allowed.Attempts:
+		b.cancelAttempts(r, newest) // the outcome of the cancelled attempt leads here again
 	default:
-		if w := b.choose(r); w != nil {
-			b.copies--
+		if w := b.chooseWorker(r); w != nil {
+			b.hedgeBudget--
 			b.send(r, w)
 		}
 	}
@@ -293,20 +332,21 @@
 
 // ---- the choice of a worker ----
 
-// choose returns the legal buddy with the least risk; ties follow the preferred list. Where none may take the
-// job (tried, out, not in its group) any listed worker may; last, one that is tried, if the connection broke.
-func (b *Balancer) choose(r *request) *worker {
-	for i, among := range [][]*worker{b.near(r), b.others, r.broken()} {
+// chooseWorker returns the buddy with the minimum risk among those that may take the job; ties go to the
+// earlier one in the buddy list. If no buddy may take it (tried, ejected, outside its group), any listed
+// worker may. The last resort is a worker that was tried and to which the connection was lost.
+func (b *Balancer) chooseWorker(r *request) *worker {
+	for i, candidates := range [][]*worker{b.firstCandidates(r), b.nonBuddies, r.workersWithLostConnection()} {
 		var best *worker
-		least := math.MaxInt
-		for _, w := range among {
-			if b.now < w.downUntil || !b.maySend(r, w) || i < 2 && r.tried(w) {
+		minRisk := math.MaxInt
+		for _, w := range candidates {
+			if b.now < w.ejectedUntil || !b.maySend(r, w) || i < 2 && r.hasTried(w) {
 				continue
 			}
-			// The running time counts a fifth beside the risk: it spreads more than hints tell, and a slow
-			// worker may make a long job late that it begins at once.
-			if risk := int((b.risk(r, w) + b.share(r, r.hint*w.pace)/5) * grain); risk < least {
-				best, least = w, risk
+			// A fifth of the running time is added to the risk: it varies more than hints show, and a slow
+			// worker may finish a long job late even if it starts it at once.
+			if risk := int((b.risk(r, w) + b.relativeTime(r, r.hint*w.pace)/5) * riskSteps); risk < minRisk {
+				best, minRisk = w, risk
 			}
 		}
 		if best != nil {
@@ -316,162 +356,179 @@
 	return nil
 }
 
-// risk is the loss expected of this worker: P(backlog > slack, less what is fetched) against the aim, and
-// against the deadline for what a late answer still earns; the wait in view as a share of the time wanted,
-// without which jobs pile up on the first of the list where all would be late; and the price of another zone.
+// risk returns the expected loss of sending a request to a worker. It is the sum of the probability that the
+// backlog exceeds the slack, after the running and fetch times, before the aim and, for the worth of a late
+// answer, before the deadline; of the expected wait relative to the time allowed, without which jobs pile up
+// on the first of the list where all would be late; and of the penalty for another zone.
 func (b *Balancer) risk(r *request, w *worker) float64 {
-	x, run, late := b.region(w), r.hint*w.pace+b.setup(r, w), r.class.LateWorth
-	risk := (1-late)*b.tail(w, x, float64(r.aim-b.now)-run) + late*b.tail(w, x, float64(r.due-b.now)-run)
-	if r.class.Repeat == Unsafe { // that it fails this one too, by the rule of succession
-		risk += float64(w.errors) / float64(w.errors+1)
+	region, runTime, lateWorth := b.currentRegion(w), r.hint*w.pace+b.fetchTime(r, w), r.class.LateWorth
+	risk := (1-lateWorth)*b.tailProbability(w, region, float64(r.aim-b.now)-runTime) +
+		lateWorth*b.tailProbability(w, region, float64(r.due-b.now)-runTime)
+	if r.class.Repeat == Unsafe { // that the worker fails this job too, by the rule of succession
+		risk += float64(w.consecutiveErrors) / float64(w.consecutiveErrors+1)
 	}
-	return risk + b.crossing(w) + b.share(r, b.backlog(w)+b.setup(r, w))
+	return risk + b.zonePenalty(w) + b.relativeTime(r, b.backlog(w)+b.fetchTime(r, w))
 }
 
-// near lists whom to choose from first: the cold workers beyond the buddies that this dispatcher has a turn
-// at, the buddies, and the homes of the key, the same at all dispatchers.
-func (b *Balancer) near(r *request) []*worker {
-	r.homes = b.homes(r.key)
-	return slices.Concat(b.turns(), b.buddies, r.homes)
+// firstCandidates lists the workers to choose from first: the cold workers outside the buddy set at which
+// this dispatcher has a turn, the buddies, and the preferred workers of the key, which are the same at all
+// dispatchers.
+func (b *Balancer) firstCandidates(r *request) []*worker {
+	r.preferred = b.preferredFor(r.key)
+	return slices.Concat(b.coldWorkersInTurn(), b.buddies, r.preferred)
 }
 
-// setup is the time that a worker is expected to spend on fetching what the key needs: a job's where it is no
-// home, nothing at the first home, and at the next ones in proportion. Jobs go there only if the homes before
-// are busy, so that few workers hold a key, and each keeps what it has.
-func (b *Balancer) setup(r *request, w *worker) float64 {
-	return b.jobTime * float64(r.homesBefore(w)) / cover
+// fetchTime returns the time that a worker is expected to spend on fetching the data of the key: nothing at
+// the first preferred worker, a proportion of the job time at the next ones, and the whole job time at any
+// other worker. Jobs go to the next preferred worker only if the earlier ones are busy, so that few workers
+// hold a key and each keeps what it has.
+func (b *Balancer) fetchTime(r *request, w *worker) float64 {
+	return b.jobTime * float64(r.preferenceRank(w)) / redundancy
 }
 
-// ---- legality ----
+// ---- the rules for sends ----
 
-// maySend is the one guard of every send.
+// maySend reports whether a request may be sent to a worker now. Every send is checked here and nowhere else.
 func (b *Balancer) maySend(r *request, w *worker) bool {
 	switch {
-	case r.closed || b.now >= r.due || len(r.tries) >= b.s.Allowed.Attempts:
+	case r.closed || b.now >= r.due || len(r.attempts) >= b.settings.Allowed.Attempts:
 		return false
-	case !w.listed || w.State != Ready: // stop on hearing: the grace is for what is under way
+	case !w.listed || w.State != Ready: // stop at once: the drain grace is for sends already on their way
 		return false
 	case r.class.Kind != "" && r.class.Kind != w.Kind:
 		return false
-	case r.out > 1 || r.out == 1 && !b.s.Allowed.HedgedRequests:
+	case r.outstanding > 1 || r.outstanding == 1 && !b.settings.Allowed.HedgedRequests:
 		return false
 	}
-	return !b.barred(r, w) && (!b.cold(w) || r.work <= b.coldShare(w))
+	return !b.isBarred(r, w) && (!b.isCold(w) || r.work <= b.coldBudget(w))
 }
 
-// barred tells that an attempt which may have run bars one at w, or any other if w is nil: the class is
-// unsafe, its window is over, or w is outside the group, where a repeat would have its effect again.
-func (b *Balancer) barred(r *request, w *worker) bool {
-	c := r.class
-	return slices.ContainsFunc(r.tries, func(a *attempt) bool {
-		return !a.notRun && (c.Repeat == Unsafe || c.Repeat == Keyed &&
-			(b.now >= a.sent+c.Window-2*b.s.Tick || w != nil && !sameGroup(c.Group, a.w, w)))
+// isBarred reports whether an earlier attempt that may have run forbids one at w, or any further one if w is
+// nil: the class is unsafe, its deduplication window is over, or w is outside the group that drops repeats.
+func (b *Balancer) isBarred(r *request, w *worker) bool {
+	class := r.class
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
+		return !a.notRun && (class.Repeat == Unsafe || class.Repeat == Keyed &&
+			(b.now >= a.sentAt+class.Window-2*b.settings.Tick || w != nil && !sameGroup(class.Group, a.worker, w)))
 	})
 }
 
-// mayRefuse tells whether what a refusal promises, that trying again is harmless, holds.
+// mayRefuse reports whether the request may be refused. A refusal promises that a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
 	harmless := r.class.Repeat == Safe || r.class.Repeat == Keyed && r.class.Group == GroupAll
-	return harmless || !slices.ContainsFunc(r.tries, func(a *attempt) bool { return !a.notRun })
+	return harmless || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.notRun })
 }
 
-// coldShare is the work this dispatcher may still send to a cold worker. Half of what the rule has for the
-// fall time is for all that is heard of; the rest is for hints that err, lost words and who was not told. A
-// turn's first job may be larger than its part. Who is replaced leaves the part to the other.
-func (b *Balancer) coldShare(w *worker) float64 {
-	turn, rule, part := b.coldTurn(w)
-	if b.replaced || !b.circle.Has(turn, b.s.Me) {
+// coldBudget returns the work, in microseconds, that this dispatcher may still send to a cold worker. Half of
+// the work limit of the fall time bounds all sends that this dispatcher knows of. The other half allows for
+// wrong hints, lost gossip messages and dispatchers that do not know of the start yet. The first job of a
+// turn may exceed the dispatcher's share. A dispatcher with a successor leaves its share to the successor.
+func (b *Balancer) coldBudget(w *worker) float64 {
+	turn, workLimit, userShare := b.coldTurn(w)
+	if b.hasSuccessor || !b.rotation.Has(turn, b.settings.Me) {
 		return 0
 	}
-	spent, _ := w.sent.Since(max(b.now-b.s.Contract.FallTime, w.StartedAt-1))
-	if _, own := w.sent.Since(max(turn.Start, w.StartedAt) - 1); own > 0 {
-		return min(rule/2-spent, part-own)
+	spent, _ := w.sentWork.Since(max(b.now-b.settings.Contract.FallTime, w.StartedAt-1))
+	if _, own := w.sentWork.Since(max(turn.Start, w.StartedAt) - 1); own > 0 {
+		return min(workLimit/2-spent, userShare-own)
 	}
-	return rule/2 - spent
+	return workLimit/2 - spent
 }
 
-// coldTurn tells whose turn it is, what the rule has, and a user's part: of three eighths, as a window
-// touches two turns, or half where they tell each other, for as many as bear one job. All dispatchers have
-// turns, buddy or not: buddies differ while lists do, and more would use a worker than each counts.
-func (b *Balancer) coldTurn(w *worker) (turn ramp.Turn, rule, part float64) {
-	c := &b.s.Contract
-	rule = c.FallMultiple * b.warmth(w) * w.kind.slots / max(w.kind.pace, 0.1) * float64(c.FallTime)
-	all := rule * 3 / 8
-	if b.hasPeers() {
-		all = rule / 2
+// coldTurn returns the turn at a cold worker, the work limit of the fall time and the share of each user of
+// the turn. The users divide three eighths of the limit, as a window of the fall time touches two turns, or
+// half of it where they gossip about their sends. A share is at least one job, which bounds the number of
+// users. All dispatchers take turns, whether or not the worker is a buddy: buddy sets differ while worker
+// lists do, and more dispatchers would use the worker than each of them counts.
+func (b *Balancer) coldTurn(w *worker) (turn ramp.Turn, workLimit, userShare float64) {
+	contract := &b.settings.Contract
+	workLimit = contract.FallMultiple * b.warmShare(w) * w.kind.slots / max(w.kind.pace, 0.1) *
+		float64(contract.FallTime)
+	budget := workLimit * 3 / 8
+	if b.usesGossip() {
+		budget = workLimit / 2
 	}
-	part = max(all/b.sharers(), b.jobTime)
-	turn = ramp.TurnAt(b.now, c.FallTime, int64(w.name)+w.StartedAt/1000)
-	turn.Users = int64(max(all/(part*-math.Expm1(-b.jobsWithin(c.FallTime))), 1))
-	return turn, rule, part
+	userShare = max(budget/b.expectedSharers(), b.jobTime)
+	turn = ramp.TurnAt(b.now, contract.FallTime, int64(w.hostHash)+w.StartedAt/1000)
+	turn.Users = int64(max(budget/(userShare*-math.Expm1(-b.expectedArrivals(contract.FallTime))), 1))
+	return turn, workLimit, userShare
 }
 
-// ---- what is observed of a worker ----
+// ---- observations of workers ----
 
-func (w *worker) alive() {
-	if w.silent = 0; w.errors == 0 { // who begins jobs only to fail them stays at rest
-		w.failures, w.downUntil = 0, 0
+// markAlive records a sign of life and ends an ejection. A worker that starts jobs only to fail them stays
+// ejected.
+func (w *worker) markAlive() {
+	if w.silentSince = 0; w.consecutiveErrors == 0 {
+		w.ejections, w.ejectedUntil = 0, 0
 	}
 }
 
-// rest leaves a worker alone for a while, longer each time.
-func (b *Balancer) rest(w *worker) {
-	w.failures, w.faultAt = w.failures+1, b.now
-	w.downUntil = b.now + int64(max(float64(b.s.Allowed.DialTimeout), b.jobTime))<<min(w.failures, 4)
-	b.refill()
+// eject excludes a worker from new jobs for a while, with exponential backoff.
+func (b *Balancer) eject(w *worker) {
+	w.ejections, w.lastFaultAt = w.ejections+1, b.now
+	w.ejectedUntil = b.now + int64(max(float64(b.settings.Allowed.DialTimeout), b.jobTime))<<min(w.ejections, 4)
+	b.rebuildBuddies()
 }
 
-// blame notes that a worker has failed a job that another may well serve, here or at another dispatcher.
-// One is chance; from the second in a row it rests: failing at once it looks free, and would draw more.
-func (b *Balancer) blame(w *worker) {
-	if w.errors, w.faultAt = w.errors+1, b.now; w.errors > 1 {
-		b.rest(w)
+// recordError records that a worker has failed a job that another worker may well serve, here or at another
+// dispatcher. One error may be chance. From the second in a row the worker is ejected, because a worker that
+// fails jobs at once looks free and would attract more.
+func (b *Balancer) recordError(w *worker) {
+	if w.consecutiveErrors, w.lastFaultAt = w.consecutiveErrors+1, b.now; w.consecutiveErrors > 1 {
+		b.eject(w)
 	}
 }
 
-// backlog is the time until a new job would begin: the reported queue, the hints of own jobs that the
-// report cannot have seen, and not less than own jobs out there prove.
+// backlog estimates the time until a new job would start at a worker, in microseconds: from the reported
+// queue and the hinted work of own jobs, which the report may not include, and not less than the wait that
+// own outstanding jobs prove.
 func (b *Balancer) backlog(w *worker) float64 {
-	own, waiting, hints, oldest := float64(len(w.own)), -1.0, 0.0, 0.0
-	for _, a := range w.own {
-		hints += a.r.work * w.pace
-		if waited := float64(b.now - a.sent); a.started == 0 && !a.recalled && waited > 3*b.startLag {
-			waiting, oldest = max(waiting, 0)+1, max(oldest, waited) // all slots are taken, if not by us
+	ownJobs, waiting, ownWork, provenWait := float64(len(w.ownAttempts)), -1.0, 0.0, 0.0
+	for _, a := range w.ownAttempts {
+		ownWork += a.request.work * w.pace
+		if waited := float64(b.now - a.sentAt); a.startedAt == 0 && !a.cancelled && waited > 3*b.startLag {
+			// All slots are taken, by other dispatchers' jobs if not by own ones.
+			waiting, provenWait = max(waiting, 0)+1, max(provenWait, waited)
 		}
-		// It tells of a running job in fixed intervals unless it stands still.
-		if quiet := b.now - a.heard; a.started > 0 && b.s.Progress > 0 && quiet > 2*b.s.Progress {
-			oldest = max(oldest, float64(quiet))
+		// A worker sends progress notes of a running job at a fixed interval unless it is stalled.
+		if quiet := b.now - a.progressAt; a.startedAt > 0 && b.settings.Progress > 0 &&
+			quiet > 2*b.settings.Progress {
+			provenWait = max(provenWait, float64(quiet))
 		}
 	}
-	// Evidence ages towards what all buddies showed of late, and that towards a free worker: else one once
-	// found busy would never be tried again.
-	age := float64(b.now-w.heardAt) / b.jobTime
-	held := w.held + (b.common(w)-w.held)*age/(age+1) + float64(w.told.Since(w.reportOf))
-	jobs := max(held+own, waiting)
-	time := 0.0
+	// An old report counts less and less beside the recent mean of the buddies, and that beside a free
+	// worker. Otherwise a worker that was once busy would never be tried again.
+	age := float64(b.now-w.evidenceAt) / b.jobTime
+	queued := w.queued + (b.expectedQueued(w)-w.queued)*age/(age+1) + float64(w.peerLoad.Since(w.reportAsOf))
+	jobs := max(queued+ownJobs, waiting)
+	estimate := 0.0
 	if jobs > -1 {
-		time = max(b.jobTime/2, (jobs+1-own)*b.jobTime+hints) / w.kind.slots
+		estimate = max(b.jobTime/2, (jobs+1-ownJobs)*b.jobTime+ownWork) / w.kind.slots
 	}
-	// Silence: a hung worker never reports. What it was tried for in vain, it is left alone for again.
-	if w.silent > 0 {
-		oldest = max(oldest, float64(2*(w.lastTry-w.silent)-(b.now-w.lastTry)))
+	// A hung worker never reports. After it has been tried in vain for some time, it is avoided for as long.
+	if w.silentSince > 0 {
+		provenWait = max(provenWait, float64(2*(w.lastSentAt-w.silentSince)-(b.now-w.lastSentAt)))
 	}
-	return max(time, oldest)
+	return max(estimate, provenWait)
 }
 
-// common is how many jobs wait at a worker of this kind on average, by late evidence.
-func (b *Balancer) common(w *worker) float64 {
-	age := float64(b.now-b.commonAt) / b.jobTime
-	return b.meanHeld + (-w.kind.slots-b.meanHeld)*age/(age+8)
+// expectedQueued returns the number of jobs that wait at a worker of this kind on average, by recent load
+// reports; below 0 are free slots.
+func (b *Balancer) expectedQueued(w *worker) float64 {
+	ageInJobs := float64(b.now-b.meanQueuedAt) / b.jobTime
+	return b.meanQueued + (-w.kind.slots-b.meanQueued)*ageInJobs/(ageInJobs+8)
 }
 
-// report takes a load report and pairs it with the region held till then.
-func (b *Balancer) report(w *worker, l Load) {
-	queue, free, inflight := sane(l.Queue), sane(l.Free), sane(l.Inflight)
+// recordLoad processes a load report. The reported backlog is a sample of the region in which the worker was
+// held to be until now.
+func (b *Balancer) recordLoad(w *worker, l Load) {
+	queue, free, inflight := sanitize(l.Queue), sanitize(l.Free), sanitize(l.Inflight)
 	if w == nil || queue < 0 && free < 0 && inflight < 0 {
 		return
 	}
-	// Slots are learned, but no odd report may swell them: the cold budget hangs on them.
+	// The number of slots is learned, but a single odd report at most doubles it: the cold budget depends on
+	// it.
 	w.kind.slots = max(w.kind.slots, min(math.Round(free*0.9), w.kind.slots*2))
 	jobs := inflight - w.kind.slots
 	if queue >= 0.5 || queue >= 0 && free < 0 && inflight < 0 {
@@ -479,149 +536,166 @@
 	} else if free >= 0 {
 		jobs = -math.Round(free)
 	}
-	// What is this dispatcher's own in it is better known from what is out.
-	of := b.now - int64(b.jobTime/2) // the time that it tells of
-	own, others := w.count(func(a *attempt) bool { return a.sent < of }), w.foldHearsay(of)
-	seen, before := max(0, jobs+1)*b.jobTime/w.kind.slots,
-		max(0, w.held+others+own+1)*b.jobTime/w.kind.slots
-	w.sample(b.region(w), b.column(seen))
-	if x := b.regionOf(w, seen); x/2 != b.regionOf(w, before)/2 || x == regions-1 || w.heardAt == 0 {
-		w.held = max(jobs-own, -w.kind.slots) // TH_2k is crossed, or beyond the last there is none to cross
+	// This dispatcher's own jobs are taken out of the report: its outstanding attempts are known better.
+	asOf := b.now - int64(b.jobTime/2) // the time at which the report was true
+	ownJobs, peerJobs := w.countAttempts(func(a *attempt) bool { return a.sentAt < asOf }), w.foldPeerLoad(asOf)
+	observed, expected := max(0, jobs+1)*b.jobTime/w.kind.slots,
+		max(0, w.queued+peerJobs+ownJobs+1)*b.jobTime/w.kind.slots
+	w.addSample(b.currentRegion(w), b.columnOf(observed))
+	if region := b.regionOf(w, observed); region/2 != b.regionOf(w, expected)/2 || region == regionCount-1 ||
+		w.evidenceAt == 0 {
+		// The backlog has crossed a threshold TH_2k, or is beyond the last, where there is none to cross.
+		w.queued = max(jobs-ownJobs, -w.kind.slots)
 	}
-	w.heardAt = b.now
-	b.meanHeld, b.commonAt = b.common(w)+(jobs-own-b.common(w))/8, b.now
+	w.evidenceAt = b.now
+	b.meanQueued, b.meanQueuedAt = b.expectedQueued(w)+(jobs-ownJobs-b.expectedQueued(w))/8, b.now
 }
 
-// judge learns from an outcome: its report, the worker's pace, and failure in the sense of the design.
-func (b *Balancer) judge(a *attempt, e *Event) {
-	w, lost := a.w, 1.0
+// recordOutcome learns from the outcome of an attempt: the worker's load report, its pace and its failures.
+func (b *Balancer) recordOutcome(a *attempt, e *Event) {
+	w, loss := a.worker, 1.0
 	switch e.Outcome {
-	case Cancelled, NeverSent: // our own doing
+	case Cancelled, NeverSent: // decided by this dispatcher: it says nothing of the worker
 		return
-	case Unusable: // says nothing of the worker, unless another one can use it
+	case Unusable: // says nothing of the worker, unless another worker can use the job
 		a.unusable = true
 		return
-	case Errored: // whatever its backlog; what fails everywhere is blamed on the first only
-		if !a.r.failed {
-			b.fault(w)
+	case Errored:
+		// An error is a loss whatever the backlog. A job that fails everywhere counts against the first
+		// worker only.
+		if !a.request.hasFailed {
+			b.reportError(w)
 		}
-		a.r.failed = true
+		a.request.hasFailed = true
 	case Completed:
-		for _, o := range a.r.tries {
+		for _, o := range a.request.attempts {
 			if o.unusable {
-				b.fault(o.w)
+				b.reportError(o.worker)
 			}
 		}
-		w.errors = 0
-		w.alive()
-		run := float64(b.now - max(a.started, a.sent))
-		fetched := b.setup(a.r, w) > 0 // perhaps: its running time says little of the job, or of the worker
-		b.ran(a.r, run, fetched)
-		if a.r.hint > 0 && !fetched {
-			// Weighed by work: the ratios of small jobs with rough hints would throw it about.
-			ratio, weight := min(max(run/a.r.hint, 0.1), 10), min(a.r.hint/b.jobTime, 2)/8
+		w.consecutiveErrors = 0
+		w.markAlive()
+		runTime := float64(b.now - max(a.startedAt, a.sentAt))
+		// A worker that may have fetched data for the key: its running time says little of the job or the
+		// worker.
+		fetched := b.fetchTime(a.request, w) > 0
+		b.recordRunTime(a.request, runTime, fetched)
+		if a.request.hint > 0 && !fetched {
+			// The pace is weighted by work: the ratios of small jobs with rough hints would make it unstable.
+			ratio, weight := min(max(runTime/a.request.hint, 0.1), 10), min(a.request.hint/b.jobTime, 2)/8
 			w.pace += (ratio - w.pace) * weight * 2
 			w.kind.pace += (ratio - w.kind.pace) * weight
 		}
-		// Late is lost whole: in time, its work would have earned all. The running time corrects a rough hint.
-		if more := run/w.kind.pace - a.r.hint; float64(b.now-a.r.aim) <= a.r.class.Stretch*max(more, 0) {
-			lost = 0
+		// A late job counts as a whole loss, as its work could have earned the full worth in time. The
+		// running time corrects a rough hint.
+		if extraWork := runTime/w.kind.pace - a.request.hint; float64(b.now-a.request.aim) <=
+			a.request.class.Stretch*max(extraWork, 0) {
+			loss = 0
 		}
 	case Saturated:
-		w.held, w.heardAt = max(w.held, 4*w.kind.slots), b.now
-	case ConnectionLost: // one connection that breaks is chance as well
-		if a.started == 0 {
-			b.fault(w)
+		w.queued, w.evidenceAt = max(w.queued, 4*w.kind.slots), b.now
+	case ConnectionLost: // as with errors, a single lost connection may be chance
+		if a.startedAt == 0 {
+			b.reportError(w)
 		}
 	case ConnectionRefused, TimedOut:
-		if a.started == 0 { // it does not even begin jobs
-			b.rest(w)
+		if a.startedAt == 0 { // the worker does not even start jobs
+			b.eject(w)
 		}
 	}
-	if lost > 0 {
-		w.sample(a.region, columns-1)
+	if loss > 0 {
+		w.addSample(a.region, columnCount-1)
 	}
 	if e.Outcome != ConnectionLost && e.Outcome != ConnectionRefused { // due to a fault, not to a queue
-		b.loss += (lost - b.loss) / 16
+		b.lateLoss += (loss - b.lateLoss) / 16
 	}
-	b.report(w, e.Load)
+	b.recordLoad(w, e.Load)
 }
 
 // ---- the learned tables ----
 
-// regionOf cuts backlog by TH1, just under the smallest job time, TH2, just under the mean one, and two
-// multiples of that; all are shared out among a worker's slots.
+// regionOf returns the region of a backlog. The thresholds are TH1, just under the time of a small job; TH2,
+// just under the mean job time; and two multiples of the mean. All are divided by the number of the worker's
+// slots.
 func (b *Balancer) regionOf(w *worker, backlog float64) int {
-	least := min(b.least, b.jobTime)
+	smallJob := min(b.smallJobWork, b.jobTime)
 	backlog *= w.kind.slots
-	for k, th := range [regions - 1]float64{0.9 * least, 0.95 * b.jobTime, 1.6 * b.jobTime, 2.6 * b.jobTime} {
-		if backlog < th {
-			return k
+	for region, threshold := range [regionCount - 1]float64{
+		0.9 * smallJob, 0.95 * b.jobTime, 1.6 * b.jobTime, 2.6 * b.jobTime} {
+		if backlog < threshold {
+			return region
 		}
 	}
-	return regions - 1
+	return regionCount - 1
 }
 
-// tail is P(backlog > slack) in region x, linear within a column.
-func (b *Balancer) tail(w *worker, x int, slack float64) float64 {
+// tailProbability returns P(backlog > slack) in a region, interpolated linearly within a column.
+func (b *Balancer) tailProbability(w *worker, region int, slack float64) float64 {
 	if slack < 0 {
 		return 1
 	}
-	at := min(slack*4/b.jobTime, columns-2)
-	c := min(int(at), columns-3)
-	return w.tails[x][c+1] + (at-float64(c))*(w.tails[x][c+2]-w.tails[x][c+1])
-}
-
-// blendWith makes P_U = aP_T + (1-a)P_O of the samples since the last time. With few samples a shrinks, and
-// the kind's pooled table serves as prior: alone, a light dispatcher's tables would stay uniform.
-func (t *table) blendWith(prior *table) {
-	var lower [columns]float64
-	for x := range regions {
-		n, rest := 0.0, 0.0
-		for _, f := range t.fresh[x] {
-			n += f
+	position := min(slack*4/b.jobTime, columnCount-2)
+	column := min(int(position), columnCount-3)
+	return w.tails[region][column+1] +
+		(position-float64(column))*(w.tails[region][column+2]-w.tails[region][column+1])
+}
+
+// update computes P_U = aP_T + (1-a)P_O from the samples since the last update. With few samples a shrinks,
+// and the pooled table of the worker's kind serves as the prior: without it, the tables of a lightly loaded
+// dispatcher would stay uniform.
+func (t *table) update(prior *table) {
+	var maxTails [columnCount]float64
+	for region := range regionCount {
+		samples, tail := 0.0, 0.0
+		for _, n := range t.samples[region] {
+			samples += n
 		}
-		for c := columns - 1; c >= 0; c-- {
-			if n > 0 {
-				t.p[x][c] += blend * n / (n + 1) * (t.fresh[x][c]/n - t.p[x][c])
+		for column := columnCount - 1; column >= 0; column-- {
+			if samples > 0 {
+				t.probability[region][column] += blendWeight * samples / (samples + 1) *
+					(t.samples[region][column]/samples - t.probability[region][column])
 			}
 			if prior != nil {
-				t.p[x][c] += (prior.p[x][c] - t.p[x][c]) * 2 / (2 + n)
+				t.probability[region][column] += (prior.probability[region][column] - t.probability[region][column]) *
+					2 / (2 + samples)
 			}
-			t.fresh[x][c] = 0
-			rest += t.p[x][c]
-			lower[c] = max(lower[c], rest) // few samples must not make a full worker look freer than others
-			t.tails[x][c] = lower[c]
+			t.samples[region][column] = 0
+			tail += t.probability[region][column]
+			maxTails[column] = max(maxTails[column], tail) // few samples must not make a full worker look less loaded
+			t.tails[region][column] = maxTails[column]
 		}
 	}
 }
 
-// pulse is the time between probes of the buddies, a few seconds; T_p is four of them.
-func (b *Balancer) pulse() int64 { return int64(min(max(2*b.jobTime, 1e6), 4e6)) }
+// probeInterval returns the time between two probes of the buddies, in microseconds: 1 to 4 s. T_p is four of
+// them.
+func (b *Balancer) probeInterval() int64 { return int64(min(max(2*b.jobTime, 1e6), 4e6)) }
 
-func (b *Balancer) beat() {
-	b.timer(b.pulse(), tokenPulse)
-	if b.unheard { // not at once: that would only feed a jam
-		b.do(Action{Kind: WatchList})
+// runPeriodicTasks probes the buddies, rebuilds the buddy set and updates the tables when they are due.
+func (b *Balancer) runPeriodicTasks() {
+	b.setTimer(b.probeInterval(), tokenPeriodic)
+	if b.listFailed { // retried here, not at once: that would only add to an overload of the list service
+		b.emit(Action{Kind: WatchList})
 	}
-	b.probe(b.pulse())
-	b.refill() // who has rested is a buddy again
-	if b.now < b.blendAt {
+	b.probeBuddies(b.probeInterval())
+	b.rebuildBuddies() // a worker whose ejection has ended is a buddy again
+	if b.now < b.nextTableUpdate {
 		return
 	}
-	b.blendAt = b.now + 4*b.pulse()
+	b.nextTableUpdate = b.now + 4*b.probeInterval()
 	for _, k := range b.kinds {
-		k.blendWith(nil)
+		k.update(nil)
 	}
 	for _, w := range b.buddies {
-		w.blendWith(&w.kind.table)
+		w.update(&w.kind.table)
 	}
 }
 
 // ---- the list of workers and the buddy set ----
 
-func (b *Balancer) list(e *Event) {
-	b.unheard = e.Kind == ListFailed // what is known stays; the next pulse asks again
+// handleList processes a change, a snapshot or a failure of the worker list.
+func (b *Balancer) handleList(e *Event) {
+	b.listFailed = e.Kind == ListFailed // the known list stays in use; runPeriodicTasks asks for it again
 	if e.Kind == ListSnapshot || e.Kind == ListRestored {
 		for _, w := range b.ranked {
 			w.listed = false
@@ -629,43 +703,47 @@
 		b.ranked = b.ranked[:0]
 	}
 	for i := range e.List {
-		b.entry(&e.List[i])
+		b.updateWorker(&e.List[i])
 	}
 	b.ranked = slices.DeleteFunc(b.ranked, func(w *worker) bool { return !w.listed })
 	slices.SortFunc(b.ranked, func(v, w *worker) int { return strings.Compare(v.rank, w.rank) })
-	b.refill()
-	if e.Kind == ListRestored && b.s.ListOnRequest {
-		b.do(Action{Kind: WatchList})
+	b.rebuildBuddies()
+	if e.Kind == ListRestored && b.settings.ListOnRequest {
+		b.emit(Action{Kind: WatchList})
 	}
 }
 
-func (b *Balancer) entry(l *Worker) {
+// updateWorker adds a worker or updates it from its entry in the list.
+func (b *Balancer) updateWorker(l *Worker) {
 	w := b.workers[l.ID]
 	if w == nil {
-		k := b.kind(l.Kind)
-		w = &worker{kind: k, pace: k.pace, held: -1, rank: b.rank(l), name: gossip.HostHash(l.ID)}
-		w.p, w.tails = k.p, k.tails
+		k := b.kindOf(l.Kind)
+		w = &worker{kind: k, pace: k.pace, queued: -1, rank: b.rankOf(l), hostHash: gossip.HostHash(l.ID)}
+		w.probability, w.tails = k.probability, k.tails
 		b.workers[l.ID] = w
 	}
-	if l.StartedAt > w.StartedAt { // a new life: neither old distrust nor old backlog counts
-		w.errors, w.held, w.heardAt = 0, -1, max(w.heardAt, min(l.StartedAt, b.now))
-		w.alive()
+	if l.StartedAt > w.StartedAt { // it has restarted: its earlier errors and backlog no longer count
+		w.consecutiveErrors, w.queued, w.evidenceAt = 0, -1, max(w.evidenceAt, min(l.StartedAt, b.now))
+		w.markAlive()
 	}
 	w.Worker = *l
 	if !w.listed && l.State != Gone {
 		b.ranked = append(b.ranked, w)
 	}
 	w.listed = l.State != Gone
-	if b.s.LiveWeights && w.listed { // a report of every worker, also to who sends too little to hear of any
-		b.report(w, Load{Queue: -1, Inflight: w.shown(l.Weight), Free: -1})
+	// A live weight is a load report of every worker, even for a dispatcher that sends too little to get
+	// others.
+	if b.settings.LiveWeights && w.listed {
+		b.recordLoad(w, Load{Queue: -1, Inflight: w.observeWeight(l.Weight), Free: -1})
 	}
 }
 
-// rank orders workers alike everywhere: by a hash, and before that by cell where keyed repeats must stay in
-// it, as its members then share windows. Zones are mixed: how many dispatchers each has is not known.
-func (b *Balancer) rank(l *Worker) string {
+// rankOf returns the key by which workers are sorted alike at every dispatcher. It is a hash, preceded by the
+// cell where keyed repeats must stay in their cell, so that the workers of a cell are in the same buddy sets.
+// Zones are mixed, because the number of dispatchers in each is not known.
+func (b *Balancer) rankOf(l *Worker) string {
 	h, cell := fnv.New64a(), ""
-	for _, c := range b.s.Classes {
+	for _, c := range b.settings.Classes {
 		if c.Repeat == Keyed && c.Group == GroupCell {
 			cell = fmt.Sprint(l.Cell)
 		}
@@ -674,30 +752,34 @@
 	return fmt.Sprintf("%s %x %s", cell, h.Sum(nil), l.ID)
 }
 
-// refill makes the preferred list: a window of the common order that begins at this dispatcher's own
-// place, so that every worker is in about as many windows. Workers that are out are passed over.
-func (b *Balancer) refill() {
-	size := max(smallest, (cover*len(b.ranked)+b.s.Dispatchers-1)/b.s.Dispatchers)
-	if b.s.LiveWeights { // the list keeps more of them fresh than own jobs can
-		size = max(size, 2*smallest)
+// rebuildBuddies chooses the buddies: a range of the common order that begins at this dispatcher's own place,
+// so that every worker is a buddy of about as many dispatchers. Ejected and draining workers are passed over.
+func (b *Balancer) rebuildBuddies() {
+	size := max(minBuddies, (redundancy*len(b.ranked)+b.settings.Dispatchers-1)/b.settings.Dispatchers)
+	if b.settings.LiveWeights { // the list keeps the load of more buddies fresh than own jobs can
+		size = max(size, 2*minBuddies)
 	}
-	start := gossip.SubsetStart(b.s.Me, b.s.Dispatchers, len(b.ranked))
-	have := map[string]bool{}
-	b.buddies, b.others, b.reach = b.buddies[:0], b.others[:0], 0
+	start := gossip.SubsetStart(b.settings.Me, b.settings.Dispatchers, len(b.ranked))
+	hasKind := map[string]bool{}
+	b.buddies, b.nonBuddies, b.subsetSpan = b.buddies[:0], b.nonBuddies[:0], 0
 	for i := range b.ranked {
 		w := b.ranked[(start+i)%len(b.ranked)]
-		if b.now-w.faultAt > distrust*b.pulse() { // whom we send nothing to serves us nothing that would clear it
-			w.errors, w.failures = 0, 0
+		// A worker that gets no jobs cannot clear its errors by serving one, so they expire.
+		if b.now-w.lastFaultAt > faultMemory*b.probeInterval() {
+			w.consecutiveErrors, w.ejections = 0, 0
 		}
-		if w.State == Ready && b.now >= w.downUntil && (len(b.buddies) < size || !have[w.Kind]) {
-			b.buddies, have[w.Kind], b.reach = append(b.buddies, w), true, i+1 // some of each kind
+		// Beyond its size the set still takes the first worker of each kind.
+		if w.State == Ready && b.now >= w.ejectedUntil && (len(b.buddies) < size || !hasKind[w.Kind]) {
+			b.buddies, hasKind[w.Kind], b.subsetSpan = append(b.buddies, w), true, i+1
 		} else {
-			b.others = append(b.others, w)
+			b.nonBuddies = append(b.nonBuddies, w)
 		}
 	}
-	// Among equals the zone decides; not where few share all workers, whom only the rotation keeps apart.
-	if b.s.Dispatchers > cover {
-		slices.SortStableFunc(b.buddies, b.nearer)
+	// Among equal workers the zone decides. With few dispatchers all share every worker, and only the
+	// different starting places keep them apart, so the order stays.
+	if b.settings.Dispatchers > redundancy {
+		slices.SortStableFunc(b.buddies, b.compareZones)
 	}
-	b.started = slices.DeleteFunc(slices.Clone(b.others), func(w *worker) bool { return !b.cold(w) })
+	b.coldNonBuddies = slices.DeleteFunc(slices.Clone(b.nonBuddies),
+		func(w *worker) bool { return !b.isCold(w) })
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -47,12 +47,12 @@
 		for class := safe; class <= celled; class++ {
 			r := newRig(t, settings(), fleet(6)...)
 			id, acts := r.arrive(class)
-			first := r.sends(acts)
+			first := r.requireSend(acts)
 			r.now += 1000
 			acts = r.done(id, 0, first.Worker, o)
-			again, second := count(acts, Send)
-			failed, _ := count(acts, Fail)
-			refused, _ := count(acts, Refuse)
+			again, second := countActions(acts, Send)
+			failed, _ := countActions(acts, Fail)
+			refused, _ := countActions(acts, Refuse)
 			if class == unsafe && !o.NotRun() {
 				if again+refused > 0 || failed != 1 {
 					t.Errorf("unsafe after %v: %+v", o, acts)
@@ -77,16 +77,16 @@
 func TestKeyedStaysInItsWindow(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	id, acts := r.arrive(celled)
-	first := r.sends(acts)
+	first := r.requireSend(acts)
 	r.now += 4e6 + 1
 	acts = r.done(id, 0, first.Worker, ConnectionLost)
-	if n, _ := count(acts, Fail); n != 1 {
+	if n, _ := countActions(acts, Fail); n != 1 {
 		t.Errorf("after its window a keyed job must fail, not be refused or sent: %+v", acts)
 	}
 	id, acts = r.arrive(keyed)
-	first = r.sends(acts)
+	first = r.requireSend(acts)
 	r.now += 4e6 + 1
-	if n, _ := count(r.done(id, 0, first.Worker, ConnectionLost), Refuse); n != 1 {
+	if n, _ := countActions(r.done(id, 0, first.Worker, ConnectionLost), Refuse); n != 1 {
 		t.Errorf("a job keyed everywhere may be refused: %+v", acts)
 	}
 }
@@ -96,14 +96,14 @@
 	id, acts := r.arrive(unsafe)
 	due := r.now + 10e6
 	for range 10000 {
-		n, timer := count(acts, SetTimer)
+		n, timer := countActions(acts, SetTimer)
 		if n == 0 {
 			break
 		}
 		r.now += timer.After
-		acts = r.on(Event{Kind: TimerDue, Token: timer.Token})
+		acts = r.handle(Event{Kind: TimerDue, Token: timer.Token})
 	}
-	if n, a := count(acts, Refuse); n != 1 || a.Request != id || r.now > due+20e3 {
+	if n, a := countActions(acts, Refuse); n != 1 || a.Request != id || r.now > due+20e3 {
 		t.Errorf("at %d of %d: %+v", r.now, due, acts)
 	}
 }
@@ -113,12 +113,12 @@
 	for _, second := range []Outcome{Unusable, Completed} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(safe)
-		first := r.sends(acts).Worker
-		other := r.sends(r.done(id, 0, first, Unusable)).Worker
-		fails, _ := count(r.done(id, 1, other, second), Fail)
-		blamed := r.b.workers[first].errors
+		first := r.requireSend(acts).Worker
+		other := r.requireSend(r.done(id, 0, first, Unusable)).Worker
+		fails, _ := countActions(r.done(id, 1, other, second), Fail)
+		blamed := r.b.workers[first].consecutiveErrors
 		if want := map[Outcome]int{Unusable: 1}[second]; fails != want || blamed != 1-want ||
-			r.b.workers[other].errors > 0 {
+			r.b.workers[other].consecutiveErrors > 0 {
 			t.Errorf("second says %v: %d failures, first blamed %d times", second, fails, blamed)
 		}
 		if len(r.b.requests) > 0 {
@@ -133,33 +133,33 @@
 	for class, want := range map[int]int{safe: 1, keyed: 1, unsafe: 0} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(class)
-		first := r.sends(acts)
-		timer := Action{Token: id<<2 | tokenLook}
-		r.now = r.b.requests[id].tries[0].doubt
-		if n, _ := count(r.on(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
+		first := r.requireSend(acts)
+		timer := Action{Token: id<<2 | tokenRecheck}
+		r.now = r.b.requests[id].attempts[0].suspectAt
+		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
 			t.Error("a copy while the first waits as foretold")
 		}
 		r.now++
 		if w := r.b.workers[first.Worker]; class == safe {
-			silent := w.silent
-			w.silent = 0
-			if n, _ := count(r.on(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
+			silent := w.silentSince
+			w.silentSince = 0
+			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
 				t.Error("a copy though the worker lives")
 			}
-			w.silent = silent
+			w.silentSince = silent
 		}
 		if want == 0 {
-			if n, _ := count(r.on(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
+			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
 				t.Error("an unsafe job got a second copy")
 			}
 			continue
 		}
-		second := r.sends(r.on(Event{Kind: TimerDue, Token: timer.Token}))
+		second := r.requireSend(r.handle(Event{Kind: TimerDue, Token: timer.Token}))
 		if second.Worker == first.Worker {
 			t.Error("the copy went to the same worker")
 		}
-		acts = r.on(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second.Worker})
-		if n, a := count(acts, CancelAttempt); n != 1 || a.Attempt != 0 {
+		acts = r.handle(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second.Worker})
+		if n, a := countActions(acts, CancelAttempt); n != 1 || a.Attempt != 0 {
 			t.Errorf("the copy that waits is called off: %+v", acts)
 		}
 	}
@@ -172,30 +172,31 @@
 	for _, leaving := range []bool{false, true} {
 		s, ws := settings(), fleet(6)
 		s.LiveWeights = true
-		weigh(ws, 5)
+		setWeights(ws, 5)
 		r := newRig(t, s, ws...)
-		weigh(ws, 5/(1+1./5)) // what a core is
-		r.on(Event{Kind: ListPatch, List: ws})
+		setWeights(ws, 5/(1+1./5)) // what a core is
+		r.handle(Event{Kind: ListPatch, List: ws})
 		messages, copies := 40, 0
 		for range messages {
-			weigh(ws, 5/(1+7./5))
-			r.on(Event{Kind: ListPatch, List: ws})
+			setWeights(ws, 5/(1+7./5))
+			r.handle(Event{Kind: ListPatch, List: ws})
 			id, acts := r.arrive(safe)
-			r.sends(acts)
+			r.requireSend(acts)
 			if leaving {
-				weigh(ws, 5/(1+6./5))
-				r.on(Event{Kind: ListPatch, List: ws})
+				setWeights(ws, 5/(1+6./5))
+				r.handle(Event{Kind: ListPatch, List: ws})
 			}
-			r.now = r.b.requests[id].tries[0].doubt + 1
-			for ; len(r.b.requests[id].tries) < s.Allowed.Attempts; r.now += 100e3 {
-				n, _ := count(r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}), Send)
+			r.now = r.b.requests[id].attempts[0].suspectAt + 1
+			for ; len(r.b.requests[id].attempts) < s.Allowed.Attempts; r.now += 100e3 {
+				n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Send)
 				if copies += n; n == 0 {
 					break
 				}
 			}
-			r.on(Event{Kind: ClientGone, Request: id})
+			r.handle(Event{Kind: ClientGone, Request: id})
 		}
-		if most := messages/(spares-1) + 1; copies > most || leaving && copies > 0 || !leaving && copies < most/2 {
+		if most := messages/(sendsPerHedge-1) + 1; copies > most || leaving && copies > 0 ||
+			!leaving && copies < most/2 {
 			t.Errorf("jobs leaving %v: %d copies of %d messages, at most %d", leaving, copies, messages, most)
 		}
 	}
@@ -208,11 +209,12 @@
 		class int
 		o     Outcome
 		again int
-	}{{safe, ConnectionLost, 1}, {keyed, ConnectionLost, 1}, {unsafe, ConnectionLost, 0}, {safe, ConnectionRefused, 0}, {safe, Saturated, 0}} {
+	}{{safe, ConnectionLost, 1}, {keyed, ConnectionLost, 1}, {unsafe, ConnectionLost, 0},
+		{safe, ConnectionRefused, 0}, {safe, Saturated, 0}} {
 		r := newRig(t, settings(), fleet(1)...)
 		id, acts := r.arrive(c.class)
-		w := r.sends(acts).Worker
-		if n, _ := count(r.done(id, 0, w, c.o), Send); n != c.again {
+		w := r.requireSend(acts).Worker
+		if n, _ := countActions(r.done(id, 0, w, c.o), Send); n != c.again {
 			t.Errorf("class %d, outcome %d: %d further sends, want %d", c.class, c.o, n, c.again)
 		}
 	}
@@ -221,13 +223,14 @@
 func TestUnknownIsIgnored(t *testing.T) {
 	r := newRig(t, settings(), fleet(3)...)
 	id, acts := r.arrive(unsafe)
-	w := r.sends(acts).Worker
+	w := r.requireSend(acts).Worker
 	r.done(id, 0, w, Completed)
 	for _, acts := range [][]Action{
 		r.done(id, 0, w, Completed), r.done(id, 7, w, Errored), r.done(999, 0, "nobody", ConnectionLost),
-		r.on(Event{Kind: JobStarted, Request: 999}), r.on(Event{Kind: ClientGone, Request: id}),
-		r.on(Event{Kind: ProbeDone, Worker: "nobody"}), r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}),
-		r.on(Event{Kind: Arrival, Request: 5, Class: 99}), r.on(Event{Kind: PeerMessage}),
+		r.handle(Event{Kind: JobStarted, Request: 999}), r.handle(Event{Kind: ClientGone, Request: id}),
+		r.handle(Event{Kind: ProbeDone, Worker: "nobody"}),
+		r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}),
+		r.handle(Event{Kind: Arrival, Request: 5, Class: 99}), r.handle(Event{Kind: PeerMessage}),
 	} {
 		if len(acts) != 0 {
 			t.Errorf("acted on nothing: %+v", acts)
@@ -248,7 +251,7 @@
 				now += 300e3
 				id := uint64(i + 10)
 				acts = bal.Handle(now, &Event{Kind: Arrival, Request: id, Due: now + 10e6, Hint: 200e3}, acts[:0])
-				_, sent := count(acts, Send)
+				_, sent := countActions(acts, Send)
 				acts = bal.Handle(now, &Event{Kind: JobStarted, Request: id, Worker: sent.Worker}, acts[:0])
 				acts = bal.Handle(now, &Event{Kind: AttemptDone, Request: id, Worker: sent.Worker, Final: true,
 					Load: Load{Queue: 0, Inflight: 1, Free: 1, Util: 0.5}}, acts[:0])
@@ -262,9 +265,9 @@
 	s.LoadReports, s.Allowed.Probe = ReportsInProbes, true
 	r := newRig(t, s, fleet(6)...)
 	_, acts := r.arrive(unsafe)
-	probes, _ := count(acts, ProbeWorker)
-	sends, _ := count(acts, Send)
-	_, timer := count(acts, SetTimer)
+	probes, _ := countActions(acts, ProbeWorker)
+	sends, _ := countActions(acts, Send)
+	_, timer := countActions(acts, SetTimer)
 	if probes == 0 || sends != 0 || timer.After > s.Tick {
 		t.Fatalf("want probes and a short wait: %+v", acts)
 	}
@@ -273,10 +276,10 @@
 		if i == 3 {
 			queue = 0
 		}
-		r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{queue, 1 + queue, 1 - queue/5, 1}})
+		r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{queue, 1 + queue, 1 - queue/5, 1}})
 	}
 	r.now += timer.After
-	if got := r.sends(r.on(Event{Kind: TimerDue, Token: timer.Token})).Worker; got != r.b.buddies[3].ID {
+	if got := r.requireSend(r.handle(Event{Kind: TimerDue, Token: timer.Token})).Worker; got != r.b.buddies[3].ID {
 		t.Errorf("sent to %s, not to the free buddy", got)
 	}
 	if _, acts := r.arrive(unsafe); len(acts) == 0 || acts[0].Kind == ProbeWorker {
@@ -285,14 +288,15 @@
 	s.LiveWeights = true // whom the list does not name has not changed; once it fails there is nothing but probes
 	r = newRig(t, s, fleet(6)...)
 	for _, want := range []int{0, 6} {
-		if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), ProbeWorker); n != want {
+		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), ProbeWorker); n != want {
 			t.Errorf("%d probes beside a list with live weights, want %d", n, want)
 		}
-		r.on(Event{Kind: ListFailed})
+		r.handle(Event{Kind: ListFailed})
 		r.now += 60e6
 	}
 	s.Allowed.Probe, s.LiveWeights = false, false
-	if n, _ := count(newRig(t, s, fleet(6)...).on(Event{Kind: TimerDue, Token: tokenPulse}), ProbeWorker); n != 0 {
+	if n, _ := countActions(newRig(t, s, fleet(6)...).handle(Event{Kind: TimerDue, Token: tokenPeriodic}),
+		ProbeWorker); n != 0 {
 		t.Error("probed where that is not allowed")
 	}
 }
@@ -301,15 +305,15 @@
 	r := newRig(t, settings(), fleet(6)...)
 	for range 3 {
 		for _, w := range r.b.buddies {
-			r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{12, 14, 0, 1}})
+			r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{12, 14, 0, 1}})
 		}
 	}
-	if _, acts := r.arrive(unsafe); r.sends(acts).Worker == "" {
+	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == "" {
 		t.Error("not sent while nothing was lost")
 	}
-	r.b.loss = 0.9
+	r.b.lateLoss = 0.9
 	_, acts := r.arrive(unsafe)
-	if n, _ := count(acts, Refuse); n != 1 || r.b.loss >= 0.9 {
+	if n, _ := countActions(acts, Refuse); n != 1 || r.b.lateLoss >= 0.9 {
 		t.Errorf("queues of twelve everywhere and most jobs late: %+v", acts)
 	}
 }
@@ -318,11 +322,11 @@
 	for _, loss := range []float64{0, 0.9} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, _ := r.arrive(unsafe)
-		r.b.loss = loss
+		r.b.lateLoss = loss
 		r.now += 2e6
-		acts := r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook})
-		failed, _ := count(acts, Fail)
-		recalled, _ := count(acts, CancelAttempt)
+		acts := r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck})
+		failed, _ := countActions(acts, Fail)
+		recalled, _ := countActions(acts, CancelAttempt)
 		if want := int(loss + 0.5); failed != want || recalled != want {
 			t.Errorf("at a price of %v: %+v", loss, acts)
 		}
@@ -334,9 +338,9 @@
 	for _, late := range []int64{100e3, 300e3} { // beyond the last moment at which it can be in time
 		r := newRig(t, settings(), fleet(6)...)
 		id, _ := r.arrive(unsafe)
-		r.b.loss, r.b.jobTime = 0.9, 200e3
+		r.b.lateLoss, r.b.jobTime = 0.9, 200e3
 		r.now += 500e3 + 2*200e3 - 200e3 + late
-		failed, _ := count(r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}), Fail)
+		failed, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Fail)
 		if want := late > 200e3; want != (failed > 0) {
 			t.Errorf("%d after the aim is lost: %d failed", late, failed)
 		}
@@ -355,15 +359,16 @@
 		s.OverShare, s.Tenants = c.worth, []Tenant{{Quota: 0.1}, {Quota: 1000}}
 		r := newRig(t, s, fleet(6)...)
 		for _, w := range r.b.buddies {
-			r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{-1, -1, c.free, 1}})
+			r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{-1, -1, c.free, 1}})
 		}
 		for range 100 {
-			r.b.shares.IsWithin(r.now, 0)
+			r.b.tenantShares.IsWithin(r.now, 0)
 		}
 		r.b.jobTime = 100e3
 		r.id++
-		acts := r.on(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: c.tenant, Due: r.now + 10e6, Hint: 100e3})
-		if n, _ := count(acts, Refuse); n != c.refused {
+		acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: c.tenant, Due: r.now + 10e6,
+			Hint: 100e3})
+		if n, _ := countActions(acts, Refuse); n != c.refused {
 			t.Errorf("%+v: %d refused", c, n)
 		}
 	}
@@ -373,12 +378,12 @@
 func TestNoPileWhereAllAreLate(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for _, w := range r.b.buddies {
-		r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{12, 14, 0, 1}})
+		r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{12, 14, 0, 1}})
 	}
 	got := map[string]int{}
 	for range 12 {
 		_, acts := r.arrive(unsafe)
-		got[r.sends(acts).Worker]++
+		got[r.requireSend(acts).Worker]++
 	}
 	if len(got) < 5 {
 		t.Errorf("twelve jobs went to %v", got)
@@ -389,11 +394,11 @@
 func TestStartedStreamIsLeftAlone(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	id, acts := r.arrive(safe)
-	w := r.sends(acts).Worker
-	r.on(Event{Kind: StreamStarted, Request: id, Worker: w})
+	w := r.requireSend(acts).Worker
+	r.handle(Event{Kind: StreamStarted, Request: id, Worker: w})
 	r.now += 20e6
-	r.b.loss = 1
-	if acts := r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}); len(acts) != 0 {
+	r.b.lateLoss = 1
+	if acts := r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}); len(acts) != 0 {
 		t.Errorf("%+v", acts)
 	}
 }
@@ -402,9 +407,9 @@
 func TestAllTriedIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	id, acts := r.arrive(unsafe)
-	acts = r.done(id, 0, r.sends(acts).Worker, Saturated)
-	acts = r.done(id, 1, r.sends(acts).Worker, Saturated)
-	if n, _ := count(acts, Refuse); n != 1 {
+	acts = r.done(id, 0, r.requireSend(acts).Worker, Saturated)
+	acts = r.done(id, 1, r.requireSend(acts).Worker, Saturated)
+	if n, _ := countActions(acts, Refuse); n != 1 {
 		t.Errorf("both workers turned it away: %+v", acts)
 	}
 }
@@ -414,12 +419,12 @@
 	s.Classes[unsafe].LateWorth = 0
 	r := newRig(t, s)
 	id, acts := r.arrive(unsafe)
-	for n, timer := count(acts, SetTimer); n > 0; n, timer = count(acts, SetTimer) {
+	for n, timer := countActions(acts, SetTimer); n > 0; n, timer = countActions(acts, SetTimer) {
 		r.now += timer.After
-		acts = r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook})
+		acts = r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck})
 	}
-	aim := 100e6 + r.b.s.Classes[unsafe].Aim + int64(r.b.s.Classes[unsafe].Stretch*200e3)
-	if n, _ := count(acts, Refuse); n != 1 || r.now > aim || r.now < aim-400e3 {
+	aim := 100e6 + r.b.settings.Classes[unsafe].Aim + int64(r.b.settings.Classes[unsafe].Stretch*200e3)
+	if n, _ := countActions(acts, Refuse); n != 1 || r.now > aim || r.now < aim-400e3 {
 		t.Errorf("at %d, aim %d: %+v", r.now, aim, acts)
 	}
 }
@@ -431,11 +436,11 @@
 		s.Allowed.RetryAfter, s.Allowed.MaxRetryAfter = allowed, 60e6
 		r := newRig(t, s, fleet(6)...)
 		for i, w := range r.b.buddies {
-			r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{float64(12 + i), 14, 0, 1}})
+			r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{float64(12 + i), 14, 0, 1}})
 		}
-		r.b.loss = 0.9
+		r.b.lateLoss = 0.9
 		_, acts := r.arrive(unsafe)
-		n, a := count(acts, Refuse)
+		n, a := countActions(acts, Refuse)
 		least := int64(r.b.backlog(r.b.buddies[0]) / 2)
 		if n != 1 || !allowed && a.After != 0 || allowed && (a.After != least || least < 1e6) {
 			t.Errorf("allowed %t, half the least backlog %d: %+v", allowed, least, acts)
@@ -449,8 +454,8 @@
 	r := newRig(t, s, fleet(6)...)
 	r.arrive(safe)
 	r.id++
-	acts := r.on(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 50e3, Hint: 200e3})
-	r.sends(acts)
+	acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 50e3, Hint: 200e3})
+	r.requireSend(acts)
 	n := 0
 	for _, a := range acts {
 		if a.Kind == SetTimer {
@@ -470,12 +475,12 @@
 func TestNoCopyWhereAnAttemptIsOut(t *testing.T) {
 	r := newRig(t, settings(), fleet(1)...)
 	id, acts := r.arrive(safe)
-	first := r.sends(acts)
+	first := r.requireSend(acts)
 	r.now += 1e3
-	again := r.sends(r.done(id, 0, first.Worker, ConnectionLost))
+	again := r.requireSend(r.done(id, 0, first.Worker, ConnectionLost))
 	for range 200 { // far beyond the time at which its worker is doubted
 		r.now += 40e3
-		if n, _ := count(r.on(Event{Kind: TimerDue, Token: id<<2 | tokenLook}), Send); n != 0 {
+		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Send); n != 0 {
 			t.Fatalf("a copy went to %s, where an attempt is out", again.Worker)
 		}
 	}
--- a/bench_test.go
+++ b/bench_test.go
@@ -17,7 +17,7 @@
 				s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint(i), Quota: 9})
 			}
 			ws := fleet(c.workers)
-			weigh(ws, 5)
+			setWeights(ws, 5)
 			m, err := New(s)
 			if err != nil {
 				b.Fatal(err)
--- a/coldramp_test.go
+++ b/coldramp_test.go
@@ -109,15 +109,15 @@
 	s.Dispatchers = 1
 	for _, id := range []string{"w0", "new"} {
 		r := newRig(t, s, fleet(6)...)
-		r.on(Event{Kind: TimerDue, Token: tokenPulse})
+		r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 		for _, w := range r.b.ranked {
 			for range 20 {
-				r.on(Event{Kind: ProbeDone, Worker: w.ID, Load: Load{Queue: 12, Inflight: 13, Free: 0, Util: 1}})
+				r.handle(Event{Kind: ProbeDone, Worker: w.ID, Load: Load{Queue: 12, Inflight: 13, Free: 0, Util: 1}})
 			}
 		}
 		fresh := Worker{ID: id, Zone: "a", Kind: "std", StartedAt: r.now}
-		r.on(Event{Kind: ListPatch, List: []Worker{fresh}})
-		if w := r.b.workers[id]; r.b.region(w) != 0 || r.b.region(r.b.workers["w1"]) == 0 {
+		r.handle(Event{Kind: ListPatch, List: []Worker{fresh}})
+		if w := r.b.workers[id]; r.b.currentRegion(w) != 0 || r.b.currentRegion(r.b.workers["w1"]) == 0 {
 			t.Errorf("%s: backlog %v, another has %v", id, r.b.backlog(w), r.b.backlog(r.b.workers["w1"]))
 		}
 	}
--- a/coldworker_test.go
+++ b/coldworker_test.go
@@ -25,7 +25,7 @@
 		for _, r := range all {
 			r.now = started + int64(tick)*100e3
 			_, acts := r.arrive(safe)
-			n, _ := count(acts, Send)
+			n, _ := countActions(acts, Send)
 			sum += float64(n) * 200e3
 		}
 		work = append(work, sum)
@@ -60,7 +60,7 @@
 			r := newRig(t, s, fleet(6)...)
 			w := r.b.workers["w0"]
 			w.StartedAt = startedMS * 1000
-			if r.b.coldShare(w) > 0 {
+			if r.b.coldBudget(w) > 0 {
 				who = append(who, me)
 			}
 		}
@@ -85,9 +85,9 @@
 		w := r.b.workers["w0"].Worker
 		for _, w.Weight = range weights {
 			w.StartedAt = r.now
-			r.on(Event{Kind: ListPatch, List: []Worker{w}})
+			r.handle(Event{Kind: ListPatch, List: []Worker{w}})
 		}
-		return r.b.coldShare(r.b.workers["w0"])
+		return r.b.coldBudget(r.b.workers["w0"])
 	}
 	one := share(1)
 	if one <= 0 {
@@ -118,7 +118,7 @@
 				r.now = 101e6 + turn*s.Contract.FallTime
 				r.b.now = r.now
 				for i, w := range r.b.ranked {
-					if r.b.coldShare(w) > 0 {
+					if r.b.coldBudget(w) > 0 {
 						may[turn*6+int64(i)]++
 					}
 				}
@@ -144,7 +144,7 @@
 		r.now = started + int64(me%40)*100e3 // up to four seconds late
 		cold := fleet(200)[77]
 		cold.StartedAt = started
-		r.on(Event{Kind: ListPatch, List: []Worker{cold}})
+		r.handle(Event{Kind: ListPatch, List: []Worker{cold}})
 		all = append(all, r)
 	}
 	var work []float64
@@ -198,9 +198,9 @@
 			}
 			r := newRig(t, s, list...)
 			r.b.now = born
-			r.b.refill()
-			if w := r.b.workers[cold[worker].ID]; r.b.coldShare(w) > 0 {
-				if id, acts := r.arrive(safe); len(list) == 1 && r.sends(acts).Worker != w.ID {
+			r.b.rebuildBuddies()
+			if w := r.b.workers[cold[worker].ID]; r.b.coldBudget(w) > 0 {
+				if id, acts := r.arrive(safe); len(list) == 1 && r.requireSend(acts).Worker != w.ID {
 					t.Errorf("dispatcher %d has a turn at %s and does not use it for %d", me, w.ID, id)
 				}
 				who = append(who, me)
@@ -225,14 +225,14 @@
 	s := settings()
 	s.Dispatchers = 40
 	r := newRig(t, s, fleet(40)...)
-	for _, w := range []*worker{r.b.buddies[0], r.b.others[0]} {
+	for _, w := range []*worker{r.b.buddies[0], r.b.nonBuddies[0]} {
 		had := 0
 		w.StartedAt = r.now
 		for turn := range int64(s.Dispatchers) {
 			r.b.now = r.now + turn*s.Contract.FallTime
 			turn, _, _ := r.b.coldTurn(w)
-			share := r.b.coldShare(w)
-			if has := r.b.circle.Has(turn, s.Me); has != (share > 0) {
+			share := r.b.coldBudget(w)
+			if has := r.b.rotation.Has(turn, s.Me); has != (share > 0) {
 				t.Errorf("%s: has a turn: %v, may send %v", w.ID, has, share)
 			} else if has {
 				had++
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -12,18 +12,18 @@
 	s := settings()
 	r := newRig(t, s, fleet(6)...)
 	_, acts := r.arrive(unsafe)
-	hung := r.sends(acts).Worker // takes the job and says nothing
+	hung := r.requireSend(acts).Worker // takes the job and says nothing
 	got := 0
 	for range 50 {
 		r.now += 200e3
 		id, acts := r.arrive(unsafe)
-		w := r.sends(acts).Worker
+		w := r.requireSend(acts).Worker
 		if w == hung {
 			got++
 			continue
 		}
 		r.now += 5e3
-		r.on(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
+		r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
 		r.now += 100e3
 		r.done(id, 0, w, Completed)
 	}
@@ -41,17 +41,17 @@
 		for i := range rounds {
 			r.now += 100e3
 			if i%20 == 0 {
-				r.on(Event{Kind: TimerDue, Token: tokenPulse})
+				r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 			}
 			class := []int{safe, unsafe}[i%2]
 			id, acts := r.arrive(class)
 			for n := 0; ; n++ {
-				w := r.sends(acts).Worker
+				w := r.requireSend(acts).Worker
 				if bad == "" {
 					bad = w
 				}
 				r.now += 2e3
-				r.on(Event{Kind: JobStarted, Request: id, Attempt: n, Worker: w})
+				r.handle(Event{Kind: JobStarted, Request: id, Attempt: n, Worker: w})
 				if w == bad {
 					got[class]++
 				}
@@ -85,29 +85,29 @@
 		s.Progress = 2e6
 		r := newRig(t, s, fleet(6)...)
 		long, acts := r.arrive(unsafe)
-		w := r.sends(acts).Worker
-		r.on(Event{Kind: JobStarted, Request: long, Attempt: 0, Worker: w})
+		w := r.requireSend(acts).Worker
+		r.handle(Event{Kind: JobStarted, Request: long, Attempt: 0, Worker: w})
 		got := 0
 		for range 50 {
 			r.now += 100e3
 			if tells && r.now%1e6 == 0 {
-				r.on(Event{Kind: JobProgress, Request: long, Attempt: 0, Worker: w, Amount: 0.1})
+				r.handle(Event{Kind: JobProgress, Request: long, Attempt: 0, Worker: w, Amount: 0.1})
 			}
 			if r.now < 100e6+4.2e6 {
 				continue
 			}
-			r.b.workers[w].held, r.b.workers[w].heardAt = -3, r.now // its last report was of free slots
+			r.b.workers[w].queued, r.b.workers[w].evidenceAt = -3, r.now // its last report was of free slots
 			for _, o := range r.b.buddies {
 				if o.ID != w {
-					o.held, o.heardAt = 0, r.now
+					o.queued, o.evidenceAt = 0, r.now
 				}
 			}
 			id, acts := r.arrive(unsafe)
-			to := r.sends(acts).Worker
+			to := r.requireSend(acts).Worker
 			if to == w {
 				got++
 			}
-			r.on(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: to})
+			r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: to})
 			r.done(id, 0, to, Completed)
 		}
 		if (got > 0) != tells {
@@ -126,11 +126,11 @@
 	for range 10 {
 		r.now += 2e6
 		id, acts := r.arrive(unsafe)
-		w := r.sends(acts).Worker
+		w := r.requireSend(acts).Worker
 		if w == slow.ID {
 			t.Fatal("the slow worker was chosen")
 		}
-		r.on(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
+		r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
 		r.now += 200e3
 		r.done(id, 0, w, Completed)
 	}
@@ -141,9 +141,9 @@
 	for o, want := range map[Outcome]bool{ConnectionLost: false, ConnectionRefused: false, TimedOut: true} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(unsafe)
-		r.done(id, 0, r.sends(acts).Worker, o)
-		if (r.b.loss > 0) != want {
-			t.Errorf("after %v the price is %v", o, r.b.loss)
+		r.done(id, 0, r.requireSend(acts).Worker, o)
+		if (r.b.lateLoss > 0) != want {
+			t.Errorf("after %v the price is %v", o, r.b.lateLoss)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 	for _, queues := range [][2]float64{{3, 30}, {30, 3}, {6, 4}} {
 		r.now += 1e6
 		for i, q := range queues {
-			r.b.report(r.b.workers[fmt.Sprintf("w%d", i)], Load{Queue: q, Inflight: -1, Free: -1, Util: -1})
+			r.b.recordLoad(r.b.workers[fmt.Sprintf("w%d", i)], Load{Queue: q, Inflight: -1, Free: -1, Util: -1})
 		}
 		_, acts := r.arrive(unsafe)
 		want := fmt.Sprintf("w%d", map[bool]int{true: 0, false: 1}[queues[0] < queues[1]])
-		if r.sends(acts).Worker != want {
-			t.Errorf("queues %v: sent to %s", queues, r.sends(acts).Worker)
+		if r.requireSend(acts).Worker != want {
+			t.Errorf("queues %v: sent to %s", queues, r.requireSend(acts).Worker)
 		}
 	}
 }
@@ -168,13 +168,14 @@
 func TestReportsMoveTheChoice(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	_, acts := r.arrive(unsafe)
-	home := r.sends(acts).Worker
-	if _, acts := r.arrive(unsafe); r.sends(acts).Worker == "" {
+	home := r.requireSend(acts).Worker
+	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == "" {
 		t.Fatal("no worker")
 	}
 	r.now += 1e6
-	r.on(Event{Kind: ProbeDone, Worker: home, Outcome: Completed, Load: Load{Queue: 9, Inflight: 11, Free: 0, Util: 1}})
-	if _, acts := r.arrive(unsafe); r.sends(acts).Worker == home {
+	r.handle(Event{Kind: ProbeDone, Worker: home, Outcome: Completed,
+		Load: Load{Queue: 9, Inflight: 11, Free: 0, Util: 1}})
+	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == home {
 		t.Error("a reported queue of nine did not keep a job away")
 	}
 }
@@ -184,24 +185,24 @@
 	choice := func(blends bool) string {
 		r := newRig(t, settings(), fleet(6)...)
 		home := r.b.buddies[0]
-		before := home.p
+		before := home.probability
 		for range 10 {
-			for x := range regions {
-				home.sample(x, columns-1)
+			for x := range regionCount {
+				home.addSample(x, columnCount-1)
 				for _, w := range r.b.buddies[1:] {
-					w.sample(x, 0)
+					w.addSample(x, 0)
 				}
 			}
 		}
 		if blends {
-			r.now += r.b.pulse() * 5
-			r.on(Event{Kind: TimerDue, Token: tokenPulse})
-			if home.p == before {
+			r.now += r.b.probeInterval() * 5
+			r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
+			if home.probability == before {
 				t.Error("the table is as uniform as at the start")
 			}
 		}
 		_, acts := r.arrive(unsafe)
-		if got := r.sends(acts).Worker; got != home.ID {
+		if got := r.requireSend(acts).Worker; got != home.ID {
 			return "other"
 		}
 		return "home"
@@ -217,20 +218,20 @@
 	for _, v := range []float64{nan, -7, 1e300, 0} {
 		r := newRig(t, settings(), fleet(3)...)
 		for _, w := range fleet(3) {
-			r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{v, v, v, v}})
+			r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{v, v, v, v}})
 		}
 		_, acts := r.arrive(safe)
-		r.sends(acts)
+		r.requireSend(acts)
 	}
 }
 
 func TestOldEvidenceAges(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	w := r.b.buddies[0]
-	r.on(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{9, 11, 0, 1}})
+	r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{9, 11, 0, 1}})
 	fresh := r.b.backlog(w)
 	r.now += 60e6
-	r.on(Event{Kind: PeerMessage}) // time passes
+	r.handle(Event{Kind: PeerMessage}) // time passes
 	if old := r.b.backlog(w); fresh <= 0 || old > fresh/3 {
 		t.Errorf("backlog %v, a minute later %v", fresh, old)
 	}
@@ -242,12 +243,12 @@
 	r := newRig(t, settings(), fleet(3)...)
 	w := r.b.buddies[0]
 	for range 50 {
-		w.sample(0, columns-1)
-		w.sample(regions-1, 0)
+		w.addSample(0, columnCount-1)
+		w.addSample(regionCount-1, 0)
 	}
-	w.blendWith(nil)
-	for x := 1; x < regions; x++ {
-		for c := range columns {
+	w.update(nil)
+	for x := 1; x < regionCount; x++ {
+		for c := range columnCount {
 			if w.tails[x][c] < w.tails[x-1][c] {
 				t.Fatalf("P(backlog > %d) is %v in region %d, %v in region %d",
 					c, w.tails[x][c], x, w.tails[x-1][c], x-1)
@@ -259,25 +260,25 @@
 // At two jobs a second a dispatcher's tables must have learned something within its first minute.
 func TestTablesLearnAtALightDispatcher(t *testing.T) {
 	r := newRig(t, settings(), fleet(20)...)
-	uniform := r.b.buddies[0].p
+	uniform := r.b.buddies[0].probability
 	pulse := r.now
 	for i := range 120 {
 		r.now += 500e3
 		if r.now >= pulse {
-			pulse = r.now + r.b.pulse()
-			r.on(Event{Kind: TimerDue, Token: tokenPulse})
+			pulse = r.now + r.b.probeInterval()
+			r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 		}
 		id, acts := r.arrive(unsafe)
-		w := r.sends(acts).Worker
+		w := r.requireSend(acts).Worker
 		r.now += 5e3
-		r.on(Event{Kind: JobStarted, Request: id, Worker: w})
+		r.handle(Event{Kind: JobStarted, Request: id, Worker: w})
 		r.now += 200e3
 		queue := float64(i % 3)
-		r.on(Event{Kind: AttemptDone, Request: id, Worker: w, Final: true, Load: Load{queue, queue + 2, 0, 1}})
+		r.handle(Event{Kind: AttemptDone, Request: id, Worker: w, Final: true, Load: Load{queue, queue + 2, 0, 1}})
 	}
 	changed := 0
 	for _, w := range r.b.buddies {
-		if w.p != uniform {
+		if w.probability != uniform {
 			changed++
 		}
 	}
@@ -290,14 +291,14 @@
 func TestRoughHintsDoNotLookLate(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for _, wait := range []int64{0, 3e6} {
-		r.b.loss = 0
+		r.b.lateLoss = 0
 		id, acts := r.arrive(unsafe) // hinted 0.2 s: wanted within 0.9 s
-		w := r.sends(acts).Worker
+		w := r.requireSend(acts).Worker
 		r.now += wait
-		r.on(Event{Kind: JobStarted, Request: id, Worker: w})
+		r.handle(Event{Kind: JobStarted, Request: id, Worker: w})
 		r.now += 1e6 // five times the hint, so wanted within 2.5 s
 		r.done(id, 0, w, Completed)
-		if late := r.b.loss > 0; late != (wait > 0) {
+		if late := r.b.lateLoss > 0; late != (wait > 0) {
 			t.Errorf("after a wait of %d: late is %v", wait, late)
 		}
 	}
@@ -307,8 +308,8 @@
 func TestPaceIsWeighedByWork(t *testing.T) {
 	pace := func(hint int64) float64 {
 		r := newRig(t, settings(), fleet(1)...)
-		r.on(Event{Kind: Arrival, Request: 9, Class: unsafe, Tenant: -1, Due: r.now + 10e6, Hint: hint})
-		r.on(Event{Kind: JobStarted, Request: 9, Worker: "w0"})
+		r.handle(Event{Kind: Arrival, Request: 9, Class: unsafe, Tenant: -1, Due: r.now + 10e6, Hint: hint})
+		r.handle(Event{Kind: JobStarted, Request: 9, Worker: "w0"})
 		r.now += 4 * hint
 		r.done(9, 0, "w0", Completed)
 		return r.b.workers["w0"].pace
@@ -327,13 +328,13 @@
 	r := newRig(t, s, fleet(1)...)
 	arrive := func(class int) (uint64, []Action) {
 		r.id++
-		return r.id, r.on(Event{Kind: Arrival, Request: r.id, Class: class, Tenant: -1, Due: r.now + 10e6})
+		return r.id, r.handle(Event{Kind: Arrival, Request: r.id, Class: class, Tenant: -1, Due: r.now + 10e6})
 	}
 	for range 60 {
 		for class, run := range []int64{300e3, 900e3} {
 			id, acts := arrive(class)
-			r.sends(acts)
-			r.on(Event{Kind: JobStarted, Request: id, Worker: "w0"})
+			r.requireSend(acts)
+			r.handle(Event{Kind: JobStarted, Request: id, Worker: "w0"})
 			r.now += run
 			r.done(id, 0, "w0", Completed)
 		}
@@ -344,6 +345,6 @@
 		if q == nil || math.Abs(q.hint-want) > want/4 || math.Abs(float64(q.aim-r.now)-(100e3+2*want)) > want {
 			t.Errorf("class %d: %+v", class, q)
 		}
-		r.on(Event{Kind: ClientGone, Request: id})
+		r.handle(Event{Kind: ClientGone, Request: id})
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -25,13 +25,13 @@
 	return all
 }
 
-func weigh(ws []Worker, weight float64) {
+func setWeights(ws []Worker, weight float64) {
 	for i := range ws {
 		ws[i].Weight = weight
 	}
 }
 
-func most(sent map[string]int) (n int) {
+func maxCount(sent map[string]int) (n int) {
 	for _, k := range sent {
 		n = max(n, k)
 	}
@@ -45,14 +45,14 @@
 	for idle := range 6 {
 		ws := fleet(6)
 		r := newRig(t, s)
-		weigh(ws, 3)
-		r.on(Event{Kind: ListSnapshot, List: ws}) // all idle
-		weigh(ws, 3/(1+5./3))                     // five jobs on three cores
+		setWeights(ws, 3)
+		r.handle(Event{Kind: ListSnapshot, List: ws}) // all idle
+		setWeights(ws, 3/(1+5./3))                    // five jobs on three cores
 		ws[idle].Weight = 3 / (1 + 1./3)
 		r.now += 1e6
-		r.on(Event{Kind: ListSnapshot, List: ws})
+		r.handle(Event{Kind: ListSnapshot, List: ws})
 		_, acts := r.arrive(unsafe)
-		if got := r.sends(acts).Worker; got != ws[idle].ID {
+		if got := r.requireSend(acts).Worker; got != ws[idle].ID {
 			t.Errorf("sent to %s, though only %s has free slots", got, ws[idle].ID)
 		}
 		if k := r.b.kinds["std"]; k.slots != 3 || k.size != 3 {
@@ -62,7 +62,7 @@
 }
 
 func TestInflightOfLiveWeights(t *testing.T) {
-	k := &kind{slots: 1}
+	k := &workerKind{slots: 1}
 	for _, c := range []struct{ weight, want float64 }{
 		{1.0, -1},  // all that is seen so far: it may be the size
 		{1.5, -1},  // the size, as it turns out; no step seen yet
@@ -75,9 +75,9 @@
 		{0, 1e9},   // what cannot be is bounded by what report takes
 		{math.NaN(), 1e9},
 	} {
-		got := k.inflight(c.weight)
+		got := k.inflightFromWeight(c.weight)
 		if c.want == 1e9 {
-			if sane(got) >= 1e6 || k.cores != 3 {
+			if sanitize(got) >= 1e6 || k.cores != 3 {
 				t.Errorf("weight %v: %v in hand, %v cores", c.weight, got, k.cores)
 			}
 		} else if got != c.want {
@@ -91,9 +91,9 @@
 	const dispatchers, workers = 80, 60
 	s, ws := settings(), fleet(workers)
 	s.LiveWeights = true
-	weigh(ws, 3)
+	setWeights(ws, 3)
 	a := newTier(t, s, dispatchers, ws)
-	if n := len(a.rigs[0].b.buddies); n != 2*smallest {
+	if n := len(a.rigs[0].b.buddies); n != 2*minBuddies {
 		t.Errorf("%d buddies", n)
 	}
 	for i := range ws {
@@ -103,16 +103,16 @@
 	}
 	for _, r := range a.rigs {
 		r.now += 1e6
-		r.on(Event{Kind: ListPatch, List: ws})
+		r.handle(Event{Kind: ListPatch, List: ws})
 	}
 	sent := map[string]int{}
 	for _, r := range a.rigs {
 		_, acts := r.arrive(unsafe)
-		sent[r.sends(acts).Worker]++
+		sent[r.requireSend(acts).Worker]++
 	}
-	if share := dispatchers * len(a.rigs[0].b.buddies) / workers; most(sent) > share+1 {
-		t.Errorf("one worker is sent %d of %d, its share of the buddy sets is %d: %v", most(sent), dispatchers, share,
-			sent)
+	if share := dispatchers * len(a.rigs[0].b.buddies) / workers; maxCount(sent) > share+1 {
+		t.Errorf("one worker is sent %d of %d, its share of the buddy sets is %d: %v", maxCount(sent), dispatchers,
+			share, sent)
 	}
 	busy := 0
 	for i, w := range ws {
@@ -129,16 +129,16 @@
 }
 
 // spread hands what a balancer tells on to those it is for, and returns how many words were delivered.
-func (a *tier) spread(from int, acts []Action) (words int) {
+func (a *tier) deliver(from int, acts []Action) (messages int) {
 	for _, act := range acts {
 		for to, r := range a.rigs {
 			if act.Kind == SendToPeer && to != from && (act.Peer == to || act.Peer == AllPeers) {
-				r.on(Event{Kind: PeerMessage, From: from, Data: act.Data})
-				words++
+				r.handle(Event{Kind: PeerMessage, From: from, Data: act.Data})
+				messages++
 			}
 		}
 	}
-	return words
+	return messages
 }
 
 // What one sends to a worker that it shares is known to the others before the list can tell of it.
@@ -148,7 +148,7 @@
 		s := settings()
 		s.LiveWeights, s.Allowed.PeerMessages = true, true
 		ws := fleet(workers)
-		weigh(ws, 1) // of one core each, as the next list shows
+		setWeights(ws, 1) // of one core each, as the next list shows
 		a := newTier(t, s, dispatchers, ws)
 		for i := range ws {
 			if i%6 != 0 {
@@ -162,19 +162,19 @@
 		for _, r := range a.rigs {
 			r.now += 1e6
 			r.b.jobTime = 150e3 // the job is longer than most
-			r.on(Event{Kind: ListPatch, List: ws})
+			r.handle(Event{Kind: ListPatch, List: ws})
 		}
 		for me, r := range a.rigs {
 			_, acts := r.arrive(unsafe)
-			sent[r.sends(acts).Worker]++
+			sent[r.requireSend(acts).Worker]++
 			if heard {
-				words += a.spread(me, acts)
+				words += a.deliver(me, acts)
 			}
 		}
-		if heard && (most(sent) > 4 || words > dispatchers*len(a.rigs[0].b.buddies)*dispatchers/workers) {
-			t.Errorf("most sent to one worker: %d of %d, by %d words", most(sent), dispatchers, words)
+		if heard && (maxCount(sent) > 4 || words > dispatchers*len(a.rigs[0].b.buddies)*dispatchers/workers) {
+			t.Errorf("most sent to one worker: %d of %d, by %d words", maxCount(sent), dispatchers, words)
 		}
-		if !heard && most(sent) < 7 {
+		if !heard && maxCount(sent) < 7 {
 			t.Errorf("the test shows nothing: %v", sent)
 		}
 	}
@@ -190,19 +190,19 @@
 	}{{0, 1, false}, {1, 1, false}, {4, 1, true}, {9, 1, true}, {4, 0, false}} {
 		s, ws := settings(), fleet(6)
 		s.LiveWeights, s.Allowed.PeerMessages, s.Dispatchers = true, true, 30
-		weigh(ws, 3)
+		setWeights(ws, 3)
 		r := newRig(t, s, ws...)
 		for _, n := range []float64{1, c.inHand} { // the first shows what a core is
-			weigh(ws, 3/(1+n/3))
+			setWeights(ws, 3/(1+n/3))
 			r.now += 1e6
-			r.on(Event{Kind: ListPatch, List: ws})
+			r.handle(Event{Kind: ListPatch, List: ws})
 		}
 		r.b.jobTime = 150e3
 		r.id++
-		acts := r.on(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 5e6,
+		acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 5e6,
 			Hint: c.work*150e3 + 1000})
-		r.sends(acts)
-		if n, _ := count(acts, SendToPeer); n > 0 != c.told {
+		r.requireSend(acts)
+		if n, _ := countActions(acts, SendToPeer); n > 0 != c.told {
 			t.Errorf("%v in hand, %d job times: %d words", c.inHand, c.work, n)
 		}
 	}
@@ -218,23 +218,23 @@
 	for range 3 {
 		for me, r := range a.rigs {
 			id, acts := r.arrive(unsafe)
-			w := r.sends(acts).Worker
+			w := r.requireSend(acts).Worker
 			if w != "w0" {
-				a.spread(me, r.done(id, 0, w, Completed))
+				a.deliver(me, r.done(id, 0, w, Completed))
 				continue
 			}
 			lost++
-			a.spread(me, r.done(id, 0, w, Errored))
+			a.deliver(me, r.done(id, 0, w, Errored))
 		}
 	}
 	if lost > 3 {
 		t.Errorf("%d jobs were lost at one worker", lost)
 	}
 	r := a.rigs[0] // distrust that nothing confirms ends
-	r.now += (distrust + 1) * r.b.pulse()
-	r.on(Event{Kind: TimerDue, Token: tokenPulse})
-	if w := r.b.workers["w0"]; w.errors != 0 || w.failures != 0 {
-		t.Errorf("still distrusted for %d errors", w.errors)
+	r.now += (faultMemory + 1) * r.b.probeInterval()
+	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
+	if w := r.b.workers["w0"]; w.consecutiveErrors != 0 || w.ejections != 0 {
+		t.Errorf("still distrusted for %d errors", w.consecutiveErrors)
 	}
 }
 
@@ -242,31 +242,31 @@
 func TestDistrustIsNotForgottenAtOnce(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	w := r.b.workers["w0"]
-	r.on(Event{Kind: TimerDue, Token: tokenPulse})
-	r.b.rest(w)
-	first := w.downUntil - r.b.now
-	r.b.rest(w)
-	if second := w.downUntil - r.b.now; second != 2*first {
+	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
+	r.b.eject(w)
+	first := w.ejectedUntil - r.b.now
+	r.b.eject(w)
+	if second := w.ejectedUntil - r.b.now; second != 2*first {
 		t.Errorf("rests for %d, then for %d us", first, second)
 	}
-	r.b.blame(w)
+	r.b.recordError(w)
 	heir := newRig(t, settings(), fleet(6)...)
-	heir.on(Event{Kind: TimerDue, Token: tokenPulse})
+	heir.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 	heir.b.Restore(heir.now, r.b.Memory())
-	if got := heir.b.workers["w0"]; got.failures != 2 || got.errors != 1 {
-		t.Errorf("inherited %d failures and %d errors", got.failures, got.errors)
+	if got := heir.b.workers["w0"]; got.ejections != 2 || got.consecutiveErrors != 1 {
+		t.Errorf("inherited %d failures and %d errors", got.ejections, got.consecutiveErrors)
 	}
 }
 
 // Where all dispatchers share every worker, each hears of all by its own jobs: a word would cost more than it saves.
 func TestFewDispatchersSayNothing(t *testing.T) {
-	for _, dispatchers := range []int{1, cover, cover + 1} {
+	for _, dispatchers := range []int{1, redundancy, redundancy + 1} {
 		s := settings()
 		s.Allowed.PeerMessages, s.Dispatchers = true, dispatchers
 		r := newRig(t, s, fleet(6)...)
 		id, acts := r.arrive(unsafe)
-		acts = append(acts, r.done(id, 0, r.sends(acts).Worker, Errored)...)
-		if n, _ := count(acts, SendToPeer); (n > 0) != (dispatchers > cover) {
+		acts = append(acts, r.done(id, 0, r.requireSend(acts).Worker, Errored)...)
+		if n, _ := countActions(acts, SendToPeer); (n > 0) != (dispatchers > redundancy) {
 			t.Errorf("%d dispatchers: %d words", dispatchers, n)
 		}
 	}
@@ -289,24 +289,25 @@
 	}
 	for _, e := range odd {
 		e.Kind = PeerMessage
-		if acts := r.on(e); len(acts) > 0 {
+		if acts := r.handle(e); len(acts) > 0 {
 			t.Errorf("%v leads to %v", e.Data, acts)
 		}
 	}
 	w := r.b.workers["w0"]
-	if r.b.DroppedMessages() != len(odd) || w.errors != 0 || w.told.Since(0) != 0 {
-		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.DroppedMessages(), len(odd), w.errors, w.told.Since(0))
+	if r.b.DroppedMessages() != len(odd) || w.consecutiveErrors != 0 || w.peerLoad.Since(0) != 0 {
+		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.DroppedMessages(), len(odd), w.consecutiveErrors,
+			w.peerLoad.Since(0))
 	}
 	for range 1000 { // a forger makes a worker look busy until the next list, and no more
-		r.on(Event{Kind: PeerMessage, From: 1, Data: word(gossip.Sent, r.now, "w0")})
+		r.handle(Event{Kind: PeerMessage, From: 1, Data: word(gossip.Sent, r.now, "w0")})
 	}
 	_, acts := r.arrive(unsafe)
-	if got := r.sends(acts).Worker; got == "w0" {
+	if got := r.requireSend(acts).Worker; got == "w0" {
 		t.Error("sent to the one that looks busy")
 	}
 	r.now += 2e6
-	r.on(Event{Kind: ProbeDone, Worker: "w0", Load: Load{Queue: -1, Inflight: 0, Free: -1, Util: -1}})
-	if held := w.held + float64(w.told.Since(w.reportOf)); held > 0 {
+	r.handle(Event{Kind: ProbeDone, Worker: "w0", Load: Load{Queue: -1, Inflight: 0, Free: -1, Util: -1}})
+	if held := w.queued + float64(w.peerLoad.Since(w.reportAsOf)); held > 0 {
 		t.Errorf("%v jobs are held after a list that says none", held)
 	}
 }
@@ -339,13 +340,13 @@
 	s.Tenants = []Tenant{{Quota: rate * float64(dispatchers)}}
 	s.Contract.ColdFrom, s.Contract.RampTime, s.Contract.FallTime = 0.3, 9e6, 3e6
 	ws := fleet(workers)
-	weigh(ws, 3)
+	setWeights(ws, 3)
 	a := newTier(t, s, dispatchers, ws)
-	weigh(ws, 3/(1+1./3)) // what one job takes off tells the cores
+	setWeights(ws, 3/(1+1./3)) // what one job takes off tells the cores
 	for _, r := range a.rigs {
-		r.on(Event{Kind: ListPatch, List: ws})
+		r.handle(Event{Kind: ListPatch, List: ws})
 	}
-	weigh(ws, 3/(1+9./3)) // warm ones have jobs waiting
+	setWeights(ws, 3/(1+9./3)) // warm ones have jobs waiting
 	born := a.rigs[0].now
 	sent := map[string][]int64{} // to cold ones, when
 	for i := range cold {
@@ -354,7 +355,7 @@
 		sent[w.ID] = nil
 	}
 	for _, r := range a.rigs {
-		r.on(Event{Kind: ListPatch, List: ws})
+		r.handle(Event{Kind: ListPatch, List: ws})
 		r.b.jobTime = job
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -365,15 +366,15 @@
 				continue
 			}
 			id, acts := r.arrive(unsafe)
-			if n, act := count(acts, Send); n == 1 {
+			if n, act := countActions(acts, Send); n == 1 {
 				if words == "heard" {
-					a.spread(me, acts)
+					a.deliver(me, acts)
 				}
 				if _, is := sent[act.Worker]; is {
 					sent[act.Worker] = append(sent[act.Worker], now)
 				}
 				if end := r.done(id, 0, act.Worker, Completed); words == "heard" {
-					a.spread(me, end)
+					a.deliver(me, end)
 				}
 				r.b.jobTime = job
 				for _, k := range r.b.kinds {
@@ -412,16 +413,16 @@
 	r := newRig(t, settings(), fleet(6)...)
 	arrive := func(wait, hint int64) *request {
 		r.id++
-		r.on(Event{Kind: Arrival, Request: r.id, Class: unsafe, Due: r.now + wait, Hint: hint})
+		r.handle(Event{Kind: Arrival, Request: r.id, Class: unsafe, Due: r.now + wait, Hint: hint})
 		return r.b.requests[r.id]
 	}
 	arrive(10e6, 300e3) // how long clients wait
-	r.b.loss = 0.2      // jobs that come late have a price
-	span := r.b.s.Classes[unsafe].Aim + 600e3
-	if first := arrive(2e6, 300e3); first == nil || first.aim != r.now+span || first.out != 1 {
+	r.b.lateLoss = 0.2  // jobs that come late have a price
+	span := r.b.settings.Classes[unsafe].Aim + 600e3
+	if first := arrive(2e6, 300e3); first == nil || first.aim != r.now+span || first.outstanding != 1 {
 		t.Errorf("a message of a client that waits 2 s: %+v", first)
 	}
-	r.b.loss = 0
+	r.b.lateLoss = 0
 	if hurried := arrive(400e3, 300e3); hurried == nil || hurried.aim != hurried.due {
 		t.Errorf("the aim lies behind the end of the wait: %+v", hurried)
 	}
@@ -440,7 +441,7 @@
 		s.Tenants = []Tenant{{Quota: dispatchers}}
 		s.Contract.ColdFrom, s.Contract.FallTime = 0.36, 3e6
 		ws := fleet(workers)
-		weigh(ws, 3)
+		setWeights(ws, 3)
 		for i := range ws {
 			if draining && i%2 == 1 {
 				ws[i].State = Draining
@@ -455,7 +456,7 @@
 				users, uses[me] = users+1, true
 			}
 			r.b.now, r.b.jobTime = r.now, job
-			if share := r.b.coldShare(w); share > 0 {
+			if share := r.b.coldBudget(w); share > 0 {
 				turns++
 				rule = share * 2
 			}
@@ -468,10 +469,10 @@
 		}
 		teller := a.rigs[slices.IndexFunc(a.rigs,
 			func(r *rig) bool { return slices.Contains(r.b.buddies, r.b.workers[cold.ID]) })]
-		teller.b.out = nil
-		teller.b.fault(teller.b.workers[cold.ID])
+		teller.b.actions = nil
+		teller.b.reportError(teller.b.workers[cold.ID])
 		told := 0
-		for _, act := range teller.b.out {
+		for _, act := range teller.b.actions {
 			if act.Kind == SendToPeer {
 				told++
 				delete(uses, act.Peer)
@@ -491,18 +492,18 @@
 	r := newRig(t, s, fleet(30)...)
 	for range 3 {
 		for _, w := range r.b.ranked {
-			r.on(Event{Kind: PeerMessage, From: 1,
-				Data: gossip.Message{Op: gossip.Failed, At: r.now, Host: w.name}.Append(nil)})
+			r.handle(Event{Kind: PeerMessage, From: 1,
+				Data: gossip.Message{Op: gossip.Failed, At: r.now, Host: w.hostHash}.Append(nil)})
 		}
 	}
-	if n := r.b.UnavailableWorkers(r.now); n != 30/restByWord {
+	if n := r.b.UnavailableWorkers(r.now); n != 30/gossipEjectionDivisor {
 		t.Errorf("%d of 30 workers rest because of words", n)
 	}
 	_, acts := r.arrive(unsafe)
-	r.sends(acts)
-	w := r.b.ranked[slices.IndexFunc(r.b.ranked, func(w *worker) bool { return r.now >= w.downUntil })]
-	r.b.blame(w) // what is seen here counts all the same
-	if r.now >= w.downUntil {
+	r.requireSend(acts)
+	w := r.b.ranked[slices.IndexFunc(r.b.ranked, func(w *worker) bool { return r.now >= w.ejectedUntil })]
+	r.b.recordError(w) // what is seen here counts all the same
+	if r.now >= w.ejectedUntil {
 		t.Error("its own evidence no longer rests a worker")
 	}
 }
@@ -514,32 +515,32 @@
 	s := settings()
 	s.LiveWeights, s.CrossZone, s.Zones = true, 0.01, []string{"a", "b", "c"}
 	ws := fleet(workers)
-	weigh(ws, 3)
+	setWeights(ws, 3)
 	for i := range ws {
 		ws[i].Zone = s.Zones[i%3]
 	}
 	a := newTier(t, s, dispatchers, ws)
 	crossed, sent := 0, map[string]int{}
 	for me, r := range a.rigs {
-		r.b.s.Zone = s.Zones[me%3]
-		r.b.refill()
+		r.b.settings.Zone = s.Zones[me%3]
+		r.b.rebuildBuddies()
 		_, acts := r.arrive(unsafe)
-		w := r.b.workers[r.sends(acts).Worker]
-		if sent[w.ID]++; w.Zone != r.b.s.Zone {
+		w := r.b.workers[r.requireSend(acts).Worker]
+		if sent[w.ID]++; w.Zone != r.b.settings.Zone {
 			crossed++
 		}
 		for _, v := range r.b.buddies { // all at home are busy
-			if v.Zone == r.b.s.Zone {
-				v.held, v.heardAt = 12, r.now
+			if v.Zone == r.b.settings.Zone {
+				v.queued, v.evidenceAt = 12, r.now
 			}
 		}
 		_, acts = r.arrive(unsafe)
-		if w := r.b.workers[r.sends(acts).Worker]; w.Zone == r.b.s.Zone {
+		if w := r.b.workers[r.requireSend(acts).Worker]; w.Zone == r.b.settings.Zone {
 			t.Fatalf("%d waits at %s, while others are free", me, w.ID)
 		}
 	}
-	if crossed > 0 || most(sent) > 6 {
-		t.Errorf("%d of %d sends cross zones, one worker has %d", crossed, dispatchers, most(sent))
+	if crossed > 0 || maxCount(sent) > 6 {
+		t.Errorf("%d of %d sends cross zones, one worker has %d", crossed, dispatchers, maxCount(sent))
 	}
 }
 
@@ -550,7 +551,7 @@
 		s := settings()
 		s.LiveWeights, s.Allowed.PeerMessages = true, true
 		ws := fleet(c.workers)
-		weigh(ws, 3)
+		setWeights(ws, 3)
 		a := newTier(t, s, c.dispatchers, ws)
 		const each = 4 // messages in the second, more than most get
 		dials, all, words := map[string]int{}, 0, 0
@@ -560,22 +561,22 @@
 			for range each {
 				r.now += 250e3
 				_, acts := r.arrive(unsafe)
-				if w := r.sends(acts).Worker; !known[w] {
+				if w := r.requireSend(acts).Worker; !known[w] {
 					known[w] = true
 					dials[w]++
 					all++
 				}
-				n, _ := count(acts, SendToPeer)
+				n, _ := countActions(acts, SendToPeer)
 				words += n
 			}
 		}
 		messages := each * c.dispatchers
-		if all > messages || most(dials) > 3*messages/c.workers {
-			t.Errorf("%+v: %d connections for %d messages, %d to one worker", c, all, messages, most(dials))
+		if all > messages || maxCount(dials) > 3*messages/c.workers {
+			t.Errorf("%+v: %d connections for %d messages, %d to one worker", c, all, messages, maxCount(dials))
 		}
-		if users := c.dispatchers * 2 * smallest / c.workers; words == 0 || words > messages*(users+1) {
+		if users := c.dispatchers * 2 * minBuddies / c.workers; words == 0 || words > messages*(users+1) {
 			t.Errorf("%+v: %d words for %d messages", c, words, messages)
 		}
-		t.Logf("%+v: %d connections, %d at most to one worker, %d words", c, all, most(dials), words)
+		t.Logf("%+v: %d connections, %d at most to one worker, %d words", c, all, maxCount(dials), words)
 	}
 }
--- a/gossip.go
+++ b/gossip.go
@@ -7,120 +7,127 @@
 	"topazfall/internal/decide/ramp"
 )
 
-// What dispatchers tell each other of workers, between the module and internal/decide/gossip, which says whom. What it
-// means for a choice is in balancer.go; how much of it is believed at once is here.
+// Gossip between dispatchers about workers. Package internal/decide/gossip decides which peers get a message. What
+// follows from a message for a choice is in balancer.go; how far messages are trusted is decided here.
 
-// restByWord bounds what words can do: while one in so many of the listed workers rests, none goes to rest for a word
-// more.
-const restByWord = 3
+// gossipEjectionDivisor limits the effect of gossip: while one in so many of the listed workers is ejected, a gossip
+// message ejects no more.
+const gossipEjectionDivisor = 3
 
-// tell lets those who share a worker know that a job has been sent there, or has ended. Worth its price is what
-// occupies it for long and can go nowhere else, and what leaves it with a backlog: to all who read the list it still
-// looks freer than others, and each would send there. What is short has mostly ended before the list is heard again. Of
-// a cold worker all is told, as what it bears is spent together. What was sent is kept for this dispatcher's own
-// account as well.
-func (b *Balancer) tell(op gossip.Op, a *attempt) {
+// announce notifies the dispatchers that share a worker that a job was sent there or has ended. A message is worth its
+// cost for a long job that cannot go elsewhere, and for one that leaves a backlog: by the list the worker would still
+// look less loaded than others, and every dispatcher would send there. A short job has mostly ended before the next
+// list. At a cold worker every job is announced, because the dispatchers share its budget. Sent work also counts
+// towards this dispatcher's own account of the budget.
+func (b *Balancer) announce(op gossip.Op, a *attempt) {
 	if op == gossip.Sent {
-		a.w.sent.Add(ramp.Sent{At: b.now, Work: a.r.work, Own: true}, b.s.Contract.FallTime)
+		a.worker.sentWork.Add(ramp.Sent{At: b.now, Work: a.request.work, Own: true}, b.settings.Contract.FallTime)
 	}
-	if op == gossip.Sent && b.hasPeers() && a.w.listed {
-		final := a.r.class.Repeat == Unsafe && a.r.work > b.jobTime
-		a.told = b.cold(a.w) || final || 2*a.r.work > b.jobTime && b.region(a.w) > 0
+	if op == gossip.Sent && b.usesGossip() && a.worker.listed {
+		final := a.request.class.Repeat == Unsafe && a.request.work > b.jobTime
+		a.announced = b.isCold(a.worker) || final || 2*a.request.work > b.jobTime && b.currentRegion(a.worker) > 0
 	}
-	if a.told {
-		b.inform(op, a)
+	if a.announced {
+		b.gossipAttempt(op, a)
 	}
 }
 
-// inform lets those know of an attempt who may send to its worker as well: its users of this turn and of the next,
-// where it was cold, else its sharers.
-func (b *Balancer) inform(op gossip.Op, a *attempt) {
-	word := gossip.Message{Op: op, At: b.now, Host: a.w.name, Work: int64(a.r.work)}
-	if op == gossip.Sent && b.cold(a.w) {
-		a.turn, _, _ = b.coldTurn(a.w)
-		a.turn.Users++ // the first of the next turn
+// gossipAttempt notifies the dispatchers that may send to the worker of an attempt as well: the users of this turn and
+// of the next if the worker was cold, else the dispatchers that share it.
+func (b *Balancer) gossipAttempt(op gossip.Op, a *attempt) {
+	message := gossip.Message{Op: op, At: b.now, Host: a.worker.hostHash, Work: int64(a.request.work)}
+	if op == gossip.Sent && b.isCold(a.worker) {
+		a.turn, _, _ = b.coldTurn(a.worker)
+		a.turn.Users++ // the user that the next turn adds
 	}
 	if a.turn.Users == 0 {
-		b.informSharers(word, a.w)
+		b.gossipToSharers(message, a.worker)
 		return
 	}
-	data := word.Append(nil)
-	b.circle.Each(a.turn, func(peer int) {
-		if peer != b.s.Me && a.w.listed {
-			b.do(Action{Kind: SendToPeer, Peer: peer, Data: data})
+	data := message.Append(nil)
+	b.rotation.Each(a.turn, func(peer int) {
+		if peer != b.settings.Me && a.worker.listed {
+			b.emit(Action{Kind: SendToPeer, Peer: peer, Data: data})
 		}
 	})
 }
 
-// informSharers lets those know who have a worker among their buddies, if as many are out for them as for this one.
-func (b *Balancer) informSharers(word gossip.Message, w *worker) {
+// gossipToSharers sends a message to the dispatchers that have a worker among their buddies. It assumes that their
+// buddy sets span as many workers of the list as this dispatcher's.
+func (b *Balancer) gossipToSharers(message gossip.Message, w *worker) {
 	if !w.listed {
 		return
 	}
-	data := word.Append(nil)
+	data := message.Append(nil)
 	place := slices.Index(b.ranked, w)
-	gossip.ForEachSharer(place, len(b.ranked), b.reach, b.s.Me, b.s.Dispatchers, func(peer int) {
-		b.do(Action{Kind: SendToPeer, Peer: peer, Data: data})
+	gossip.ForEachSharer(place, len(b.ranked), b.subsetSpan, b.settings.Me, b.settings.Dispatchers, func(peer int) {
+		b.emit(Action{Kind: SendToPeer, Peer: peer, Data: data})
 	})
 }
 
-// hasPeers tells whether there is anybody to talk to. Where no more dispatchers are there than share a worker anyway,
-// each hears of all of them by its own jobs, and a word costs more than it saves.
-func (b *Balancer) hasPeers() bool { return b.s.Allowed.PeerMessages && b.s.Dispatchers > cover }
+// usesGossip reports whether gossip is allowed and of use. Where all dispatchers share every worker, each learns of
+// the others from its own jobs, and a message costs more than it saves.
+func (b *Balancer) usesGossip() bool {
+	return b.settings.Allowed.PeerMessages && b.settings.Dispatchers > redundancy
+}
 
-// fault blames a worker, and lets those know who use it: each would find out by a job of its own. To tell all has its
-// price at each of hundreds, of whom a dozen or two will ever send there.
-func (b *Balancer) fault(w *worker) {
-	if b.hasPeers() {
-		b.informSharers(gossip.Message{Op: gossip.Failed, At: b.now, Host: w.name}, w)
+// reportError records an error of a worker and notifies the dispatchers that share it, each of which would otherwise
+// find out by a job of its own. Notifying all would have a cost at each of hundreds of dispatchers, of which only a
+// dozen or two will ever send there.
+func (b *Balancer) reportError(w *worker) {
+	if b.usesGossip() {
+		b.gossipToSharers(gossip.Message{Op: gossip.Failed, At: b.now, Host: w.hostHash}, w)
 	}
-	b.blame(w)
+	b.recordError(w)
 }
 
-// hear takes what another dispatcher tells. What is odd, old or of an unknown worker is dropped, and counted.
-func (b *Balancer) hear(e *Event) {
-	word, err := gossip.Parse(e.Data, b.now)
+// handlePeerMessage processes a gossip message of another dispatcher. A message that is invalid, old or about an
+// unknown worker is dropped and counted.
+func (b *Balancer) handlePeerMessage(e *Event) {
+	message, err := gossip.Parse(e.Data, b.now)
 	known := false
-	if err == nil && e.From >= 0 && e.From != b.s.Me {
+	if err == nil && e.From >= 0 && e.From != b.settings.Me {
 		for _, w := range b.ranked {
-			if w.name == word.Host {
+			if w.hostHash == message.Host {
 				known = true
-				b.heed(word, w)
+				b.applyGossip(message, w)
 			}
 		}
 	}
 	if !known {
-		b.unheeded++
+		b.droppedMessages++
 	}
 }
 
-func (b *Balancer) heed(word gossip.Message, w *worker) {
-	switch word.Op {
+// applyGossip updates the state of a worker by a gossip message.
+func (b *Balancer) applyGossip(message gossip.Message, w *worker) {
+	switch message.Op {
 	case gossip.Sent:
-		w.told.Add(word.At, 1)
-		w.sent.Add(ramp.Sent{At: b.now, Work: float64(word.Work)}, b.s.Contract.FallTime)
+		w.peerLoad.Add(message.At, 1)
+		w.sentWork.Add(ramp.Sent{At: b.now, Work: float64(message.Work)}, b.settings.Contract.FallTime)
 	case gossip.Ended:
-		w.told.Add(word.At, -1)
+		w.peerLoad.Add(message.At, -1)
 	case gossip.Failed:
-		resting := 0
+		ejected := 0
 		for _, other := range b.ranked {
-			if b.now < other.downUntil {
-				resting++
+			if b.now < other.ejectedUntil {
+				ejected++
 			}
 		}
-		if restByWord*resting < len(b.ranked) { // gossip must not leave nobody to serve
-			b.blame(w)
+		if gossipEjectionDivisor*ejected < len(b.ranked) { // gossip must not eject all workers
+			b.recordError(w)
 		}
 	}
 }
 
-// DroppedMessages is how many words of other dispatchers were dropped.
-func (b *Balancer) DroppedMessages() int { return b.unheeded }
+// DroppedMessages returns the number of gossip messages that were dropped.
+func (b *Balancer) DroppedMessages() int { return b.droppedMessages }
 
-// foldHearsay makes held what it was at a later time, by what was told, and returns what has come since then.
-func (w *worker) foldHearsay(of int64) (since float64) {
-	since = float64(w.told.Since(of))
-	w.held += float64(w.told.Since(w.reportOf)) - since
-	w.reportOf = of
+// foldPeerLoad moves queued forward to a later time by the jobs that peers have announced, and returns the number of
+// announced jobs since then.
+func (w *worker) foldPeerLoad(asOf int64) (since float64) {
+	since = float64(w.peerLoad.Since(asOf))
+	w.queued += float64(w.peerLoad.Since(w.reportAsOf)) - since
+	w.reportAsOf = asOf
 	return since
 }
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -17,7 +17,7 @@
 // arriveKeyed brings a safe job of a key, with a hint unless that is 0, and returns its id and the actions.
 func (r *rig) arriveKeyed(key uint64, hint, left int64) (uint64, []Action) {
 	r.id++
-	return r.id, r.on(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + left,
+	return r.id, r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + left,
 		Hint: hint, Key: key})
 }
 
@@ -25,8 +25,8 @@
 func (r *rig) serve(key uint64, hint, run int64) string {
 	r.t.Helper()
 	id, acts := r.arriveKeyed(key, hint, 10e6)
-	w := r.sends(acts).Worker
-	r.on(Event{Kind: JobStarted, Request: id, Worker: w})
+	w := r.requireSend(acts).Worker
+	r.handle(Event{Kind: JobStarted, Request: id, Worker: w})
 	r.now += run
 	r.done(id, 0, w, Completed)
 	return w
@@ -34,7 +34,7 @@
 
 // homeIDs lists the homes of a key by their ids.
 func (r *rig) homeIDs(key uint64) (ids []string) {
-	for _, w := range r.b.homes(key) {
+	for _, w := range r.b.preferredFor(key) {
 		ids = append(ids, w.ID)
 	}
 	return ids
@@ -58,13 +58,13 @@
 func TestBusyFirstHomeSharesItsKey(t *testing.T) {
 	r := keyedRig(t, 12)
 	homes, used := r.homeIDs(7), []string{}
-	for range 2 * cover {
+	for range 2 * redundancy {
 		_, acts := r.arriveKeyed(7, 200e3, 10e6)
-		if w := r.sends(acts).Worker; !slices.Contains(used, w) {
+		if w := r.requireSend(acts).Worker; !slices.Contains(used, w) {
 			used = append(used, w)
 		}
 	}
-	if len(used) < cover || !slices.Equal(used[:cover], homes) {
+	if len(used) < redundancy || !slices.Equal(used[:redundancy], homes) {
 		t.Errorf("six jobs at once went to %v in this order, the homes of their key are %v", used, homes)
 	}
 }
@@ -73,15 +73,15 @@
 func TestHomesStayWhileOneRests(t *testing.T) {
 	r := keyedRig(t, 12)
 	homes := r.homeIDs(7)
-	r.b.rest(r.b.workers[homes[0]])
+	r.b.eject(r.b.workers[homes[0]])
 	if now := r.homeIDs(7); !slices.Equal(now, homes) {
 		t.Errorf("the homes were %v and are %v while %s rests", homes, now, homes[0])
 	}
 	if w := r.serve(7, 200e3, 200e3); w != homes[1] {
 		t.Errorf("the job went to %s while %s rests, the next home is %s", w, homes[0], homes[1])
 	}
-	r.on(Event{Kind: ListPatch, List: []Worker{{ID: homes[0], Zone: "a", Kind: "std", State: Draining}}})
-	if now := r.homeIDs(7); !slices.Equal(now[:cover-1], homes[1:]) || slices.Contains(now, homes[0]) {
+	r.handle(Event{Kind: ListPatch, List: []Worker{{ID: homes[0], Zone: "a", Kind: "std", State: Draining}}})
+	if now := r.homeIDs(7); !slices.Equal(now[:redundancy-1], homes[1:]) || slices.Contains(now, homes[0]) {
 		t.Errorf("the homes were %v and are %v after %s drains", homes, now, homes[0])
 	}
 }
@@ -92,7 +92,7 @@
 	r := keyedRig(t, 12)
 	id, _ := r.arriveKeyed(7, 200e3, 300e3)
 	q, homes := r.b.requests[id], r.homeIDs(7)
-	q.tries[0].w.own = nil // as it is for the next one
+	q.attempts[0].worker.ownAttempts = nil // as it is for the next one
 	for _, w := range r.b.ranked {
 		switch risk, first := r.b.risk(q, w), w.ID == homes[0]; {
 		case first && risk > 0.5:
@@ -114,16 +114,16 @@
 			t.Fatalf("the job went to %s, not to its first home %s", home, first)
 		}
 	}
-	class, pace := r.b.runs["safe"].mean, map[string]float64{}
+	class, pace := r.b.classRunTimes["safe"].mean, map[string]float64{}
 	for _, w := range r.b.ranked {
 		pace[w.ID] = w.pace
 	}
 	for key := uint64(21); key <= 40; key++ { // of four jobs at once some go elsewhere, and only these end
 		strangers := map[uint64]string{}
-		for range cover + 1 {
+		for range redundancy + 1 {
 			id, acts := r.arriveKeyed(key, 0, 10e6)
-			w := r.sends(acts).Worker
-			r.on(Event{Kind: JobStarted, Request: id, Worker: w})
+			w := r.requireSend(acts).Worker
+			r.handle(Event{Kind: JobStarted, Request: id, Worker: w})
 			if w != r.homeIDs(key)[0] {
 				strangers[id] = w
 			}
@@ -136,11 +136,11 @@
 			r.done(id, 0, w, Completed)
 		}
 		for id := range r.b.requests {
-			r.on(Event{Kind: ClientGone, Request: id})
+			r.handle(Event{Kind: ClientGone, Request: id})
 			r.done(id, 0, r.homeIDs(key)[0], Cancelled)
 		}
 	}
-	if now := r.b.runs["safe"].mean; now != class {
+	if now := r.b.classRunTimes["safe"].mean; now != class {
 		t.Errorf("a job of the class took %.0f ms and is taken for %.0f ms after fetches", class/1e3, now/1e3)
 	}
 	for _, w := range r.b.ranked {
--- a/list_test.go
+++ b/list_test.go
@@ -10,16 +10,16 @@
 func TestDrainsStopOnHearing(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	_, acts := r.arrive(safe)
-	home := r.sends(acts).Worker
+	home := r.requireSend(acts).Worker
 	for _, state := range []WorkerState{Draining, Gone} {
-		r.on(Event{Kind: ListPatch, List: []Worker{{ID: home, Zone: "a", Kind: "std", State: state}}})
+		r.handle(Event{Kind: ListPatch, List: []Worker{{ID: home, Zone: "a", Kind: "std", State: state}}})
 		for range 20 {
-			if _, acts := r.arrive(safe); r.sends(acts).Worker == home {
+			if _, acts := r.arrive(safe); r.requireSend(acts).Worker == home {
 				t.Fatalf("sent to %s, which is %v", home, state)
 			}
 		}
 	}
-	r.on(Event{Kind: ListSnapshot, List: nil})
+	r.handle(Event{Kind: ListSnapshot, List: nil})
 	if _, acts := r.arrive(safe); len(acts) != 1 || acts[0].Kind != SetTimer {
 		t.Errorf("with an empty list a job is held: %+v", acts)
 	}
@@ -38,7 +38,7 @@
 		homes[r.b.buddies[0].ID]++
 	}
 	for _, w := range fleet(40) {
-		if n := seen[w.ID]; n < smallest-1 || n > smallest+1 || homes[w.ID] != 1 {
+		if n := seen[w.ID]; n < minBuddies-1 || n > minBuddies+1 || homes[w.ID] != 1 {
 			t.Errorf("%s is in %d buddy sets and first in %d", w.ID, n, homes[w.ID])
 		}
 	}
@@ -52,7 +52,7 @@
 	for me := range s.Dispatchers {
 		s.Me = me
 		r := newRig(t, s, fleet(40)...)
-		got[r.b.others[0].ID]++
+		got[r.b.nonBuddies[0].ID]++
 	}
 	if len(got) < 30 {
 		t.Errorf("40 dispatchers turn to %d workers", len(got))
@@ -63,7 +63,7 @@
 	r := newRig(t, settings(), fleet(12)...)
 	size := len(r.b.buddies)
 	id, acts := r.arrive(unsafe)
-	dead := r.sends(acts).Worker
+	dead := r.requireSend(acts).Worker
 	r.done(id, 0, dead, ConnectionRefused)
 	for _, w := range r.b.buddies {
 		if w.ID == dead {
@@ -74,7 +74,7 @@
 		t.Errorf("the window did not refill: %d buddies of %d", len(r.b.buddies), size)
 	}
 	r.now += 60e6
-	r.on(Event{Kind: TimerDue, Token: tokenPulse})
+	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 	found := false
 	for _, w := range r.b.buddies {
 		found = found || w.ID == dead
@@ -86,7 +86,7 @@
 
 func TestWideChangesOfTheList(t *testing.T) {
 	r := newRig(t, settings(), fleet(12)...)
-	r.on(Event{Kind: ListSnapshot, List: nil})
+	r.handle(Event{Kind: ListSnapshot, List: nil})
 	if len(r.b.buddies) != 0 {
 		t.Error("buddies without a list")
 	}
@@ -94,12 +94,12 @@
 	for i := range 5 {
 		other = append(other, Worker{ID: fmt.Sprintf("new%d", i), Zone: "b", Kind: "odd"})
 	}
-	r.on(Event{Kind: ListSnapshot, List: append(other, other[0])})
+	r.handle(Event{Kind: ListSnapshot, List: append(other, other[0])})
 	if len(r.b.ranked) != 5 || len(r.b.buddies) != 5 {
 		t.Errorf("%d ranked, %d buddies", len(r.b.ranked), len(r.b.buddies))
 	}
-	acts := r.on(Event{Kind: Arrival, Request: 77, Due: r.now - 5, Tenant: -1})
-	if n, _ := count(acts, Refuse); n != 1 {
+	acts := r.handle(Event{Kind: Arrival, Request: 77, Due: r.now - 5, Tenant: -1})
+	if n, _ := countActions(acts, Refuse); n != 1 {
 		t.Errorf("a deadline already past: %+v", acts)
 	}
 }
@@ -109,13 +109,13 @@
 	s.Classes[unsafe].Kind = "big"
 	r := newRig(t, s, fleet(4)...)
 	_, acts := r.arrive(unsafe)
-	if n, _ := count(acts, Send); n != 0 {
+	if n, _ := countActions(acts, Send); n != 0 {
 		t.Errorf("sent to another kind: %+v", acts)
 	}
-	r.on(Event{Kind: ListPatch, List: []Worker{{ID: "b", Zone: "a", Kind: "big"}}})
-	_, timer := count(acts, SetTimer)
+	r.handle(Event{Kind: ListPatch, List: []Worker{{ID: "b", Zone: "a", Kind: "big"}}})
+	_, timer := countActions(acts, SetTimer)
 	r.now += timer.After
-	if got := r.sends(r.on(Event{Kind: TimerDue, Token: timer.Token})); got.Worker != "b" {
+	if got := r.requireSend(r.handle(Event{Kind: TimerDue, Token: timer.Token})); got.Worker != "b" {
 		t.Errorf("sent to %s", got.Worker)
 	}
 }
@@ -129,22 +129,23 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 100e6}
-	if n, _ := count(r.on(Event{Kind: ListRestored, List: fleet(3)}), WatchList); n != 1 {
+	if n, _ := countActions(r.handle(Event{Kind: ListRestored, List: fleet(3)}), WatchList); n != 1 {
 		t.Error("a start does not subscribe")
 	}
-	if acts := r.on(Event{Kind: ListFailed}); len(acts) != 0 || len(r.b.ranked) != 3 {
+	if acts := r.handle(Event{Kind: ListFailed}); len(acts) != 0 || len(r.b.ranked) != 3 {
 		t.Errorf("a failure: %+v, %d workers", acts, len(r.b.ranked))
 	}
-	r.now += r.b.pulse()
-	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), WatchList); n != 1 {
+	r.now += r.b.probeInterval()
+	if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), WatchList); n != 1 {
 		t.Error("a failed subscription is not asked for again")
 	}
-	r.on(Event{Kind: ListPatch, List: fleet(4)[3:]})
-	r.now += r.b.pulse()
-	if n, _ := count(r.on(Event{Kind: TimerDue, Token: tokenPulse}), WatchList); n != 0 || len(r.b.ranked) != 4 {
+	r.handle(Event{Kind: ListPatch, List: fleet(4)[3:]})
+	r.now += r.b.probeInterval()
+	if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), WatchList); n != 0 ||
+		len(r.b.ranked) != 4 {
 		t.Errorf("asked again without need, %d workers", len(r.b.ranked))
 	}
-	if p := r.b.pulse(); p > 4e6 {
+	if p := r.b.probeInterval(); p > 4e6 {
 		t.Errorf("a pulse of %d", p)
 	}
 }
@@ -160,27 +161,27 @@
 		s.Me = me
 		r := newRig(t, s, fleet(60)...)
 		r.id++
-		acts := r.on(Event{Kind: Arrival, Request: r.id, Tenant: -1, Due: r.now + 10e6, Hint: 200e3, Key: key})
-		met[r.sends(acts).Worker]++
+		acts := r.handle(Event{Kind: Arrival, Request: r.id, Tenant: -1, Due: r.now + 10e6, Hint: 200e3, Key: key})
+		met[r.requireSend(acts).Worker]++
 		first = r
 	}
-	if len(met) > cover {
-		t.Fatalf("%d workers got the jobs of one key, %d should hold what they need", len(met), cover)
+	if len(met) > redundancy {
+		t.Fatalf("%d workers got the jobs of one key, %d should hold what they need", len(met), redundancy)
 	}
 	send := func() string {
 		first.id++
-		return first.sends(first.on(Event{Kind: Arrival, Request: first.id, Tenant: -1, Due: first.now + 10e6,
+		return first.requireSend(first.handle(Event{Kind: Arrival, Request: first.id, Tenant: -1, Due: first.now + 10e6,
 			Hint: 200e3, Key: key})).Worker
 	}
 	used := map[string]bool{}
 	for range 40 {
 		used[send()] = true
 	}
-	if len(used) <= cover {
+	if len(used) <= redundancy {
 		t.Errorf("forty jobs at once wait at %d workers while others are free", len(used))
 	}
 	for w := range met {
-		first.on(Event{Kind: ListPatch, List: []Worker{{ID: w, Zone: "a", Kind: "std", State: Draining}}})
+		first.handle(Event{Kind: ListPatch, List: []Worker{{ID: w, Zone: "a", Kind: "std", State: Draining}}})
 	}
 	if w := send(); met[w] > 0 {
 		t.Errorf("%s drains and got a job", w)
--- a/memory.go
+++ b/memory.go
@@ -6,9 +6,11 @@
 	"topazfall/internal/decide/ramp"
 )
 
-// What comes from outside to a balancer that is at work: another's memory and requests, and other settings.
+// The handover between two balancers, of learned state and of requests, and changes of the settings.
 
-// Memory is what a balancer has learned, for the one that goes on in its place. Its form is of no concern outside.
+// Memory is what a balancer has learned, for its successor. Its field names are part of the handover format; no other
+// package depends on their meaning. Least is smallJobWork, Loss lateLoss, MeanHeld meanQueued, CommonAt meanQueuedAt
+// and Patience maxTimeout of the Balancer.
 type Memory struct {
 	JobTime, Least, StartLag, Loss, MeanHeld float64
 	CommonAt                                 int64
@@ -17,70 +19,71 @@
 	Workers                                  map[string]WorkerMemory
 }
 
-// KindMemory is what was learned of a kind of worker.
+// KindMemory is what was learned of a kind of worker. Its field names are part of the handover format.
 type KindMemory struct {
 	Slots, Pace float64
-	Table       [regions][columns]float64
+	Table       [regionCount][columnCount]float64
 }
 
-// WorkerMemory is what was learned of one worker. Held counts the jobs of the one who learned it too: to another
-// they are jobs like anybody's.
+// WorkerMemory is what was learned of one worker. Its field names are part of the handover format: Held is queued plus
+// the outstanding attempts of the predecessor, which are other dispatchers' jobs to the successor; HeardAt is
+// evidenceAt, Silent silentSince, LastTry lastSentAt, DownUntil ejectedUntil, Failures ejections and Errors
+// consecutiveErrors.
 type WorkerMemory struct {
 	Held, Pace                 float64
 	HeardAt                    int64
 	Silent, LastTry, DownUntil int64
 	Failures, Errors           int
-	Sent                       ramp.Log // to a cold worker, of late
-	Table                      [regions][columns]float64
+	Sent                       ramp.Log // recent work sent to a cold worker
+	Table                      [regionCount][columnCount]float64
 }
 
 // Memory returns what the balancer has learned.
 func (b *Balancer) Memory() Memory {
-	m := Memory{JobTime: b.jobTime, Least: b.least, StartLag: b.startLag, Loss: b.loss, MeanHeld: b.meanHeld,
-		CommonAt: b.commonAt, Patience: map[string]int64{}, Kinds: map[string]KindMemory{},
-		Workers: map[string]WorkerMemory{}}
-	for i, c := range b.s.Classes {
-		m.Patience[c.Name] = b.patience[i]
+	memory := Memory{JobTime: b.jobTime, Least: b.smallJobWork, StartLag: b.startLag, Loss: b.lateLoss,
+		MeanHeld: b.meanQueued, CommonAt: b.meanQueuedAt, Patience: map[string]int64{},
+		Kinds: map[string]KindMemory{}, Workers: map[string]WorkerMemory{}}
+	for i, c := range b.settings.Classes {
+		memory.Patience[c.Name] = b.maxTimeout[i]
 	}
 	for name, k := range b.kinds {
-		m.Kinds[name] = KindMemory{k.slots, k.pace, k.p}
+		memory.Kinds[name] = KindMemory{k.slots, k.pace, k.probability}
 	}
 	for _, w := range b.ranked {
-		l := WorkerMemory{Held: w.held + float64(len(w.own)), Pace: w.pace,
-			HeardAt: w.heardAt, Silent: w.silent, LastTry: w.lastTry, DownUntil: w.downUntil,
-			Failures: w.failures, Errors: w.errors, Table: w.p}
-		if b.cold(w) {
-			l.Sent = slices.Clone(w.sent)
+		learned := WorkerMemory{Held: w.queued + float64(len(w.ownAttempts)), Pace: w.pace,
+			HeardAt: w.evidenceAt, Silent: w.silentSince, LastTry: w.lastSentAt, DownUntil: w.ejectedUntil,
+			Failures: w.ejections, Errors: w.consecutiveErrors, Table: w.probability}
+		if b.isCold(w) {
+			learned.Sent = slices.Clone(w.sentWork)
 		}
-		m.Workers[w.ID] = l
+		memory.Workers[w.ID] = learned
 	}
-	return m
+	return memory
 }
 
-// succession takes what happens between this balancer and another in whose place it goes on, or that goes on in its
-// own.
-func (b *Balancer) succession(e *Event) {
+// handleSuccession processes the events of a handover from a predecessor or to a successor, and new settings.
+func (b *Balancer) handleSuccession(e *Event) {
 	switch e.Kind {
 	case HandedOver:
-		b.drop(b.requests[e.Request])
+		b.releaseRequest(b.requests[e.Request])
 	case Resumed:
-		b.resume(e)
+		b.resumeRequest(e)
 	case Replaced:
-		b.replaced = e.Amount > 0
+		b.hasSuccessor = e.Amount > 0
 	case NewSettings:
-		b.renew(*e.Settings)
+		b.applySettings(*e.Settings)
 	}
 }
 
-// renew goes on with other settings. A request keeps the class that it came with, but what has become stricter binds
-// its next attempt.
-func (b *Balancer) renew(s Settings) {
-	s.Seed = b.s.Seed
-	b.s = s
-	b.shares.Quotas, b.shares.Fraction = s.quotas(), s.part()
-	b.circle = ramp.NewRotation(s.Dispatchers)
-	for len(b.patience) < len(s.Classes) {
-		b.patience = append(b.patience, 0)
+// applySettings replaces the settings. A request keeps the class that it arrived with, but a repeat rule that has
+// become stricter applies to its next attempt.
+func (b *Balancer) applySettings(s Settings) {
+	s.Seed = b.settings.Seed
+	b.settings = s
+	b.tenantShares.Quotas, b.tenantShares.Fraction = s.tenantQuotas(), s.dispatcherShare()
+	b.rotation = ramp.NewRotation(s.Dispatchers)
+	for len(b.maxTimeout) < len(s.Classes) {
+		b.maxTimeout = append(b.maxTimeout, 0)
 	}
 	for _, r := range b.requests {
 		for _, c := range s.Classes {
@@ -92,94 +95,96 @@
 		}
 	}
 	for _, w := range b.workers {
-		w.rank = b.rank(&w.Worker)
+		w.rank = b.rankOf(&w.Worker)
 	}
-	unheard := b.unheard
-	b.list(&Event{Kind: ListPatch}) // nothing has changed but the order, and who is a buddy
-	b.unheard = unheard
+	listFailed := b.listFailed
+	b.handleList(&Event{Kind: ListPatch}) // only the order and the buddies change
+	b.listFailed = listFailed
 }
 
-// Tries is what is known of the attempts of a request, for the balancer that goes on with it.
+// Tries returns the state of the attempts of a request, for the balancer that continues it.
 func (b *Balancer) Tries(request uint64) (tries []Try) {
 	if r := b.requests[request]; r != nil {
-		for _, a := range r.tries {
-			tries = append(tries, Try{a.w.ID, a.sent, a.started, a.heard, a.done, a.notRun, a.recalled, a.unusable})
+		for _, a := range r.attempts {
+			tries = append(tries, Try{a.worker.ID, a.sentAt, a.startedAt, a.progressAt,
+				a.done, a.notRun, a.cancelled, a.unusable})
 		}
 	}
 	return tries
 }
 
-// drop lets go of a request that another balancer goes on with: nothing is called off.
-func (b *Balancer) drop(r *request) {
+// releaseRequest forgets a request that another balancer continues, without cancelling its attempts.
+func (b *Balancer) releaseRequest(r *request) {
 	if r == nil {
 		return
 	}
 	r.closed = true
 	delete(b.requests, r.id)
-	for _, a := range r.tries {
-		a.w.own = slices.DeleteFunc(a.w.own, func(o *attempt) bool { return o == a })
+	for _, a := range r.attempts {
+		a.worker.ownAttempts = slices.DeleteFunc(a.worker.ownAttempts, func(o *attempt) bool { return o == a })
 	}
 }
 
-// resume goes on with a request that another balancer has begun.
-func (b *Balancer) resume(e *Event) {
-	r := b.open(e)
+// resumeRequest continues a request that another balancer has begun.
+func (b *Balancer) resumeRequest(e *Event) {
+	r := b.openRequest(e)
 	if r == nil {
 		return
 	}
 	for _, t := range e.Tries {
-		if b.workers[t.Worker] == nil { // it has left the list: nothing goes there, but what is there may come back
-			b.entry(&Worker{ID: t.Worker, State: Gone})
+		// The worker may have left the list: it gets nothing new, but the attempt there may still end.
+		if b.workers[t.Worker] == nil {
+			b.updateWorker(&Worker{ID: t.Worker, State: Gone})
 		}
 		w := b.workers[t.Worker]
-		a := &attempt{r: r, n: len(r.tries), region: b.region(w), w: w, sent: t.Sent, wait: b.backlog(w),
-			started: t.Started, heard: t.Heard, done: t.Done, notRun: t.NotRun, recalled: t.Recalled,
-			unusable: t.Unusable}
-		r.tries = append(r.tries, a)
+		a := &attempt{request: r, index: len(r.attempts), region: b.currentRegion(w), worker: w, sentAt: t.Sent,
+			expectedWait: b.backlog(w), startedAt: t.Started, progressAt: t.Heard, done: t.Done, notRun: t.NotRun,
+			cancelled: t.Recalled, unusable: t.Unusable}
+		r.attempts = append(r.attempts, a)
 		if !a.done {
-			r.out++
-			w.own = append(w.own, a)
-			if a.sent < b.heir { // it was counted among the others' jobs there
-				w.held = max(w.held-1, -w.kind.slots)
+			r.outstanding++
+			w.ownAttempts = append(w.ownAttempts, a)
+			if a.sentAt < b.restoredAt { // the restored value of queued includes it
+				w.queued = max(w.queued-1, -w.kind.slots)
 			}
-			b.follow(r, a)
+			b.scheduleRechecks(r, a)
 		}
 	}
-	if r.out == 0 {
-		b.place(r)
+	if r.outstanding == 0 {
+		b.dispatch(r)
 	}
 }
 
-// Restore makes a balancer that has decided nothing yet go on with what another has learned, of the workers that its
-// list names already. What makes no sense is left as it was.
-func (b *Balancer) Restore(now int64, m Memory) {
-	if m.JobTime <= 0 || m.Least <= 0 || m.StartLag <= 0 {
+// Restore gives a balancer that has made no decision yet what another has learned, for the workers that its list
+// already has. It leaves out values that cannot be right.
+func (b *Balancer) Restore(now int64, memory Memory) {
+	if memory.JobTime <= 0 || memory.Least <= 0 || memory.StartLag <= 0 {
 		return
 	}
-	b.heir = now
-	b.jobTime, b.least, b.startLag, b.loss = m.JobTime, m.Least, m.StartLag, m.Loss
-	b.meanHeld, b.commonAt = m.MeanHeld, m.CommonAt
-	for i, c := range b.s.Classes {
-		b.patience[i] = m.Patience[c.Name]
+	b.restoredAt = now
+	b.jobTime, b.smallJobWork, b.startLag, b.lateLoss = memory.JobTime, memory.Least, memory.StartLag, memory.Loss
+	b.meanQueued, b.meanQueuedAt = memory.MeanHeld, memory.CommonAt
+	for i, c := range b.settings.Classes {
+		b.maxTimeout[i] = memory.Patience[c.Name]
 	}
-	for name, l := range m.Kinds {
-		if k := b.kinds[name]; k != nil && l.Slots >= 1 && l.Pace > 0 {
-			k.slots, k.pace, k.p = l.Slots, l.Pace, l.Table
-			k.blendWith(nil) // for the tails
+	for name, learned := range memory.Kinds {
+		if k := b.kinds[name]; k != nil && learned.Slots >= 1 && learned.Pace > 0 {
+			k.slots, k.pace, k.probability = learned.Slots, learned.Pace, learned.Table
+			k.update(nil) // computes the tails
 		}
 	}
 	for _, w := range b.ranked {
-		if l, ok := m.Workers[w.ID]; ok && l.Pace > 0 {
-			w.held, w.pace, w.heardAt = l.Held, l.Pace, l.HeardAt
-			for _, sent := range l.Sent {
-				w.sent.Add(sent, b.s.Contract.FallTime)
+		if learned, ok := memory.Workers[w.ID]; ok && learned.Pace > 0 {
+			w.queued, w.pace, w.evidenceAt = learned.Held, learned.Pace, learned.HeardAt
+			for _, sent := range learned.Sent {
+				w.sentWork.Add(sent, b.settings.Contract.FallTime)
 			}
-			w.silent, w.lastTry, w.downUntil = l.Silent, l.LastTry, l.DownUntil
-			w.failures, w.errors = l.Failures, l.Errors
-			w.faultAt = now // when it was is not handed on
-			w.p = l.Table
-			w.blendWith(nil)
+			w.silentSince, w.lastSentAt, w.ejectedUntil = learned.Silent, learned.LastTry, learned.DownUntil
+			w.ejections, w.consecutiveErrors = learned.Failures, learned.Errors
+			w.lastFaultAt = now // the time of the last fault is not handed over
+			w.probability = learned.Table
+			w.update(nil)
 		}
 	}
-	b.refill()
+	b.rebuildBuddies()
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -11,30 +11,30 @@
 func TestRequestGoesToAnotherBalancer(t *testing.T) {
 	old := newRig(t, settings(), fleet(6)...)
 	id, acts := old.arrive(unsafe)
-	first := old.sends(acts).Worker
-	second := old.sends(old.done(id, 0, first, ConnectionRefused)).Worker
-	old.on(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second})
+	first := old.requireSend(acts).Worker
+	second := old.requireSend(old.done(id, 0, first, ConnectionRefused)).Worker
+	old.handle(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second})
 
 	young := newRig(t, settings(), fleet(6)...)
 	young.b.Restore(young.now, old.b.Memory())
 	tries := old.b.Tries(id)
-	if acts := old.on(Event{Kind: HandedOver, Request: id}); len(acts) > 0 || len(old.b.requests) > 0 {
+	if acts := old.handle(Event{Kind: HandedOver, Request: id}); len(acts) > 0 || len(old.b.requests) > 0 {
 		t.Errorf("the old one wants %+v and holds %d", acts, len(old.b.requests))
 	}
 	for _, w := range old.b.ranked {
-		if len(w.own) > 0 {
-			t.Errorf("%s still has %d", w.ID, len(w.own))
+		if len(w.ownAttempts) > 0 {
+			t.Errorf("%s still has %d", w.ID, len(w.ownAttempts))
 		}
 	}
-	acts = young.on(Event{Kind: Resumed, Request: 77, Class: unsafe, Tenant: -1, Due: young.now + 10e6, Hint: 200e3,
+	acts = young.handle(Event{Kind: Resumed, Request: 77, Class: unsafe, Tenant: -1, Due: young.now + 10e6, Hint: 200e3,
 		Tries: tries})
-	if n, _ := count(acts, Send); n > 0 {
+	if n, _ := countActions(acts, Send); n > 0 {
 		t.Errorf("sent again: %+v", acts)
 	}
-	if w := young.b.workers[second]; len(w.own) != 1 || w.own[0].started != young.now {
+	if w := young.b.workers[second]; len(w.ownAttempts) != 1 || w.ownAttempts[0].startedAt != young.now {
 		t.Errorf("the job at %s is not known", second)
 	}
-	if n, _ := count(young.done(77, 1, second, ConnectionLost), Fail); n != 1 {
+	if n, _ := countActions(young.done(77, 1, second, ConnectionLost), Fail); n != 1 {
 		t.Error("what may have run must fail")
 	}
 }
@@ -42,9 +42,9 @@
 // A worker that has left the list since keeps its job, and gets nothing new.
 func TestResumedAtAGoneWorker(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
-	r.on(Event{Kind: Resumed, Request: 7, Class: safe, Tenant: -1, Due: r.now + 10e6, Hint: 200e3,
+	r.handle(Event{Kind: Resumed, Request: 7, Class: safe, Tenant: -1, Due: r.now + 10e6, Hint: 200e3,
 		Tries: []Try{{Worker: "left", Sent: r.now - 1}}})
-	if acts := r.done(7, 0, "left", Saturated); r.sends(acts).Worker == "left" {
+	if acts := r.done(7, 0, "left", Saturated); r.requireSend(acts).Worker == "left" {
 		t.Error("a worker that is not listed gets a job")
 	}
 }
@@ -57,12 +57,12 @@
 	old := newRig(t, s, workers...)
 	cold := workers[0]
 	cold.StartedAt = old.now - 1
-	old.on(Event{Kind: ListPatch, List: []Worker{cold}})
-	old.b.workers["w0"].sent.Add(ramp.Sent{At: old.now, Work: 123}, s.Contract.FallTime)
-	old.b.workers["w1"].downUntil = old.now + 5e6
+	old.handle(Event{Kind: ListPatch, List: []Worker{cold}})
+	old.b.workers["w0"].sentWork.Add(ramp.Sent{At: old.now, Work: 123}, s.Contract.FallTime)
+	old.b.workers["w1"].ejectedUntil = old.now + 5e6
 	id, acts := old.arrive(unsafe)
-	busy := old.sends(acts).Worker
-	old.on(Event{Kind: JobStarted, Request: id, Worker: busy})
+	busy := old.requireSend(acts).Worker
+	old.handle(Event{Kind: JobStarted, Request: id, Worker: busy})
 
 	workers[0] = cold
 	young := newRig(t, s, workers...)
@@ -74,17 +74,17 @@
 	if n := young.b.UnavailableWorkers(young.now); n != 1 {
 		t.Errorf("%d are avoided", n)
 	}
-	if a, b := young.b.coldShare(young.b.workers["w0"]), old.b.coldShare(old.b.workers["w0"]); a != b {
+	if a, b := young.b.coldBudget(young.b.workers["w0"]), old.b.coldBudget(old.b.workers["w0"]); a != b {
 		t.Errorf("cold share %v, %v before", a, b)
 	}
 	if after := young.b.backlog(young.b.workers[busy]); after < before {
 		t.Errorf("backlog %v, %v without the memory", after, before)
 	}
-	if old.b.coldShare(old.b.workers["w0"]) <= 0 {
+	if old.b.coldBudget(old.b.workers["w0"]) <= 0 {
 		t.Fatal("nothing is left to leave to another")
 	}
-	old.on(Event{Kind: Replaced, Amount: 1})
-	if old.b.coldShare(old.b.workers["w0"]) > 0 {
+	old.handle(Event{Kind: Replaced, Amount: 1})
+	if old.b.coldBudget(old.b.workers["w0"]) > 0 {
 		t.Error("one that is replaced leaves cold workers to the other")
 	}
 	young.b.Restore(young.now, Memory{})
@@ -98,9 +98,9 @@
 	s := settings()
 	r := newRig(t, s, fleet(6)...)
 	kept, acts := r.arrive(safe)
-	first := r.sends(acts).Worker
+	first := r.requireSend(acts).Worker
 	capped, acts := r.arrive(safe)
-	other := r.sends(acts).Worker
+	other := r.requireSend(acts).Worker
 
 	stricter := s
 	stricter.Allowed.Attempts = 1
@@ -110,14 +110,14 @@
 	if len(stricter.Classes) != len(s.Classes)+1 || stricter.Classes[safe].Aim != 1 || s.Classes[safe].Aim == 1 {
 		t.Fatalf("classes %+v", stricter.Classes)
 	}
-	r.on(Event{Kind: NewSettings, Settings: &stricter})
+	r.handle(Event{Kind: NewSettings, Settings: &stricter})
 	if acts := r.done(capped, 0, other, Saturated); len(acts) != 1 || acts[0].Kind != Refuse {
 		t.Errorf("beyond the attempts allowed now: %+v", acts)
 	}
 	if c := r.b.requests[kept].class; c.Repeat != Unsafe || c.Aim != s.Classes[safe].Aim {
 		t.Errorf("the class of a request in hand is %+v", *c)
 	}
-	if n, _ := count(r.done(kept, 0, first, ConnectionLost), Fail); n != 1 {
+	if n, _ := countActions(r.done(kept, 0, first, ConnectionLost), Fail); n != 1 {
 		t.Error("what may have run is not failed under the stricter rule")
 	}
 	if _, acts := r.arrive(len(s.Classes)); len(acts) == 0 {
@@ -132,7 +132,7 @@
 	s.Classes = all[:celled]
 	r := newRig(t, s, fleet(9)...)
 	s.Classes = all
-	r.on(Event{Kind: NewSettings, Settings: &s})
+	r.handle(Event{Kind: NewSettings, Settings: &s})
 	for i, w := range r.b.ranked {
 		if w.Cell != i/3 {
 			t.Fatalf("%s of cell %d is at %d", w.ID, w.Cell, i)
--- a/random_test.go
+++ b/random_test.go
@@ -275,11 +275,11 @@
 			r.now += 90e3
 			id, acts := r.arrive(i % 5)
 			text += fmt.Sprintln(acts)
-			if n, a := count(acts, Send); n > 0 && i%3 > 0 {
+			if n, a := countActions(acts, Send); n > 0 && i%3 > 0 {
 				text += fmt.Sprintln(r.done(id, 0, a.Worker, Outcome(i%9)))
 			}
 			if i%40 == 0 {
-				text += fmt.Sprintln(r.on(Event{Kind: TimerDue, Token: tokenPulse}))
+				text += fmt.Sprintln(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}))
 			}
 		}
 		return text
--- a/rig_test.go
+++ b/rig_test.go
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: 100e6}
-	r.on(Event{Kind: ListRestored, List: workers})
+	r.handle(Event{Kind: ListRestored, List: workers})
 	return r
 }
 
-func (r *rig) on(e Event) []Action {
+func (r *rig) handle(e Event) []Action {
 	if e.Load == (Load{}) {
 		e.Load = NoLoad
 	}
@@ -60,15 +60,16 @@
 
 func (r *rig) arrive(class int) (uint64, []Action) {
 	r.id++
-	return r.id, r.on(Event{Kind: Arrival, Request: r.id, Class: class, Tenant: -1, Due: r.now + 10e6, Hint: 200e3})
+	return r.id, r.handle(Event{Kind: Arrival, Request: r.id, Class: class, Tenant: -1, Due: r.now + 10e6, Hint: 200e3})
 }
 
 func (r *rig) done(id uint64, attempt int, w string, o Outcome) []Action {
-	return r.on(Event{Kind: AttemptDone, Request: id, Attempt: attempt, Worker: w, Outcome: o, Final: o == Completed})
+	return r.handle(Event{Kind: AttemptDone, Request: id, Attempt: attempt, Worker: w, Outcome: o,
+		Final: o == Completed})
 }
 
 // count returns how many actions of a kind there are, and the last of them.
-func count(acts []Action, k ActionKind) (n int, last Action) {
+func countActions(acts []Action, k ActionKind) (n int, last Action) {
 	for _, a := range acts {
 		if a.Kind == k {
 			n, last = n+1, a
@@ -77,9 +78,9 @@
 	return n, last
 }
 
-func (r *rig) sends(acts []Action) Action {
+func (r *rig) requireSend(acts []Action) Action {
 	r.t.Helper()
-	n, a := count(acts, Send)
+	n, a := countActions(acts, Send)
 	if n != 1 {
 		r.t.Fatalf("want one send, got %+v", acts)
 	}
--- a/state.go
+++ b/state.go
@@ -1,6 +1,6 @@
 package topazfall
 
-// What a balancer remembers, and plain look-ups. Every decision is in balancer.go.
+// The state of a balancer, and lookups in it. Every decision is made in balancer.go.
 
 import (
 	"cmp"
@@ -15,223 +15,233 @@
 
 // Balancer makes the decisions of one dispatcher.
 type Balancer struct {
-	s        Settings
-	now      int64
-	out      []Action
-	requests map[uint64]*request
-	workers  map[string]*worker // all that were ever listed, by id
-	ranked   []*worker          // those listed now, in the order common to all dispatchers
-	buddies  []*worker          // the preferred list
-	reach    int                // how many of the ranked the buddies are taken from: more where some are out
-	others   []*worker          // the rest, from the dispatcher's own place on: all must not turn to the same
-	started  []*worker          // those of the others that were cold when the buddies were chosen
-	circle   ramp.Rotation      // the turns of the dispatchers at cold workers
-	kinds    map[string]*kind
-	jobTime  float64 // mean running time of a job
-	least    float64 // work of a small job; sets TH1
-	startLag float64 // how soon a job begins on a free worker
-	patience []int64 // the longest time to a deadline seen, by class
-	loss     float64 // share of the worth lost on late jobs
-	copies   float64 // that may be sent now
-	unheard  bool    // the list service failed us
-	heir     int64   // when it took over what another had learned
-	replaced bool    // another process takes the new jobs
-	blendAt  int64
-	unheeded int     // words of others that were dropped
-	meanHeld float64 // jobs waiting at a buddy, by its last reports; below 0: free slots
-	commonAt int64
-	shares   share.Shares
-	runs     map[string]*runs // by class
-}
-
-// runs is how long the jobs of a class run.
-type runs struct{ n, mean float64 }
+	settings        Settings
+	now             int64
+	actions         []Action
+	requests        map[uint64]*request
+	workers         map[string]*worker     // all that were ever listed, by ID
+	ranked          []*worker              // the listed workers, in the order common to all dispatchers
+	buddies         []*worker              // the subset of ranked that is used first
+	subsetSpan      int                    // length of the range of ranked that the buddies are taken from
+	nonBuddies      []*worker              // the others, beginning at the dispatcher's own place to spread the load
+	coldNonBuddies  []*worker              // those of nonBuddies that were cold when the buddies were chosen
+	rotation        ramp.Rotation          // the turns of the dispatchers at cold workers
+	kinds           map[string]*workerKind // by name
+	jobTime         float64                // moving average of the running time of a job
+	smallJobWork    float64                // work of a small job; sets TH1
+	startLag        float64                // moving average of the delay until a job starts at a free worker
+	maxTimeout      []int64                // the longest time to a deadline that was seen, by class
+	lateLoss        float64                // moving average of the share of the worth that is lost on late jobs
+	hedgeBudget     float64                // the number of hedged requests that may be sent now
+	listFailed      bool                   // the last query or watch of the worker list failed
+	restoredAt      int64                  // when the memory of another balancer was restored
+	hasSuccessor    bool                   // another process takes the new jobs
+	nextTableUpdate int64                  // when the tables are updated next
+	droppedMessages int                    // gossip messages that were dropped
+	meanQueued      float64                // moving average of jobs waiting at a worker; below 0: free slots
+	meanQueuedAt    int64                  // when meanQueued was updated
+	tenantShares    share.Shares
+	classRunTimes   map[string]*runTime // by class name
+}
+
+// runTime is the mean running time of the jobs of a class.
+type runTime struct{ samples, mean float64 }
 
 type request struct {
-	id       uint64
-	class    *Class
-	due, aim int64   // aim: when the full worth ends
-	hint     float64 // of its work: the client's, or what jobs of its class take
-	work     float64
-	key      uint64
-	homes    []*worker // who should hold what its key needs
-	tries    []*attempt
-	out      int // attempts without an outcome
-	closed   bool
-	failed   bool    // a worker has failed at it
-	worth    float64 // as a share of its class's: less beyond its tenant's share
-}
-
+	id          uint64
+	class       *Class
+	due, aim    int64   // aim: until when an answer has its full worth
+	hint        float64 // expected work: the client's hint, or the mean of the jobs of its class
+	work        float64
+	key         uint64
+	preferred   []*worker // the workers that should hold the data of its key
+	attempts    []*attempt
+	outstanding int // attempts without an outcome
+	closed      bool
+	hasFailed   bool    // a worker has failed the job
+	value       float64 // share of its class's worth: less beyond its tenant's share
+}
+
+// attempt is one try of a request at one worker.
 type attempt struct {
-	r                      *request
-	n, region              int // region: what was observed of w when it was sent
-	w                      *worker
-	sent, started, heard   int64 // heard: of its running, last
-	done, notRun, recalled bool
-	unusable, broken       bool      // its worker said that of the job; the connection to it broke
-	told                   bool      // others know of it
-	turn                   ramp.Turn // at a cold worker: who of them
-	wait                   float64   // until it would begin, by what was known when it was sent
-	doubt                  int64     // from when on its worker is doubted, if it is silent
+	request                       *request
+	index, region                 int // region: the observed backlog region of the worker at the send
+	worker                        *worker
+	sentAt, startedAt, progressAt int64 // progressAt: the last note of its start or progress
+	done, notRun, cancelled       bool
+	unusable, connectionLost      bool      // unusable: the worker found the job itself invalid
+	announced                     bool      // other dispatchers know of it by gossip
+	turn                          ramp.Turn // at a cold worker: the turn whose users were notified
+	expectedWait                  float64   // time until the start, as expected at the send
+	suspectAt                     int64     // from then on its worker is suspect if it is silent
 }
 
 type worker struct {
 	Worker
-	rank      string // its place in the common order
-	name      uint32 // in gossip
-	listed    bool
-	told      gossip.PeerLoad // what others have done here since the report
-	reportOf  int64           // the time that the last report is of
-	kind      *kind
-	inHand    float64 // jobs, by the last live weight; below 0 where it could not tell
-	held      float64 // jobs waiting by the last report that moved x; below 0: free slots
-	heardAt   int64
-	own       []*attempt // this dispatcher's, still out
-	pace      float64    // running time for a unit of hinted work
-	silent    int64      // first send since the last sign of life
-	lastTry   int64
-	failures  int
-	errors    int // jobs failed since the last that was served, here or at another dispatcher
-	faultAt   int64
-	downUntil int64
-	sent      ramp.Log // what was sent there within the fall time, as far as is known
+	rank              string // sort key of the common order
+	hostHash          uint32 // identifies the worker in gossip messages
+	listed            bool
+	peerLoad          gossip.PeerLoad // jobs that other dispatchers have started and ended here since the report
+	reportAsOf        int64           // the time that the last load report describes
+	kind              *workerKind
+	inflight          float64    // jobs at the worker by its last live weight; below 0 if that cannot tell
+	queued            float64    // jobs waiting by the last load report that changed the region; below 0: free slots
+	evidenceAt        int64      // when the load of the worker was last observed
+	ownAttempts       []*attempt // outstanding attempts of this dispatcher
+	pace              float64    // running time for a unit of hinted work
+	silentSince       int64      // the first send since the last sign of life; 0 if there was none
+	lastSentAt        int64
+	ejections         int // in a row, for the backoff
+	consecutiveErrors int // jobs failed since the last that was served, here or at another dispatcher
+	lastFaultAt       int64
+	ejectedUntil      int64
+	sentWork          ramp.Log // work that was sent here within the fall time, as far as is known
 	table
 }
 
-// kind pools what is learned of the workers of one kind.
-type kind struct {
+// workerKind pools what is learned of the workers of one kind.
+type workerKind struct {
 	slots, pace float64
-	size, cores float64 // as live weights show them; 0 until they do
+	size, cores float64 // derived from live weights; 0 until known
 	table
 }
 
-// table holds P(backlog | region), its tails, and the samples since the last blend.
-type table struct{ p, tails, fresh [regions][columns]float64 }
+// table holds P(backlog | region), its tail probabilities, and the samples since the last update.
+type table struct {
+	probability, tails, samples [regionCount][columnCount]float64
+}
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+// emit appends an action to those of the current event.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// timer asks to be woken. A tick is the least time in which anything can be heard of what was just sent: a
-// shorter timer, as where an aim is lost already, would only spend the attempts of a request in a row.
-func (b *Balancer) timer(after int64, token uint64) {
-	b.do(Action{Kind: SetTimer, After: max(after, b.s.Tick, 1), Token: token})
+// setTimer requests a timer of at least one tick. A tick is the minimum time until anything can be known of an
+// attempt that was just sent. A shorter timer, as where the aim is missed already, would only use up the attempts
+// of a request at once.
+func (b *Balancer) setTimer(after int64, token uint64) {
+	b.emit(Action{Kind: SetTimer, After: max(after, b.settings.Tick, 1), Token: token})
 }
 
-// look has a request looked at again.
-func (b *Balancer) look(r *request, after float64) {
-	b.timer(min(int64(after), r.due-b.now), r.id<<2|tokenLook)
+// scheduleRecheck sets a timer for a request, no later than its deadline.
+func (b *Balancer) scheduleRecheck(r *request, after float64) {
+	b.setTimer(min(int64(after), r.due-b.now), r.id<<2|tokenRecheck)
 }
 
-// attempt finds the attempt that an event is about, if it is still out.
-func (b *Balancer) attempt(e *Event) *attempt {
+// findAttempt returns the attempt that an event is about, or nil if it is not outstanding.
+func (b *Balancer) findAttempt(e *Event) *attempt {
 	r := b.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tries) || r.tries[e.Attempt].done {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].done {
 		return nil
 	}
-	return r.tries[e.Attempt]
+	return r.attempts[e.Attempt]
 }
 
-// inflight tells how many jobs a live weight says a worker had in hand, or -1 where it cannot: machines of a kind are
-// of one size, which the idle ones show, and each job takes off the same for its part of a core.
-func (k *kind) inflight(weight float64) float64 {
-	if weight > 1.02*k.size { // the steps seen till now were of something else
+// inflightFromWeight returns the number of jobs that a live weight shows at a worker, or -1 if it cannot tell.
+// Machines of a kind have the same size, which the idle ones show. Each job lowers the weight by its share of a core,
+// from which the number of cores follows.
+func (k *workerKind) inflightFromWeight(weight float64) float64 {
+	if weight > 1.02*k.size { // a larger machine: the cores seen until now are of another size
 		k.size, k.cores = weight, 0
 	}
-	crowd := k.size/max(weight, 1e-9) - 1
-	if crowd > 0.02 { // a weight is a little rounded
-		k.cores = min(max(k.cores, math.Round(1/crowd)), 64)
+	jobsPerCore := k.size/max(weight, 1e-9) - 1
+	if jobsPerCore > 0.02 { // weights are slightly rounded
+		k.cores = min(max(k.cores, math.Round(1/jobsPerCore)), 64)
 	}
 	if k.cores < 1 {
 		return -1
 	}
-	k.slots = max(k.slots, k.cores) // no machine has fewer
-	return math.Round(crowd * k.cores)
+	k.slots = max(k.slots, k.cores) // a worker has at least one slot per core
+	return math.Round(jobsPerCore * k.cores)
 }
 
-// shown is how many jobs a live weight says the worker has in hand, or -1. Fewer than before are a sign of life: one
-// has left it.
-func (w *worker) shown(weight float64) float64 {
-	before := w.inHand
-	if w.inHand = w.kind.inflight(weight); w.inHand >= 0 && w.inHand < before {
-		w.silent = 0
+// observeWeight returns the number of jobs that a live weight shows at the worker, or -1. A lower number than before
+// is a sign of life, because a job has ended.
+func (w *worker) observeWeight(weight float64) float64 {
+	before := w.inflight
+	if w.inflight = w.kind.inflightFromWeight(weight); w.inflight >= 0 && w.inflight < before {
+		w.silentSince = 0
 	}
-	return w.inHand
+	return w.inflight
 }
 
-// kind finds what is known of a kind, or begins with a machine of one slot whose every backlog is as likely as another.
-func (b *Balancer) kind(name string) *kind {
+// kindOf returns what is known of a kind of worker. An unknown kind begins with one slot and a uniform distribution
+// of backlogs.
+func (b *Balancer) kindOf(name string) *workerKind {
 	k := b.kinds[name]
 	if k == nil {
-		k = &kind{slots: 1, pace: 1}
-		k.uniform()
+		k = &workerKind{slots: 1, pace: 1}
+		k.setUniform()
 		b.kinds[name] = k
 	}
 	return k
 }
 
+// sameGroup reports whether two workers drop the repeats of each other's keyed jobs.
 func sameGroup(g Group, a, w *worker) bool {
 	return g == GroupAll || a.Zone == w.Zone && (g == GroupZone || a.Cell == w.Cell)
 }
 
-// share is a time as a part of the time wanted.
-func (b *Balancer) share(r *request, time float64) float64 {
-	return time / max(float64(r.class.Aim)+r.class.Stretch*r.hint, 1000)
+// relativeTime returns a duration relative to the time within which the class wants an answer.
+func (b *Balancer) relativeTime(r *request, duration float64) float64 {
+	return duration / max(float64(r.class.Aim)+r.class.Stretch*r.hint, 1000)
 }
 
-// cold tells that a worker has started so late that it may not bear much yet.
-func (b *Balancer) cold(w *worker) bool {
-	return w.StartedAt > 0 && b.now < w.StartedAt+b.s.Contract.RampTime
+// isCold reports whether a worker has started so recently that it may not have its full capacity yet (slow start).
+func (b *Balancer) isCold(w *worker) bool {
+	return w.StartedAt > 0 && b.now < w.StartedAt+b.settings.Contract.RampTime
 }
 
-// warmth is the share of its capacity that a cold worker has by now, at least.
-func (b *Balancer) warmth(w *worker) float64 {
-	c := &b.s.Contract
+// warmShare returns the minimum share of its capacity that a cold worker has by now.
+func (b *Balancer) warmShare(w *worker) float64 {
+	c := &b.settings.Contract
 	return min(c.ColdFrom+(1-c.ColdFrom)*float64(b.now-w.StartedAt)/float64(max(c.RampTime, 1)), 1)
 }
 
-// sharers is how many dispatchers have a worker among their buddies, rounded up, if all see the list that this one
-// sees.
-func (b *Balancer) sharers() float64 {
-	return math.Ceil(max(float64(b.reach*b.s.Dispatchers)/max(float64(len(b.ranked)), 1), 1))
+// expectedSharers returns the number of dispatchers that have a worker among their buddies, rounded up, if all of
+// them see the same list as this one.
+func (b *Balancer) expectedSharers() float64 {
+	return math.Ceil(max(float64(b.subsetSpan*b.settings.Dispatchers)/max(float64(len(b.ranked)), 1), 1))
 }
 
-// jobsWithin is how many jobs a dispatcher gets within a time in microseconds, by the tenants' quotas: without bound if
-// these are not told.
-func (b *Balancer) jobsWithin(time int64) float64 {
-	return b.s.quota() * b.s.part() * float64(time) / 1e6
+// expectedArrivals returns the number of jobs that a dispatcher gets within a duration in microseconds, by the
+// tenants' quotas. It is infinite if there are no quotas.
+func (b *Balancer) expectedArrivals(duration int64) float64 {
+	return b.settings.totalQuota() * b.settings.dispatcherShare() * float64(duration) / 1e6
 }
 
-// turns lists the cold workers beyond the buddies that this dispatcher has a turn at.
-func (b *Balancer) turns() (ws []*worker) {
-	for _, w := range b.started {
-		if turn, _, _ := b.coldTurn(w); b.circle.Has(turn, b.s.Me) {
+// coldWorkersInTurn lists the cold workers outside the buddy set at which this dispatcher has a turn.
+func (b *Balancer) coldWorkersInTurn() (ws []*worker) {
+	for _, w := range b.coldNonBuddies {
+		if turn, _, _ := b.coldTurn(w); b.rotation.Has(turn, b.settings.Me) {
 			ws = append(ws, w)
 		}
 	}
 	return ws
 }
 
-// crossing is the price of sending to a worker because of its zone.
-func (b *Balancer) crossing(w *worker) float64 {
-	if w.Zone == b.s.Zone {
+// zonePenalty returns the share of the worth that is lost by sending to a worker in another zone.
+func (b *Balancer) zonePenalty(w *worker) float64 {
+	if w.Zone == b.settings.Zone {
 		return 0
 	}
-	return b.s.CrossZone
+	return b.settings.CrossZone
 }
 
-// nearer orders workers by the price of their zone.
-func (b *Balancer) nearer(v, w *worker) int { return cmp.Compare(b.crossing(v), b.crossing(w)) }
+// compareZones orders workers by the penalty of their zone.
+func (b *Balancer) compareZones(v, w *worker) int {
+	return cmp.Compare(b.zonePenalty(v), b.zonePenalty(w))
+}
 
-// sane maps what a report cannot mean to "not reported".
-func sane(v float64) float64 {
+// sanitize maps an impossible value of a load report to -1, which means not reported.
+func sanitize(v float64) float64 {
 	if v >= 0 && v < 1e6 {
 		return v
 	}
 	return -1
 }
 
-// quota is how many jobs a second all dispatchers get together, within the tenants' shares: without bound if that is
-// not told.
-func (s *Settings) quota() (n float64) {
+// totalQuota returns the number of jobs a second that all dispatchers together get from tenants within their quotas.
+// It is infinite if there are no quotas.
+func (s *Settings) totalQuota() (n float64) {
 	for _, t := range s.Tenants {
 		n += t.Quota
 	}
@@ -241,141 +251,149 @@
 	return n
 }
 
-// quotas lists those of the tenants.
-func (s *Settings) quotas() (q []float64) {
+// tenantQuotas lists the quotas by tenant.
+func (s *Settings) tenantQuotas() (q []float64) {
 	for _, t := range s.Tenants {
 		q = append(q, t.Quota)
 	}
 	return q
 }
 
-// part is what a dispatcher gets of all messages if all get the same.
-func (s *Settings) part() float64 { return 1 / float64(s.Dispatchers) }
+// dispatcherShare returns the share of all requests that each dispatcher gets if they are spread evenly.
+func (s *Settings) dispatcherShare() float64 { return 1 / float64(s.Dispatchers) }
 
-// worth counts a message of a tenant, and tells what it is worth as a share of its class's.
-func (b *Balancer) worth(tenant int) float64 {
-	if b.shares.IsWithin(b.now, tenant) {
+// countTenantRequest counts a request of a tenant and returns its value as a share of its class's worth.
+func (b *Balancer) countTenantRequest(tenant int) float64 {
+	if b.tenantShares.IsWithin(b.now, tenant) {
 		return 1
 	}
-	return b.s.OverShare
+	return b.settings.OverShare
 }
 
-// hint is what is known of the work of a job: what its client says, else the mean of its class, or of all until that
-// shows.
-func (b *Balancer) hint(c *Class, told int64) float64 {
-	if told > 0 {
-		return float64(min(told, 1e12))
+// expectedWork returns the expected work of a job: the client's hint, else the mean of its class, or of all jobs
+// until that is known.
+func (b *Balancer) expectedWork(c *Class, hint int64) float64 {
+	if hint > 0 {
+		return float64(min(hint, 1e12))
 	}
-	if k := b.runs[c.Name]; k != nil {
-		return k.mean
+	if class := b.classRunTimes[c.Name]; class != nil {
+		return class.mean
 	}
 	return b.jobTime
 }
 
-// ran counts how long a job has run. What its class is taken for comes from those that fetched nothing.
-func (b *Balancer) ran(r *request, run float64, fetched bool) {
-	b.jobTime += (run - b.jobTime) / 32
+// recordRunTime updates the mean running times after a job. The mean of a class is taken of jobs that did not have to
+// fetch the data of a key.
+func (b *Balancer) recordRunTime(r *request, duration float64, fetched bool) {
+	b.jobTime += (duration - b.jobTime) / 32
 	if fetched {
 		return
 	}
-	k := b.runs[r.class.Name]
-	if k == nil {
-		if b.runs == nil {
-			b.runs = map[string]*runs{}
+	class := b.classRunTimes[r.class.Name]
+	if class == nil {
+		if b.classRunTimes == nil {
+			b.classRunTimes = map[string]*runTime{}
 		}
-		k = &runs{}
-		b.runs[r.class.Name] = k
+		class = &runTime{}
+		b.classRunTimes[r.class.Name] = class
 	}
-	k.n = min(k.n+1, 32)
-	k.mean += (run - k.mean) / k.n
+	class.samples = min(class.samples+1, 32)
+	class.mean += (duration - class.mean) / class.samples
 }
 
-// homes lists the workers that should hold what the jobs of a key need, in the order in which they are asked. One
-// that rests keeps its place: it still holds what it has, and the others would have to fetch it.
-func (b *Balancer) homes(key uint64) (ws []*worker) {
+// preferredFor lists the workers that should hold the data of a key, in order of preference. An ejected worker keeps
+// its place: it still holds the data, and the others would have to fetch them.
+func (b *Balancer) preferredFor(key uint64) (ws []*worker) {
 	if key == 0 {
 		return nil
 	}
-	var places [cover]int
-	for _, i := range affinity.PreferredHosts(key, len(b.ranked), cover, func(i int) (uint32, bool) {
+	var places [redundancy]int
+	for _, i := range affinity.PreferredHosts(key, len(b.ranked), redundancy, func(i int) (uint32, bool) {
 		w := b.ranked[i]
-		return w.name, w.State == Ready
+		return w.hostHash, w.State == Ready
 	}, places[:0]) {
 		ws = append(ws, b.ranked[i])
 	}
 	return ws
 }
 
-// uniform starts a table: within its region every backlog is as likely as another.
-func (t *table) uniform() {
-	for c, x := range [columns - 1]int{0, 0, 1, 2, 3, 3, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4} {
-		t.p[x][c] = [regions]float64{1. / 2, 1, 1, 1. / 2, 1. / 11}[x]
+// setUniform initializes a table: within a region all backlogs are equally likely.
+func (t *table) setUniform() {
+	for column, region := range [columnCount - 1]int{0, 0, 1, 2, 3, 3, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4} {
+		t.probability[region][column] = [regionCount]float64{1. / 2, 1, 1, 1. / 2, 1. / 11}[region]
 	}
-	t.blendWith(nil)
+	t.update(nil)
 }
 
-// column maps a backlog to a column: none, or steps of a quarter of the job time.
-func (b *Balancer) column(backlog float64) int {
-	return int(min(math.Ceil(max(backlog, 0)*4/b.jobTime), columns-2))
+// columnOf returns the table column of a backlog: 0 for none, else in steps of a quarter of the job time.
+func (b *Balancer) columnOf(backlog float64) int {
+	return int(min(math.Ceil(max(backlog, 0)*4/b.jobTime), columnCount-2))
 }
 
-func (b *Balancer) region(w *worker) int { return b.regionOf(w, b.backlog(w)) }
+// currentRegion returns the region of a worker's estimated backlog.
+func (b *Balancer) currentRegion(w *worker) int { return b.regionOf(w, b.backlog(w)) }
 
-// sample pairs a region with the backlog (or, in the last column, the failure) that was met there.
-func (w *worker) sample(region, column int) {
-	w.fresh[region][column]++
-	w.kind.fresh[region][column]++
+// addSample counts the actual backlog, or a failure in the last column, that was found in a region.
+func (w *worker) addSample(region, column int) {
+	w.samples[region][column]++
+	w.kind.samples[region][column]++
 }
 
-// UnavailableWorkers is how many of the listed workers get nothing new at that time.
-func (b *Balancer) UnavailableWorkers(now int64) (n int) {
+// UnavailableWorkers returns the number of listed workers that get no new jobs at a time: those that are ejected or not
+// ready.
+func (b *Balancer) UnavailableWorkers(now int64) (count int) {
 	for _, w := range b.ranked {
-		if now < w.downUntil || w.State != Ready {
-			n++
+		if now < w.ejectedUntil || w.State != Ready {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (r *request) tried(w *worker) bool {
-	return slices.ContainsFunc(r.tries, func(a *attempt) bool { return a.w == w })
+// hasTried reports whether the request has had an attempt at a worker.
+func (r *request) hasTried(w *worker) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.worker == w })
 }
 
-// homesBefore counts the homes of the request's key that come before a worker: cover of them if it is no home, and
-// none without a key.
-func (r *request) homesBefore(w *worker) int {
-	switch place := slices.Index(r.homes, w); {
+// preferenceRank returns the number of preferred workers of the request's key that come before a worker: redundancy
+// if it is not preferred, and 0 without a key.
+func (r *request) preferenceRank(w *worker) int {
+	switch index := slices.Index(r.preferred, w); {
 	case r.key == 0:
 		return 0
-	case place < 0:
-		return cover
+	case index < 0:
+		return redundancy
 	default:
-		return place
+		return index
 	}
 }
 
-// broken lists the workers that broke the connection of an attempt and have none that is out.
-func (r *request) broken() (ws []*worker) {
-	for _, a := range r.tries {
-		if a.broken && !slices.ContainsFunc(r.tries, func(o *attempt) bool { return o.w == a.w && !o.done }) {
-			ws = append(ws, a.w)
+// workersWithLostConnection lists the workers to which the connection of an attempt was lost and that have no
+// outstanding attempt.
+func (r *request) workersWithLostConnection() (ws []*worker) {
+	for _, a := range r.attempts {
+		if a.connectionLost && !slices.ContainsFunc(r.attempts,
+			func(o *attempt) bool { return o.worker == a.worker && !o.done }) {
+			ws = append(ws, a.worker)
 		}
 	}
 	return ws
 }
 
-func (r *request) count(which func(*attempt) bool) (n int) {
-	for _, a := range r.tries {
-		if which(a) {
+// countAttempts returns the number of the request's attempts that match.
+func (r *request) countAttempts(matches func(*attempt) bool) (n int) {
+	for _, a := range r.attempts {
+		if matches(a) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *worker) count(which func(*attempt) bool) (n float64) {
-	for _, a := range w.own {
-		if which(a) {
+// countAttempts returns the number of this dispatcher's outstanding attempts at the worker that match.
+func (w *worker) countAttempts(matches func(*attempt) bool) (n float64) {
+	for _, a := range w.ownAttempts {
+		if matches(a) {
 			n++
 		}
 	}
