--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1,6 +1,6 @@
 package topazfall
 
-// The life of a request, and the limits on the module.
+// Tests of the life of a request, and of the layout of balancer.go.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestPageLimits(t *testing.T) {
+func TestBalancerFileLayout(t *testing.T) {
 	text, err := os.ReadFile("balancer.go")
 	if err != nil {
 		t.Fatal(err)
@@ -24,8 +24,8 @@
 	}
 }
 
-func TestNewNamesTheBadSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+func TestNewNamesInvalidSetting(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"Dispatchers":           func(s *Settings) { s.Dispatchers = 0 },
 		"Me":                    func(s *Settings) { s.Me = -1 },
 		"Classes":               func(s *Settings) { s.Classes = nil },
@@ -34,28 +34,28 @@
 		`Classes[1] ("unsafe")`: func(s *Settings) { s.Classes[1].Deadline = 0 },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error is %v", name, err)
 		}
 	}
 }
 
-// After each outcome: which classes may be sent again, and what the final answer may be.
-func TestAfterOutcome(t *testing.T) {
+// Checks after each outcome which classes may be retried and what the final answer may be.
+func TestRetryAfterOutcome(t *testing.T) {
 	for o := Errored; o <= Unusable; o++ {
 		for class := safe; class <= celled; class++ {
 			r := newRig(t, settings(), fleet(6)...)
 			id, acts := r.arrive(class)
 			first := r.requireSend(acts)
 			r.now += 1000
-			acts = r.done(id, 0, first.Worker, o)
+			acts = r.finishAttempt(id, 0, first.Worker, o)
 			again, second := countActions(acts, Send)
 			failed, _ := countActions(acts, Fail)
 			refused, _ := countActions(acts, Refuse)
 			if class == unsafe && !o.NotRun() {
 				if again+refused > 0 || failed != 1 {
-					t.Errorf("unsafe after %v: %+v", o, acts)
+					t.Errorf("unsafe job after %v: %+v", o, acts)
 				}
 				continue
 			}
@@ -67,27 +67,27 @@
 			if class == celled && !o.NotRun() {
 				v, w := r.b.workers[first.Worker], r.b.workers[second.Worker]
 				if v.Cell != w.Cell {
-					t.Errorf("keyed repeat left its cell: %d to %d", v.Cell, w.Cell)
+					t.Errorf("a repeat of a keyed job left its cell: %d to %d", v.Cell, w.Cell)
 				}
 			}
 		}
 	}
 }
 
-func TestKeyedStaysInItsWindow(t *testing.T) {
+func TestKeyedRetryWithinWindow(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	id, acts := r.arrive(celled)
 	first := r.requireSend(acts)
 	r.now += 4e6 + 1
-	acts = r.done(id, 0, first.Worker, ConnectionLost)
+	acts = r.finishAttempt(id, 0, first.Worker, ConnectionLost)
 	if n, _ := countActions(acts, Fail); n != 1 {
-		t.Errorf("after its window a keyed job must fail, not be refused or sent: %+v", acts)
+		t.Errorf("a keyed job must fail after its window, not be refused or sent: %+v", acts)
 	}
 	id, acts = r.arrive(keyed)
 	first = r.requireSend(acts)
 	r.now += 4e6 + 1
-	if n, _ := countActions(r.done(id, 0, first.Worker, ConnectionLost), Refuse); n != 1 {
-		t.Errorf("a job keyed everywhere may be refused: %+v", acts)
+	if n, _ := countActions(r.finishAttempt(id, 0, first.Worker, ConnectionLost), Refuse); n != 1 {
+		t.Errorf("a keyed job whose group is all workers may be refused: %+v", acts)
 	}
 }
 
@@ -104,80 +104,80 @@
 		acts = r.handle(Event{Kind: TimerDue, Token: timer.Token})
 	}
 	if n, a := countActions(acts, Refuse); n != 1 || a.Request != id || r.now > due+20e3 {
-		t.Errorf("at %d of %d: %+v", r.now, due, acts)
+		t.Errorf("at %d with the deadline at %d: %+v", r.now, due, acts)
 	}
 }
 
-// A job that two workers cannot use is at fault itself; where the second serves it, the first is.
+// A job that two workers cannot use is itself at fault. If the second worker serves it, the first one is.
 func TestUnusableJob(t *testing.T) {
 	for _, second := range []Outcome{Unusable, Completed} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(safe)
 		first := r.requireSend(acts).Worker
-		other := r.requireSend(r.done(id, 0, first, Unusable)).Worker
-		fails, _ := countActions(r.done(id, 1, other, second), Fail)
-		blamed := r.b.workers[first].consecutiveErrors
-		if want := map[Outcome]int{Unusable: 1}[second]; fails != want || blamed != 1-want ||
+		other := r.requireSend(r.finishAttempt(id, 0, first, Unusable)).Worker
+		fails, _ := countActions(r.finishAttempt(id, 1, other, second), Fail)
+		errors := r.b.workers[first].consecutiveErrors
+		if want := map[Outcome]int{Unusable: 1}[second]; fails != want || errors != 1-want ||
 			r.b.workers[other].consecutiveErrors > 0 {
-			t.Errorf("second says %v: %d failures, first blamed %d times", second, fails, blamed)
+			t.Errorf("second outcome %v: %d failures, %d errors counted against the first", second, fails, errors)
 		}
 		if len(r.b.requests) > 0 {
-			t.Errorf("second says %v: request kept", second)
+			t.Errorf("second outcome %v: the request was kept", second)
 		}
 	}
 }
 
-// A copy is for a job that has not begun when half of its slack is over, at a worker that has been silent since: what
-// is called off may run all the same, and a worker that gives signs of life has others first.
-func TestSecondCopyWhereAJobDoesNotBegin(t *testing.T) {
+// A hedged request is for a job that has not started when half of its slack is over, at a worker that has been silent
+// since the send. A cancelled attempt may run all the same, and a worker with signs of life runs other jobs first.
+func TestHedgedRequestWhenJobDoesNotStart(t *testing.T) {
 	for class, want := range map[int]int{safe: 1, keyed: 1, unsafe: 0} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(class)
 		first := r.requireSend(acts)
-		timer := Action{Token: id<<2 | tokenRecheck}
+		recheck := Action{Token: id<<2 | tokenRecheck}
 		r.now = r.b.requests[id].attempts[0].suspectAt
-		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
-			t.Error("a copy while the first waits as foretold")
+		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: recheck.Token}), Send); n != 0 {
+			t.Error("a hedged request while the first attempt waits no longer than expected")
 		}
 		r.now++
 		if w := r.b.workers[first.Worker]; class == safe {
 			silent := w.silentSince
 			w.silentSince = 0
-			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
-				t.Error("a copy though the worker lives")
+			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: recheck.Token}), Send); n != 0 {
+				t.Error("a hedged request although the worker is alive")
 			}
 			w.silentSince = silent
 		}
 		if want == 0 {
-			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: timer.Token}), Send); n != 0 {
-				t.Error("an unsafe job got a second copy")
+			if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: recheck.Token}), Send); n != 0 {
+				t.Error("an unsafe job got a hedged request")
 			}
 			continue
 		}
-		second := r.requireSend(r.handle(Event{Kind: TimerDue, Token: timer.Token}))
+		second := r.requireSend(r.handle(Event{Kind: TimerDue, Token: recheck.Token}))
 		if second.Worker == first.Worker {
-			t.Error("the copy went to the same worker")
+			t.Error("the hedged request went to the same worker")
 		}
 		acts = r.handle(Event{Kind: JobStarted, Request: id, Attempt: 1, Worker: second.Worker})
 		if n, a := countActions(acts, CancelAttempt); n != 1 || a.Attempt != 0 {
-			t.Errorf("the copy that waits is called off: %+v", acts)
+			t.Errorf("the attempt that waits must be cancelled: %+v", acts)
 		}
 	}
 }
 
-// Where all workers are late, as when most are cold, each job looks as if its worker were silent: one dispatcher of
-// many has sent there nothing else. Copies then only make all later. So has a worker from which jobs leave, by the
-// list, given a sign.
-func TestCopiesAreFewWhereAllAreLate(t *testing.T) {
+// Where all workers are late, as when most are cold, each job looks as if its worker were silent, because one
+// dispatcher of many has sent nothing else there. Hedged requests then only add to the delay. A worker whose live
+// weight shows that jobs have ended has given a sign of life.
+func TestHedgedRequestsLimitedWhenAllLate(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		s, ws := settings(), fleet(6)
 		s.LiveWeights = true
 		setWeights(ws, 5)
 		r := newRig(t, s, ws...)
-		setWeights(ws, 5/(1+1./5)) // what a core is
+		setWeights(ws, 5/(1+1./5)) // one job less shows the number of cores
 		r.handle(Event{Kind: ListPatch, List: ws})
-		messages, copies := 40, 0
-		for range messages {
+		requests, hedges := 40, 0
+		for range requests {
 			setWeights(ws, 5/(1+7./5))
 			r.handle(Event{Kind: ListPatch, List: ws})
 			id, acts := r.arrive(safe)
@@ -189,22 +189,23 @@
 			r.now = r.b.requests[id].attempts[0].suspectAt + 1
 			for ; len(r.b.requests[id].attempts) < s.Allowed.Attempts; r.now += 100e3 {
 				n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Send)
-				if copies += n; n == 0 {
+				if hedges += n; n == 0 {
 					break
 				}
 			}
 			r.handle(Event{Kind: ClientGone, Request: id})
 		}
-		if most := messages/(sendsPerHedge-1) + 1; copies > most || leaving && copies > 0 ||
-			!leaving && copies < most/2 {
-			t.Errorf("jobs leaving %v: %d copies of %d messages, at most %d", leaving, copies, messages, most)
+		if maxHedges := requests/(sendsPerHedge-1) + 1; hedges > maxHedges || leaving && hedges > 0 ||
+			!leaving && hedges < maxHedges/2 {
+			t.Errorf("jobs leaving %v: %d hedged requests for %d requests, at most %d", leaving, hedges, requests,
+				maxHedges)
 		}
 	}
 }
 
-// Where nobody else is left, a worker to which the connection broke is tried once more if a repeat is harmless: it may
-// be reached another way. One that refused connections, or turned the job away, is not.
-func TestBrokenConnectionToTheOnlyWorker(t *testing.T) {
+// If no other worker is left, one to which the connection was lost is tried once more if a repeat is harmless: it may
+// be reachable at another address. One that refused the connection or the job is not.
+func TestLostConnectionToOnlyWorker(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		o     Outcome
@@ -214,26 +215,27 @@
 		r := newRig(t, settings(), fleet(1)...)
 		id, acts := r.arrive(c.class)
 		w := r.requireSend(acts).Worker
-		if n, _ := countActions(r.done(id, 0, w, c.o), Send); n != c.again {
+		if n, _ := countActions(r.finishAttempt(id, 0, w, c.o), Send); n != c.again {
 			t.Errorf("class %d, outcome %d: %d further sends, want %d", c.class, c.o, n, c.again)
 		}
 	}
 }
 
-func TestUnknownIsIgnored(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	r := newRig(t, settings(), fleet(3)...)
 	id, acts := r.arrive(unsafe)
 	w := r.requireSend(acts).Worker
-	r.done(id, 0, w, Completed)
+	r.finishAttempt(id, 0, w, Completed)
 	for _, acts := range [][]Action{
-		r.done(id, 0, w, Completed), r.done(id, 7, w, Errored), r.done(999, 0, "nobody", ConnectionLost),
+		r.finishAttempt(id, 0, w, Completed), r.finishAttempt(id, 7, w, Errored),
+		r.finishAttempt(999, 0, "nobody", ConnectionLost),
 		r.handle(Event{Kind: JobStarted, Request: 999}), r.handle(Event{Kind: ClientGone, Request: id}),
 		r.handle(Event{Kind: ProbeDone, Worker: "nobody"}),
 		r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}),
 		r.handle(Event{Kind: Arrival, Request: 5, Class: 99}), r.handle(Event{Kind: PeerMessage}),
 	} {
 		if len(acts) != 0 {
-			t.Errorf("acted on nothing: %+v", acts)
+			t.Errorf("actions after an unknown event: %+v", acts)
 		}
 	}
 }
@@ -260,7 +262,7 @@
 	}
 }
 
-func TestFreshLookBeforeAFinalChoice(t *testing.T) {
+func TestProbesBeforeUnsafeChoice(t *testing.T) {
 	s := settings()
 	s.LoadReports, s.Allowed.Probe = ReportsInProbes, true
 	r := newRig(t, s, fleet(6)...)
@@ -269,7 +271,7 @@
 	sends, _ := countActions(acts, Send)
 	_, timer := countActions(acts, SetTimer)
 	if probes == 0 || sends != 0 || timer.After > s.Tick {
-		t.Fatalf("want probes and a short wait: %+v", acts)
+		t.Fatalf("want probes and a timer of at most a tick: %+v", acts)
 	}
 	for i, w := range r.b.buddies {
 		queue := 5.0
@@ -283,9 +285,10 @@
 		t.Errorf("sent to %s, not to the free buddy", got)
 	}
 	if _, acts := r.arrive(unsafe); len(acts) == 0 || acts[0].Kind == ProbeWorker {
-		t.Errorf("fresh evidence needs no probes: %+v", acts)
+		t.Errorf("probes although the load reports are fresh: %+v", acts)
 	}
-	s.LiveWeights = true // whom the list does not name has not changed; once it fails there is nothing but probes
+	// A worker that a list with live weights does not name has not changed. Once the list fails, only probes are left.
+	s.LiveWeights = true
 	r = newRig(t, s, fleet(6)...)
 	for _, want := range []int{0, 6} {
 		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), ProbeWorker); n != want {
@@ -297,11 +300,11 @@
 	s.Allowed.Probe, s.LiveWeights = false, false
 	if n, _ := countActions(newRig(t, s, fleet(6)...).handle(Event{Kind: TimerDue, Token: tokenPeriodic}),
 		ProbeWorker); n != 0 {
-		t.Error("probed where that is not allowed")
+		t.Error("probed although that is not allowed")
 	}
 }
 
-func TestPriceOfLateLossesRefusesEarly(t *testing.T) {
+func TestLoadSheddingByLateLoss(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for range 3 {
 		for _, w := range r.b.buddies {
@@ -309,16 +312,16 @@
 		}
 	}
 	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == "" {
-		t.Error("not sent while nothing was lost")
+		t.Error("not sent although nothing was lost")
 	}
 	r.b.lateLoss = 0.9
 	_, acts := r.arrive(unsafe)
 	if n, _ := countActions(acts, Refuse); n != 1 || r.b.lateLoss >= 0.9 {
-		t.Errorf("queues of twelve everywhere and most jobs late: %+v", acts)
+		t.Errorf("not refused with queues of twelve everywhere and most jobs late: %+v", acts)
 	}
 }
 
-func TestWithdrawalWhenTheAimIsLost(t *testing.T) {
+func TestWithdrawalAfterMissedAim(t *testing.T) {
 	for _, loss := range []float64{0, 0.9} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, _ := r.arrive(unsafe)
@@ -326,30 +329,30 @@
 		r.now += 2e6
 		acts := r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck})
 		failed, _ := countActions(acts, Fail)
-		recalled, _ := countActions(acts, CancelAttempt)
-		if want := int(loss + 0.5); failed != want || recalled != want {
-			t.Errorf("at a price of %v: %+v", loss, acts)
+		cancelled, _ := countActions(acts, CancelAttempt)
+		if want := int(loss + 0.5); failed != want || cancelled != want {
+			t.Errorf("at a late loss of %v: %+v", loss, acts)
 		}
 	}
 }
 
-// The aim rests on a rough hint: a job gets the time of its hint beyond it.
-func TestWithdrawalDoubtsTheHint(t *testing.T) {
-	for _, late := range []int64{100e3, 300e3} { // beyond the last moment at which it can be in time
+// The aim depends on a rough hint, so a job is withdrawn only when the hinted work has passed beyond it.
+func TestWithdrawalAllowsForRoughHint(t *testing.T) {
+	for _, late := range []int64{100e3, 300e3} { // after the last moment at which it could be in time
 		r := newRig(t, settings(), fleet(6)...)
 		id, _ := r.arrive(unsafe)
 		r.b.lateLoss, r.b.jobTime = 0.9, 200e3
 		r.now += 500e3 + 2*200e3 - 200e3 + late
 		failed, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Fail)
 		if want := late > 200e3; want != (failed > 0) {
-			t.Errorf("%d after the aim is lost: %d failed", late, failed)
+			t.Errorf("%d us after the aim is missed: %d failed", late, failed)
 		}
 	}
 }
 
-// What is beyond its tenant's share is refused unless it begins at once, and only that; where it is worth most of
-// what others are it is not.
-func TestBeyondTheShareIsRefusedFirst(t *testing.T) {
+// A request beyond its tenant's share is refused unless it starts at once, and no other request is. It is not refused
+// where it keeps most of its worth.
+func TestRequestsOverQuotaRefusedFirst(t *testing.T) {
 	for _, c := range []struct {
 		tenant      int
 		worth, free float64
@@ -374,8 +377,8 @@
 	}
 }
 
-// Where every buddy would be late, jobs must not all go to the first of the list.
-func TestNoPileWhereAllAreLate(t *testing.T) {
+// If every buddy would be late, the jobs must not all go to the first one.
+func TestJobsSpreadWhenAllLate(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for _, w := range r.b.buddies {
 		r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{12, 14, 0, 1}})
@@ -390,7 +393,7 @@
 	}
 }
 
-// Of a started stream the attempt is the client's: nothing more is done about it.
+// Once the stream of an answer has started, the attempt belongs to the client and gets no hedge or withdrawal.
 func TestStartedStreamIsLeftAlone(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	id, acts := r.arrive(safe)
@@ -403,14 +406,15 @@
 	}
 }
 
-// What no worker can take any more was held until its deadline. The client is told at once: it may do better.
-func TestAllTriedIsAnsweredAtOnce(t *testing.T) {
+// A request that no worker can take any more was held until its deadline. It must be refused at once, so that the
+// client can retry elsewhere.
+func TestRefusedAtOnceWhenAllTried(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	id, acts := r.arrive(unsafe)
-	acts = r.done(id, 0, r.requireSend(acts).Worker, Saturated)
-	acts = r.done(id, 1, r.requireSend(acts).Worker, Saturated)
+	acts = r.finishAttempt(id, 0, r.requireSend(acts).Worker, Saturated)
+	acts = r.finishAttempt(id, 1, r.requireSend(acts).Worker, Saturated)
 	if n, _ := countActions(acts, Refuse); n != 1 {
-		t.Errorf("both workers turned it away: %+v", acts)
+		t.Errorf("not refused although both workers are saturated: %+v", acts)
 	}
 }
 
@@ -425,12 +429,12 @@
 	}
 	aim := 100e6 + r.b.settings.Classes[unsafe].Aim + int64(r.b.settings.Classes[unsafe].Stretch*200e3)
 	if n, _ := countActions(acts, Refuse); n != 1 || r.now > aim || r.now < aim-400e3 {
-		t.Errorf("at %d, aim %d: %+v", r.now, aim, acts)
+		t.Errorf("at %d with the aim at %d: %+v", r.now, aim, acts)
 	}
 }
 
-// A refusal says how long the shortest queue needs to fall by half; without the site's leave it says nothing.
-func TestAdviceFollowsTheLeastBacklog(t *testing.T) {
+// A refusal advises a backoff of half the minimum backlog of the buddies, or none if the site does not allow it.
+func TestRetryAfterFollowsMinBacklog(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		s := settings()
 		s.Allowed.RetryAfter, s.Allowed.MaxRetryAfter = allowed, 60e6
@@ -441,15 +445,15 @@
 		r.b.lateLoss = 0.9
 		_, acts := r.arrive(unsafe)
 		n, a := countActions(acts, Refuse)
-		least := int64(r.b.backlog(r.b.buddies[0]) / 2)
-		if n != 1 || !allowed && a.After != 0 || allowed && (a.After != least || least < 1e6) {
-			t.Errorf("allowed %t, half the least backlog %d: %+v", allowed, least, acts)
+		want := int64(r.b.backlog(r.b.buddies[0]) / 2)
+		if n != 1 || !allowed && a.After != 0 || allowed && (a.After != want || want < 1e6) {
+			t.Errorf("allowed %t, half the minimum backlog %d: %+v", allowed, want, acts)
 		}
 	}
 }
 
-// On sockets, where a timer can ring at once, a job whose aim was lost spent four attempts in 100 microseconds.
-func TestNoTimerUnderATick(t *testing.T) {
+// With real timers, which can fire at once, a job whose aim was missed used up four attempts in 100 microseconds.
+func TestNoTimerBelowTick(t *testing.T) {
 	s := settings()
 	r := newRig(t, s, fleet(6)...)
 	r.arrive(safe)
@@ -461,27 +465,27 @@
 		if a.Kind == SetTimer {
 			n++
 			if a.After < s.Tick {
-				t.Errorf("a timer of %d, tick %d", a.After, s.Tick)
+				t.Errorf("a timer of %d us, the tick is %d us", a.After, s.Tick)
 			}
 		}
 	}
 	if n != 3 {
-		t.Errorf("%d timers, want two for the start and one for the aim", n)
+		t.Errorf("%d timers, want two for the start of the job and one for the aim", n)
 	}
 }
 
-// A worker that broke the connection of an attempt is the last that the next one may go to. While that one is out no
-// copy follows it there: two attempts at one worker at a time have an effect twice, whatever else is allowed.
-func TestNoCopyWhereAnAttemptIsOut(t *testing.T) {
+// A worker to which the connection of an attempt was lost is the last resort for the next one. While that one is
+// outstanding no hedged request goes there: two attempts at one worker at a time could both take effect.
+func TestNoHedgeAtWorkerWithOutstandingAttempt(t *testing.T) {
 	r := newRig(t, settings(), fleet(1)...)
 	id, acts := r.arrive(safe)
 	first := r.requireSend(acts)
 	r.now += 1e3
-	again := r.requireSend(r.done(id, 0, first.Worker, ConnectionLost))
-	for range 200 { // far beyond the time at which its worker is doubted
+	again := r.requireSend(r.finishAttempt(id, 0, first.Worker, ConnectionLost))
+	for range 200 { // far beyond the time at which its worker is suspect
 		r.now += 40e3
 		if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: id<<2 | tokenRecheck}), Send); n != 0 {
-			t.Fatalf("a copy went to %s, where an attempt is out", again.Worker)
+			t.Fatalf("a hedged request went to %s, where an attempt is outstanding", again.Worker)
 		}
 	}
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkMessage is the processor time that a message with its outcomes takes for its decisions: arrival, send,
-// start, progress and end, and the list's weights of all workers twenty times a second of each dispatcher's messages.
-// The second deployment has 15 ms a second for some 26 messages, the first 800 ms for some 10.
+// BenchmarkMessage measures the processor time of all decisions for one request: arrival, send, start, progress and
+// end, and a list with the live weights of all workers after every tenth request. The second deployment has 15 ms a
+// second for some 26 requests, the first 800 ms for some 10.
 func BenchmarkMessage(b *testing.B) {
 	for _, c := range []struct{ dispatchers, workers, open int }{{3, 10, 5}, {2, 15, 30}, {4, 22, 60}, {300, 200, 3}} {
 		b.Run(fmt.Sprintf("dispatchers=%d/workers=%d/open=%d", c.dispatchers, c.workers, c.open), func(b *testing.B) {
@@ -52,7 +52,7 @@
 				}
 			}
 			if len(open) < c.open {
-				b.Fatalf("%d of %d messages are open: too few were sent", len(open), c.open)
+				b.Fatalf("%d of %d requests are open: too few were sent", len(open), c.open)
 			}
 		})
 	}
--- a/coldworker_test.go
+++ b/coldworker_test.go
@@ -1,6 +1,6 @@
 package topazfall
 
-// Cold workers, one balancer or a few by hand. Whole fleets in virtual time are in coldramp_test.go.
+// Tests of cold workers with one or a few balancers driven by hand. Simulated fleets are in coldramp_test.go.
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 )
 
 func TestColdWorkerBudget(t *testing.T) {
-	// Every dispatcher hears of the start at once and has far more to send than the worker can take.
+	// Every dispatcher is notified of the start at once and has far more to send than the worker can take.
 	s := settings()
 	s.Dispatchers = 12
 	var all []*rig
@@ -46,14 +46,14 @@
 		total += w
 	}
 	if total == 0 {
-		t.Error("a cold worker never got anything")
+		t.Error("the cold worker never got a job")
 	}
 }
 
-// Light dispatchers cannot fill a cold worker one at a time: so many have a turn as it takes, by what they get, and
-// workers that start together do not all hang on the same ones.
+// A single lightly loaded dispatcher cannot use a cold worker fully. As many have a turn as their quotas require, and
+// workers that start together do not all depend on the same dispatchers.
 func TestColdTurnsOfLightDispatchers(t *testing.T) {
-	holders := func(quota float64, startedMS int64) (who []int) {
+	turnUsers := func(quota float64, startedMS int64) (users []int) {
 		for me := range 36 {
 			s := settings()
 			s.Me, s.Dispatchers, s.Tenants = me, 36, []Tenant{{Quota: quota}}
@@ -61,24 +61,24 @@
 			w := r.b.workers["w0"]
 			w.StartedAt = startedMS * 1000
 			if r.b.coldBudget(w) > 0 {
-				who = append(who, me)
+				users = append(users, me)
 			}
 		}
-		return who
+		return users
 	}
-	busy, light := holders(1e6, 99_999), holders(0.5, 99_999)
+	busy, light := turnUsers(1e6, 99_999), turnUsers(0.5, 99_999)
 	if len(busy) != 1 || len(light) < 3 || len(light) > 20 || !slices.Contains(light, busy[0]) {
-		t.Errorf("the turn of busy ones is that of %v, of light ones %v", busy, light)
+		t.Errorf("users of the turn with high quotas %v, with low quotas %v", busy, light)
 	}
-	if other := holders(1e6, 99_998); len(other) != 1 || other[0] == busy[0] {
-		t.Errorf("of two that start together the turns are those of %v and %v", busy, other)
+	if other := turnUsers(1e6, 99_998); len(other) != 1 || other[0] == busy[0] {
+		t.Errorf("users of two workers that start together: %v and %v", busy, other)
 	}
 }
 
-// A weight has no unit: it compares workers and tells nothing of what one bears. A worker's share is the same whatever
-// unit its list uses. What its weight loses by a job tells its cores, and with them the share grows.
-func TestColdShareHasNoUnitOfWeight(t *testing.T) {
-	share := func(weights ...float64) float64 {
+// A weight has no unit: it compares workers and says nothing of their capacity. The cold budget must be the same
+// whatever unit the list uses. The drop of a weight by one job shows the number of cores, with which the budget grows.
+func TestColdBudgetIndependentOfWeightUnit(t *testing.T) {
+	budget := func(weights ...float64) float64 {
 		s := settings()
 		s.Dispatchers, s.LiveWeights = 1, true
 		r := newRig(t, s, fleet(6)...)
@@ -89,24 +89,24 @@
 		}
 		return r.b.coldBudget(r.b.workers["w0"])
 	}
-	one := share(1)
+	one := budget(1)
 	if one <= 0 {
 		t.Fatal("nothing may be sent")
 	}
 	for _, unit := range []float64{0.01, 0.2, 1, 2, 99} {
-		if got := share(unit); got != one {
+		if got := budget(unit); got != one {
 			t.Errorf("%v with a weight of %v, %v with one of 1", got, unit, one)
 		}
-		if got := share(unit, unit/(1+1./3)); math.Abs(got-3*one) > 1 {
+		if got := budget(unit, unit/(1+1./3)); math.Abs(got-3*one) > 1 {
 			t.Errorf("%v where a job takes a third off a weight of %v, want three times %v", got, unit, one)
 		}
 	}
 }
 
-// Where all dispatchers have all workers as buddies, every turn at a cold worker is just one dispatcher's.
-func TestEveryColdTurnIsSomebodys(t *testing.T) {
+// If all dispatchers have all workers as buddies, every turn at a cold worker has exactly one user.
+func TestEveryColdTurnHasOneUser(t *testing.T) {
 	for dispatchers := 1; dispatchers < 5; dispatchers++ {
-		may := map[int64]int{}
+		users := map[int64]int{}
 		for me := range dispatchers {
 			s := settings()
 			s.Me, s.Dispatchers = me, dispatchers
@@ -119,20 +119,20 @@
 				r.b.now = r.now
 				for i, w := range r.b.ranked {
 					if r.b.coldBudget(w) > 0 {
-						may[turn*6+int64(i)]++
+						users[turn*6+int64(i)]++
 					}
 				}
 			}
 		}
 		for i := range int64(12 * 6) {
-			if may[i] != 1 {
-				t.Errorf("%d dispatchers: turn %d at worker %d is that of %d", dispatchers, i/6, i%6, may[i])
+			if users[i] != 1 {
+				t.Errorf("%d dispatchers: turn %d at worker %d has %d users", dispatchers, i/6, i%6, users[i])
 			}
 		}
 	}
 }
 
-// The cold budget must hold at full size while dispatchers hear of the start at different times.
+// The cold budget must hold at full size while dispatchers are notified of the start at different times.
 func TestColdBudgetAtFullSizeWithLateLists(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 200
@@ -176,18 +176,18 @@
 	}
 }
 
-// Who has a turn at a cold worker hangs on no list: dispatchers that see different parts of a fleet that comes back,
-// and have other buddies for it, find the same few users of each worker, however large a part each of them sees.
-func TestColdTurnsDoNotHangOnLists(t *testing.T) {
+// The users of a turn at a cold worker do not depend on the list. Dispatchers that see different parts of a restarting
+// fleet, and so have different buddies, find the same few users of each worker, whatever part they see.
+func TestColdTurnsIndependentOfLists(t *testing.T) {
 	const dispatchers, workers = 40, 20
 	s := settings()
 	s.Dispatchers = dispatchers
-	born := int64(100e6)
+	start := int64(100e6)
 	cold := fleet(workers)
 	for i := range cold {
-		cold[i].StartedAt = born
+		cold[i].StartedAt = start
 	}
-	users := func(worker int, listed func(me, worker int) bool) (who []int) {
+	users := func(worker int, listed func(me, worker int) bool) (turnUsers []int) {
 		for me := range dispatchers {
 			s.Me = me
 			var list []Worker
@@ -197,16 +197,16 @@
 				}
 			}
 			r := newRig(t, s, list...)
-			r.b.now = born
+			r.b.now = start
 			r.b.rebuildBuddies()
 			if w := r.b.workers[cold[worker].ID]; r.b.coldBudget(w) > 0 {
 				if id, acts := r.arrive(safe); len(list) == 1 && r.requireSend(acts).Worker != w.ID {
-					t.Errorf("dispatcher %d has a turn at %s and does not use it for %d", me, w.ID, id)
+					t.Errorf("dispatcher %d has a turn at %s and does not use it for request %d", me, w.ID, id)
 				}
-				who = append(who, me)
+				turnUsers = append(turnUsers, me)
 			}
 		}
-		return who
+		return turnUsers
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for worker := range workers {
@@ -220,7 +220,8 @@
 	}
 }
 
-// Who has no turn at a cold worker sends nothing there, be it a buddy or not, and each buddy's turn comes in time.
+// A dispatcher without a turn at a cold worker sends nothing there, whether or not it is a buddy. Its turn comes in
+// time.
 func TestColdWorkerGetsNothingWithoutTurn(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 40
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -1,6 +1,6 @@
 package topazfall
 
-// What is observed of workers, and what is learned from it.
+// Tests of what is observed of workers and learned from it.
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-func TestHungWorkerIsLeftAlone(t *testing.T) {
+func TestHungWorkerIsAvoided(t *testing.T) {
 	s := settings()
 	r := newRig(t, s, fleet(6)...)
 	_, acts := r.arrive(unsafe)
-	hung := r.requireSend(acts).Worker // takes the job and says nothing
+	hung := r.requireSend(acts).Worker // takes the job and never reports
 	got := 0
 	for range 50 {
 		r.now += 200e3
@@ -25,19 +25,19 @@
 		r.now += 5e3
 		r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
 		r.now += 100e3
-		r.done(id, 0, w, Completed)
+		r.finishAttempt(id, 0, w, Completed)
 	}
 	if got > 3 {
-		t.Errorf("a worker that answers nothing got %d more jobs", got)
+		t.Errorf("a worker that never answers got %d more jobs", got)
 	}
 }
 
-// A worker that begins every job and fails it at once always looks free. It gets a few that may be repeated, in
-// ever longer intervals, and hardly any other; when it serves again it gets its part.
-func TestFailingWorkerIsLeftAlone(t *testing.T) {
+// A worker that starts every job and fails it at once always looks free. It must get a few jobs that may be repeated,
+// at ever longer intervals, and hardly any other. When it has recovered it must get its share again.
+func TestFailingWorkerIsEjected(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
-	bad, got, serves := "", map[int]int{}, false
-	play := func(rounds int) {
+	failing, got, recovered := "", map[int]int{}, false
+	runRounds := func(rounds int) {
 		for i := range rounds {
 			r.now += 100e3
 			if i%20 == 0 {
@@ -47,40 +47,40 @@
 			id, acts := r.arrive(class)
 			for n := 0; ; n++ {
 				w := r.requireSend(acts).Worker
-				if bad == "" {
-					bad = w
+				if failing == "" {
+					failing = w
 				}
 				r.now += 2e3
 				r.handle(Event{Kind: JobStarted, Request: id, Attempt: n, Worker: w})
-				if w == bad {
+				if w == failing {
 					got[class]++
 				}
-				if w != bad || serves {
+				if w != failing || recovered {
 					r.now += 200e3
-					r.done(id, n, w, Completed)
+					r.finishAttempt(id, n, w, Completed)
 					break
 				}
 				r.now += 2e3
-				if acts = r.done(id, n, w, Errored); class == unsafe {
+				if acts = r.finishAttempt(id, n, w, Errored); class == unsafe {
 					break
 				}
 			}
 		}
 	}
-	play(300)
+	runRounds(300)
 	if got[unsafe] > 1 || got[safe] < 2 || got[safe] > 12 {
-		t.Errorf("a worker that fails all got %d unsafe jobs and %d others", got[unsafe], got[safe])
+		t.Errorf("a worker that fails every job got %d unsafe jobs and %d others", got[unsafe], got[safe])
 	}
-	serves, got = true, map[int]int{}
-	play(600)
+	recovered, got = true, map[int]int{}
+	runRounds(600)
 	if got[unsafe] < 3 {
-		t.Errorf("a worker that serves again got %v jobs", got)
+		t.Errorf("a worker that has recovered got %v jobs", got)
 	}
 }
 
-// A worker that began jobs and then stands still tells no progress. It gets nothing more till it does.
-func TestQuietWorkerIsLeftAlone(t *testing.T) {
-	for _, tells := range []bool{false, true} {
+// A worker that has started jobs and then stalls reports no progress. It must get no more jobs until it does.
+func TestStalledWorkerIsAvoided(t *testing.T) {
+	for _, reports := range []bool{false, true} {
 		s := settings()
 		s.Progress = 2e6
 		r := newRig(t, s, fleet(6)...)
@@ -90,7 +90,7 @@
 		got := 0
 		for range 50 {
 			r.now += 100e3
-			if tells && r.now%1e6 == 0 {
+			if reports && r.now%1e6 == 0 {
 				r.handle(Event{Kind: JobProgress, Request: long, Attempt: 0, Worker: w, Amount: 0.1})
 			}
 			if r.now < 100e6+4.2e6 {
@@ -108,15 +108,15 @@
 				got++
 			}
 			r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: to})
-			r.done(id, 0, to, Completed)
+			r.finishAttempt(id, 0, to, Completed)
 		}
-		if (got > 0) != tells {
-			t.Errorf("tells of progress: %t, got %d jobs", tells, got)
+		if (got > 0) != reports {
+			t.Errorf("reports progress: %t, got %d jobs", reports, got)
 		}
 	}
 }
 
-// Of two free workers the one that has shown to be much slower gets no long job; the risk alone would tie.
+// Of two free workers, one that is known to be much slower must get no long job, although the risk alone would tie.
 func TestSlowWorkerGetsNoLongJob(t *testing.T) {
 	s := settings()
 	s.Classes[unsafe].Aim = 1.5e6
@@ -132,25 +132,25 @@
 		}
 		r.handle(Event{Kind: JobStarted, Request: id, Attempt: 0, Worker: w})
 		r.now += 200e3
-		r.done(id, 0, w, Completed)
+		r.finishAttempt(id, 0, w, Completed)
 	}
 }
 
-// Jobs that die with their workers do not raise the price at which others are refused as too late.
-func TestBrokenWorkersSetNoPrice(t *testing.T) {
+// Jobs that are lost with their workers must not raise the loss by which other jobs are refused as too late.
+func TestBrokenWorkersDoNotRaiseLateLoss(t *testing.T) {
 	for o, want := range map[Outcome]bool{ConnectionLost: false, ConnectionRefused: false, TimedOut: true} {
 		r := newRig(t, settings(), fleet(6)...)
 		id, acts := r.arrive(unsafe)
-		r.done(id, 0, r.requireSend(acts).Worker, o)
+		r.finishAttempt(id, 0, r.requireSend(acts).Worker, o)
 		if (r.b.lateLoss > 0) != want {
-			t.Errorf("after %v the price is %v", o, r.b.lateLoss)
+			t.Errorf("after %v the late loss is %v", o, r.b.lateLoss)
 		}
 	}
 }
 
-// Beyond the last threshold there is none to cross: a report of three jobs that wait must not hide a later one of
-// thirty.
-func TestCrowdedWorkersAreToldApart(t *testing.T) {
+// Beyond the last threshold no other can be crossed, so every report counts there: one of three waiting jobs must not
+// hide a later one of thirty.
+func TestLongQueuesAreDistinguished(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	for _, queues := range [][2]float64{{3, 30}, {30, 3}, {6, 4}} {
 		r.now += 1e6
@@ -165,54 +165,54 @@
 	}
 }
 
-func TestReportsMoveTheChoice(t *testing.T) {
+func TestLoadReportsChangeChoice(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	_, acts := r.arrive(unsafe)
-	home := r.requireSend(acts).Worker
+	first := r.requireSend(acts).Worker
 	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == "" {
 		t.Fatal("no worker")
 	}
 	r.now += 1e6
-	r.handle(Event{Kind: ProbeDone, Worker: home, Outcome: Completed,
+	r.handle(Event{Kind: ProbeDone, Worker: first, Outcome: Completed,
 		Load: Load{Queue: 9, Inflight: 11, Free: 0, Util: 1}})
-	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == home {
-		t.Error("a reported queue of nine did not keep a job away")
+	if _, acts := r.arrive(unsafe); r.requireSend(acts).Worker == first {
+		t.Error("a job went to a worker with a reported queue of nine")
 	}
 }
 
-func TestLearningChangesAChoice(t *testing.T) {
-	// The home worker reports free slots, yet every job sent there begins late. Its table learns that.
-	choice := func(blends bool) string {
+func TestLearnedTableChangesChoice(t *testing.T) {
+	// The first buddy reports free slots, but every job sent there starts late. Its table must learn that.
+	choice := func(updates bool) string {
 		r := newRig(t, settings(), fleet(6)...)
-		home := r.b.buddies[0]
-		before := home.probability
+		first := r.b.buddies[0]
+		before := first.probability
 		for range 10 {
 			for x := range regionCount {
-				home.addSample(x, columnCount-1)
+				first.addSample(x, columnCount-1)
 				for _, w := range r.b.buddies[1:] {
 					w.addSample(x, 0)
 				}
 			}
 		}
-		if blends {
+		if updates {
 			r.now += r.b.probeInterval() * 5
 			r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
-			if home.probability == before {
-				t.Error("the table is as uniform as at the start")
+			if first.probability == before {
+				t.Error("the table is still uniform")
 			}
 		}
 		_, acts := r.arrive(unsafe)
-		if got := r.requireSend(acts).Worker; got != home.ID {
+		if got := r.requireSend(acts).Worker; got != first.ID {
 			return "other"
 		}
 		return "home"
 	}
 	if a, b := choice(false), choice(true); a != "home" || b != "other" {
-		t.Errorf("before the blend %s, after it %s", a, b)
+		t.Errorf("before the update %s, after it %s", a, b)
 	}
 }
 
-func TestOddReports(t *testing.T) {
+func TestInvalidLoadReports(t *testing.T) {
 	nan := 0.0
 	nan /= nan
 	for _, v := range []float64{nan, -7, 1e300, 0} {
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestOldEvidenceAges(t *testing.T) {
+func TestLoadReportsAge(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	w := r.b.buddies[0]
 	r.handle(Event{Kind: ProbeDone, Worker: w.ID, Outcome: Completed, Load: Load{9, 11, 0, 1}})
@@ -237,8 +237,8 @@
 	}
 }
 
-// A table row with odd samples must not make a worker with a long backlog look freer than a free one:
-// traced on a simulated day, jobs went to workers with nine own jobs out while others had none.
+// A table row with few, unusual samples must not make a worker with a long backlog look less loaded than a free one.
+// On a simulated day jobs went to workers with nine outstanding jobs of the dispatcher while others had none.
 func TestTailsRiseWithTheRegion(t *testing.T) {
 	r := newRig(t, settings(), fleet(3)...)
 	w := r.b.buddies[0]
@@ -257,15 +257,15 @@
 	}
 }
 
-// At two jobs a second a dispatcher's tables must have learned something within its first minute.
-func TestTablesLearnAtALightDispatcher(t *testing.T) {
+// The tables of a dispatcher with two jobs a second must have changed within its first minute.
+func TestTablesLearnAtLightLoad(t *testing.T) {
 	r := newRig(t, settings(), fleet(20)...)
 	uniform := r.b.buddies[0].probability
-	pulse := r.now
+	nextProbe := r.now
 	for i := range 120 {
 		r.now += 500e3
-		if r.now >= pulse {
-			pulse = r.now + r.b.probeInterval()
+		if r.now >= nextProbe {
+			nextProbe = r.now + r.b.probeInterval()
 			r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 		}
 		id, acts := r.arrive(unsafe)
@@ -287,40 +287,41 @@
 	}
 }
 
-// A rough hint must not make a job look late: on a quiet day a fifth of all jobs did, and others were refused for it.
+// A rough hint must not make a job count as late. On a quiet day a fifth of all jobs did, and others were refused for
+// that.
 func TestRoughHintsDoNotLookLate(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for _, wait := range []int64{0, 3e6} {
 		r.b.lateLoss = 0
-		id, acts := r.arrive(unsafe) // hinted 0.2 s: wanted within 0.9 s
+		id, acts := r.arrive(unsafe) // a hint of 0.2 s gives an aim of 0.9 s
 		w := r.requireSend(acts).Worker
 		r.now += wait
 		r.handle(Event{Kind: JobStarted, Request: id, Worker: w})
-		r.now += 1e6 // five times the hint, so wanted within 2.5 s
-		r.done(id, 0, w, Completed)
+		r.now += 1e6 // five times the hint, which extends the aim to 2.5 s
+		r.finishAttempt(id, 0, w, Completed)
 		if late := r.b.lateLoss > 0; late != (wait > 0) {
-			t.Errorf("after a wait of %d: late is %v", wait, late)
+			t.Errorf("after a wait of %d us: counted as late: %v", wait, late)
 		}
 	}
 }
 
-// The pace of a worker must not swing on small jobs, whose hints are the roughest.
-func TestPaceIsWeighedByWork(t *testing.T) {
-	pace := func(hint int64) float64 {
+// The pace of a worker must not vary much with small jobs, whose hints are the roughest.
+func TestPaceIsWeightedByWork(t *testing.T) {
+	paceAfter := func(hint int64) float64 {
 		r := newRig(t, settings(), fleet(1)...)
 		r.handle(Event{Kind: Arrival, Request: 9, Class: unsafe, Tenant: -1, Due: r.now + 10e6, Hint: hint})
 		r.handle(Event{Kind: JobStarted, Request: 9, Worker: "w0"})
 		r.now += 4 * hint
-		r.done(9, 0, "w0", Completed)
+		r.finishAttempt(9, 0, "w0", Completed)
 		return r.b.workers["w0"].pace
 	}
-	if small, large := pace(20e3), pace(1e6); small > 1.1 || large < 1.3 {
+	if small, large := paceAfter(20e3), paceAfter(1e6); small > 1.1 || large < 1.3 {
 		t.Errorf("pace after a small job %v, after a large one %v", small, large)
 	}
 }
 
-// Where clients give no hints, a job is taken for one like those of its class: its aim grows with its work all the
-// same, and it is not refused as one whose aim is lost.
+// If clients give no hints, the work of a job is taken to be the mean of its class. Its aim grows with that work, and
+// it is not refused as if its aim were missed.
 func TestNoHints(t *testing.T) {
 	s := settings()
 	s.Classes = s.Classes[:2]
@@ -336,14 +337,15 @@
 			r.requireSend(acts)
 			r.handle(Event{Kind: JobStarted, Request: id, Worker: "w0"})
 			r.now += run
-			r.done(id, 0, "w0", Completed)
+			r.finishAttempt(id, 0, "w0", Completed)
 		}
 	}
 	for class, want := range []float64{300e3, 900e3} {
 		id, _ := arrive(class)
-		q := r.b.requests[id]
-		if q == nil || math.Abs(q.hint-want) > want/4 || math.Abs(float64(q.aim-r.now)-(100e3+2*want)) > want {
-			t.Errorf("class %d: %+v", class, q)
+		opened := r.b.requests[id]
+		if opened == nil || math.Abs(opened.hint-want) > want/4 ||
+			math.Abs(float64(opened.aim-r.now)-(100e3+2*want)) > want {
+			t.Errorf("class %d: %+v", class, opened)
 		}
 		r.handle(Event{Kind: ClientGone, Request: id})
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,7 @@
 	"topazfall"
 )
 
-// A dispatcher's loop feeds events in the order they happen and carries out what comes back.
+// A dispatcher's loop feeds events in the order in which they happen and carries out the returned actions.
 func Example() {
 	b, err := topazfall.New(topazfall.Settings{
 		Dispatchers: 1, Zone: "here", Zones: []string{"here"}, Tick: 1000,
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -1,6 +1,6 @@
 package topazfall
 
-// Many dispatchers side by side: what each does alone must be harmless when all do it.
+// Tests of many dispatchers side by side: what each does alone must be harmless when all do it.
 
 import (
 	"math"
@@ -11,9 +11,10 @@
 	"topazfall/internal/decide/gossip"
 )
 
-// tier is many balancers over one fleet that share nothing, as on as many machines.
+// tier is a set of balancers over one fleet that share nothing, as if on separate machines.
 type tier struct{ rigs []*rig }
 
+// newTier returns a tier whose balancers know a list of workers.
 func newTier(t *testing.T, s Settings, dispatchers int, workers []Worker) *tier {
 	t.Helper()
 	all := &tier{}
@@ -25,12 +26,14 @@
 	return all
 }
 
+// setWeights sets the weights of all workers.
 func setWeights(ws []Worker, weight float64) {
 	for i := range ws {
 		ws[i].Weight = weight
 	}
 }
 
+// maxCount returns the maximum number of jobs that one worker was sent.
 func maxCount(sent map[string]int) (n int) {
 	for _, k := range sent {
 		n = max(n, k)
@@ -38,8 +41,8 @@
 	return n
 }
 
-// The list's weights are the only word of load that a dispatcher has of workers it does not use.
-func TestLiveWeightsTellWhoIsBusy(t *testing.T) {
+// The live weights in the list are the only load reports of workers that a dispatcher does not use.
+func TestLiveWeightsShowLoad(t *testing.T) {
 	s := settings()
 	s.LiveWeights, s.Dispatchers = true, 1
 	for idle := range 6 {
@@ -53,7 +56,7 @@
 		r.handle(Event{Kind: ListSnapshot, List: ws})
 		_, acts := r.arrive(unsafe)
 		if got := r.requireSend(acts).Worker; got != ws[idle].ID {
-			t.Errorf("sent to %s, though only %s has free slots", got, ws[idle].ID)
+			t.Errorf("sent to %s although only %s has free slots", got, ws[idle].ID)
 		}
 		if k := r.b.kinds["std"]; k.slots != 3 || k.size != 3 {
 			t.Errorf("learned %v slots and size %v", k.slots, k.size)
@@ -61,33 +64,33 @@
 	}
 }
 
-func TestInflightOfLiveWeights(t *testing.T) {
+func TestInflightFromWeight(t *testing.T) {
 	k := &workerKind{slots: 1}
 	for _, c := range []struct{ weight, want float64 }{
-		{1.0, -1},  // all that is seen so far: it may be the size
-		{1.5, -1},  // the size, as it turns out; no step seen yet
+		{1.0, -1},  // the only weight so far: it may be the size
+		{1.5, -1},  // a larger one, so this is the size; no step has been seen
 		{1.0, 1},   // one job on two cores
 		{0.749, 2}, // a little noise
 		{0.501, 4}, //
 		{1.502, 0}, //
-		{3.0, -1},  // a larger machine: what was learned was of something else
+		{3.0, -1},  // a larger machine: what was learned belongs to another size
 		{2.25, 1},  // of three cores
-		{0, 1e9},   // what cannot be is bounded by what report takes
+		{0, 1e9},   // impossible values are left to sanitize
 		{math.NaN(), 1e9},
 	} {
 		got := k.inflightFromWeight(c.weight)
 		if c.want == 1e9 {
 			if sanitize(got) >= 1e6 || k.cores != 3 {
-				t.Errorf("weight %v: %v in hand, %v cores", c.weight, got, k.cores)
+				t.Errorf("weight %v: %v jobs, %v cores", c.weight, got, k.cores)
 			}
 		} else if got != c.want {
-			t.Errorf("weight %v: %v in hand, want %v", c.weight, got, c.want)
+			t.Errorf("weight %v: %v jobs, want %v", c.weight, got, c.want)
 		}
 	}
 }
 
-// All read the same list at the same moment: who it shows idle must not get what all of them have.
-func TestOneListDoesNotMakeOnePile(t *testing.T) {
+// All dispatchers read the same list at the same moment. Workers that it shows as idle must not get all of their jobs.
+func TestSameListDoesNotOverloadOneWorker(t *testing.T) {
 	const dispatchers, workers = 80, 60
 	s, ws := settings(), fleet(workers)
 	s.LiveWeights = true
@@ -97,7 +100,7 @@
 		t.Errorf("%d buddies", n)
 	}
 	for i := range ws {
-		if i%6 != 0 { // ten idle ones
+		if i%6 != 0 { // ten stay idle
 			ws[i].Weight = 3 / (1 + 6./3)
 		}
 	}
@@ -120,7 +123,7 @@
 			busy += sent[w.ID]
 		}
 	}
-	if busy > dispatchers/2 { // a window of six may hold none that is idle
+	if busy > dispatchers/2 { // a buddy set may contain no idle worker
 		t.Errorf("%d of %d went to busy workers", busy, dispatchers)
 	}
 	if n := len(sent); n < 10 {
@@ -128,37 +131,37 @@
 	}
 }
 
-// spread hands what a balancer tells on to those it is for, and returns how many words were delivered.
-func (a *tier) deliver(from int, acts []Action) (messages int) {
+// deliver passes the gossip messages among the actions to their receivers and returns the number of messages.
+func (a *tier) deliver(from int, acts []Action) (delivered int) {
 	for _, act := range acts {
 		for to, r := range a.rigs {
 			if act.Kind == SendToPeer && to != from && (act.Peer == to || act.Peer == AllPeers) {
 				r.handle(Event{Kind: PeerMessage, From: from, Data: act.Data})
-				messages++
+				delivered++
 			}
 		}
 	}
-	return messages
+	return delivered
 }
 
-// What one sends to a worker that it shares is known to the others before the list can tell of it.
-func TestLongJobsAreToldToThoseWhoShareTheWorker(t *testing.T) {
+// A long job at a shared worker is known to the other dispatchers before the list can show it.
+func TestLongJobsAreAnnouncedToSharers(t *testing.T) {
 	const dispatchers, workers = 80, 60
-	for _, heard := range []bool{true, false} {
+	for _, delivers := range []bool{true, false} {
 		s := settings()
 		s.LiveWeights, s.Allowed.PeerMessages = true, true
 		ws := fleet(workers)
-		setWeights(ws, 1) // of one core each, as the next list shows
+		setWeights(ws, 1) // one core each, as the next list shows
 		a := newTier(t, s, dispatchers, ws)
 		for i := range ws {
 			if i%6 != 0 {
-				ws[i].Weight = 1. / 2 // busy with one job, and what a core is
+				ws[i].Weight = 1. / 2 // one job, which shows the number of cores
 				if i%2 == 0 {
 					ws[i].Weight = 1. / 4
 				}
 			}
 		}
-		sent, words := map[string]int{}, 0
+		sent, messages := map[string]int{}, 0
 		for _, r := range a.rigs {
 			r.now += 1e6
 			r.b.jobTime = 150e3 // the job is longer than most
@@ -167,32 +170,31 @@
 		for me, r := range a.rigs {
 			_, acts := r.arrive(unsafe)
 			sent[r.requireSend(acts).Worker]++
-			if heard {
-				words += a.deliver(me, acts)
+			if delivers {
+				messages += a.deliver(me, acts)
 			}
 		}
-		if heard && (maxCount(sent) > 4 || words > dispatchers*len(a.rigs[0].b.buddies)*dispatchers/workers) {
-			t.Errorf("most sent to one worker: %d of %d, by %d words", maxCount(sent), dispatchers, words)
+		if delivers && (maxCount(sent) > 4 || messages > dispatchers*len(a.rigs[0].b.buddies)*dispatchers/workers) {
+			t.Errorf("%d of %d jobs sent to one worker, with %d gossip messages", maxCount(sent), dispatchers, messages)
 		}
-		if !heard && maxCount(sent) < 7 {
-			t.Errorf("the test shows nothing: %v", sent)
+		if !delivers && maxCount(sent) < 7 {
+			t.Errorf("the test has no effect without gossip: %v", sent)
 		}
 	}
 }
 
-// A word about a job is worth its price where it leaves a backlog, of whatever class it is: to all who read the list
-// the worker still looks freer.
-func TestABacklogIsTold(t *testing.T) {
+// A job of any class that leaves a backlog is announced: by the list the worker would still look less loaded.
+func TestBacklogIsAnnounced(t *testing.T) {
 	for _, c := range []struct {
-		inHand float64 // on three cores, by the list
-		work   int64   // in job times
-		told   bool
+		inHand    float64 // at a worker of three cores, by the list
+		work      int64   // in job times
+		announced bool
 	}{{0, 1, false}, {1, 1, false}, {4, 1, true}, {9, 1, true}, {4, 0, false}} {
 		s, ws := settings(), fleet(6)
 		s.LiveWeights, s.Allowed.PeerMessages, s.Dispatchers = true, true, 30
 		setWeights(ws, 3)
 		r := newRig(t, s, ws...)
-		for _, n := range []float64{1, c.inHand} { // the first shows what a core is
+		for _, n := range []float64{1, c.inHand} { // the first shows the number of cores
 			setWeights(ws, 3/(1+n/3))
 			r.now += 1e6
 			r.handle(Event{Kind: ListPatch, List: ws})
@@ -202,14 +204,14 @@
 		acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 5e6,
 			Hint: c.work*150e3 + 1000})
 		r.requireSend(acts)
-		if n, _ := countActions(acts, SendToPeer); n > 0 != c.told {
-			t.Errorf("%v in hand, %d job times: %d words", c.inHand, c.work, n)
+		if n, _ := countActions(acts, SendToPeer); n > 0 != c.announced {
+			t.Errorf("%v jobs at the worker, work of %d job times: %d gossip messages", c.inHand, c.work, n)
 		}
 	}
 }
 
-// A worker that fails what it gets always looks free. Each of many would find that out by jobs of its own.
-func TestOneFailingWorkerCostsTheTierFewJobs(t *testing.T) {
+// A worker that fails every job always looks free. Without gossip each dispatcher would find that out by its own jobs.
+func TestFailingWorkerCostsTierFewJobs(t *testing.T) {
 	const dispatchers = 80
 	s := settings()
 	s.Allowed.PeerMessages = true
@@ -220,26 +222,26 @@
 			id, acts := r.arrive(unsafe)
 			w := r.requireSend(acts).Worker
 			if w != "w0" {
-				a.deliver(me, r.done(id, 0, w, Completed))
+				a.deliver(me, r.finishAttempt(id, 0, w, Completed))
 				continue
 			}
 			lost++
-			a.deliver(me, r.done(id, 0, w, Errored))
+			a.deliver(me, r.finishAttempt(id, 0, w, Errored))
 		}
 	}
 	if lost > 3 {
-		t.Errorf("%d jobs were lost at one worker", lost)
+		t.Errorf("%d jobs failed at one worker", lost)
 	}
-	r := a.rigs[0] // distrust that nothing confirms ends
+	r := a.rigs[0] // errors that are not repeated expire
 	r.now += (faultMemory + 1) * r.b.probeInterval()
 	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 	if w := r.b.workers["w0"]; w.consecutiveErrors != 0 || w.ejections != 0 {
-		t.Errorf("still distrusted for %d errors", w.consecutiveErrors)
+		t.Errorf("the worker still has %d errors", w.consecutiveErrors)
 	}
 }
 
-// What is forgotten of a fault is forgotten in time only: not by the rest that it leads to, nor by who goes on with it.
-func TestDistrustIsNotForgottenAtOnce(t *testing.T) {
+// Faults expire by time only: neither by the ejection that they lead to nor by a handover.
+func TestFaultsExpireByTimeOnly(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	w := r.b.workers["w0"]
 	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
@@ -247,111 +249,113 @@
 	first := w.ejectedUntil - r.b.now
 	r.b.eject(w)
 	if second := w.ejectedUntil - r.b.now; second != 2*first {
-		t.Errorf("rests for %d, then for %d us", first, second)
+		t.Errorf("ejected for %d us, then for %d us", first, second)
 	}
 	r.b.recordError(w)
-	heir := newRig(t, settings(), fleet(6)...)
-	heir.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
-	heir.b.Restore(heir.now, r.b.Memory())
-	if got := heir.b.workers["w0"]; got.ejections != 2 || got.consecutiveErrors != 1 {
-		t.Errorf("inherited %d failures and %d errors", got.ejections, got.consecutiveErrors)
+	successor := newRig(t, settings(), fleet(6)...)
+	successor.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
+	successor.b.Restore(successor.now, r.b.Memory())
+	if got := successor.b.workers["w0"]; got.ejections != 2 || got.consecutiveErrors != 1 {
+		t.Errorf("restored %d ejections and %d errors", got.ejections, got.consecutiveErrors)
 	}
 }
 
-// Where all dispatchers share every worker, each hears of all by its own jobs: a word would cost more than it saves.
-func TestFewDispatchersSayNothing(t *testing.T) {
+// If all dispatchers share every worker, each learns of the others from its own jobs, and gossip costs more than it
+// saves.
+func TestFewDispatchersDoNotGossip(t *testing.T) {
 	for _, dispatchers := range []int{1, redundancy, redundancy + 1} {
 		s := settings()
 		s.Allowed.PeerMessages, s.Dispatchers = true, dispatchers
 		r := newRig(t, s, fleet(6)...)
 		id, acts := r.arrive(unsafe)
-		acts = append(acts, r.done(id, 0, r.requireSend(acts).Worker, Errored)...)
+		acts = append(acts, r.finishAttempt(id, 0, r.requireSend(acts).Worker, Errored)...)
 		if n, _ := countActions(acts, SendToPeer); (n > 0) != (dispatchers > redundancy) {
-			t.Errorf("%d dispatchers: %d words", dispatchers, n)
+			t.Errorf("%d dispatchers: %d gossip messages", dispatchers, n)
 		}
 	}
 }
 
-// Words that are odd, old, of nobody's worker or from oneself change nothing but a count.
-func TestOddWordsChangeNothing(t *testing.T) {
+// Gossip messages that are invalid, old, about an unknown worker or from the dispatcher itself are only counted.
+func TestInvalidGossipIsDropped(t *testing.T) {
 	s := settings()
 	s.Allowed.PeerMessages = true
 	r := newRig(t, s, fleet(6)...)
-	word := func(op gossip.Op, at int64, host string) []byte {
+	encode := func(op gossip.Op, at int64, host string) []byte {
 		return gossip.Message{Op: op, At: at, Host: gossip.HostHash(host)}.Append(nil)
 	}
-	odd := []Event{
+	invalid := []Event{
 		{From: 1}, {From: 1, Data: []byte("x")}, {From: 1, Data: make([]byte, 256)},
-		{From: 1, Data: word(gossip.Failed, r.now, "unknown")}, {From: 1, Data: word(9, r.now, "w0")},
-		{From: 1, Data: word(gossip.Failed, r.now-gossip.MaxAge-100e3, "w0")},
-		{From: 0, Data: word(gossip.Sent, r.now, "w0")},
-		{From: -1, Data: word(gossip.Failed, r.now, "w0")},
+		{From: 1, Data: encode(gossip.Failed, r.now, "unknown")}, {From: 1, Data: encode(9, r.now, "w0")},
+		{From: 1, Data: encode(gossip.Failed, r.now-gossip.MaxAge-100e3, "w0")},
+		{From: 0, Data: encode(gossip.Sent, r.now, "w0")},
+		{From: -1, Data: encode(gossip.Failed, r.now, "w0")},
 	}
-	for _, e := range odd {
+	for _, e := range invalid {
 		e.Kind = PeerMessage
 		if acts := r.handle(e); len(acts) > 0 {
-			t.Errorf("%v leads to %v", e.Data, acts)
+			t.Errorf("message %v leads to %v", e.Data, acts)
 		}
 	}
 	w := r.b.workers["w0"]
-	if r.b.DroppedMessages() != len(odd) || w.consecutiveErrors != 0 || w.peerLoad.Since(0) != 0 {
-		t.Errorf("%d of %d dropped, %d errors, told %d", r.b.DroppedMessages(), len(odd), w.consecutiveErrors,
+	if r.b.DroppedMessages() != len(invalid) || w.consecutiveErrors != 0 || w.peerLoad.Since(0) != 0 {
+		t.Errorf("%d of %d dropped, %d errors, peer load %d", r.b.DroppedMessages(), len(invalid), w.consecutiveErrors,
 			w.peerLoad.Since(0))
 	}
-	for range 1000 { // a forger makes a worker look busy until the next list, and no more
-		r.handle(Event{Kind: PeerMessage, From: 1, Data: word(gossip.Sent, r.now, "w0")})
+	for range 1000 { // forged messages make a worker look busy until the next list, and no longer
+		r.handle(Event{Kind: PeerMessage, From: 1, Data: encode(gossip.Sent, r.now, "w0")})
 	}
 	_, acts := r.arrive(unsafe)
 	if got := r.requireSend(acts).Worker; got == "w0" {
-		t.Error("sent to the one that looks busy")
+		t.Error("sent to the worker that looks busy")
 	}
 	r.now += 2e6
 	r.handle(Event{Kind: ProbeDone, Worker: "w0", Load: Load{Queue: -1, Inflight: 0, Free: -1, Util: -1}})
 	if held := w.queued + float64(w.peerLoad.Since(w.reportAsOf)); held > 0 {
-		t.Errorf("%v jobs are held after a list that says none", held)
+		t.Errorf("%v jobs waiting after a report of none", held)
 	}
 }
 
-// A cold worker is used by all who share it, and never by more than it bears: what they tell each other bounds the sum,
-// and where all words are lost it stays within the rule all the same. So it is when a whole zone returns cold at once.
+// All dispatchers that share a cold worker use it, and never beyond its limit. Gossip bounds the sum, and without any
+// gossip the work still stays within the limit. The same holds when a whole zone restarts cold at once.
 func TestColdWorkerIsSharedByTheTier(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers, workers, cold int
-		rate                       float64 // messages a second at a dispatcher
-		least                      float64 // a third of what it can do, as it grows from 0.3 to 1 of three cores
+		rate                       float64 // requests a second at a dispatcher
+		least                      float64 // a third of its capacity, as that grows from 0.3 to 1 of three cores
 	}{{80, 60, 1, 1.5, 6.5e6}, {300, 165, 55, 1.5, 5.8e6}, {2, 12, 4, 60, 5.8e6}, {4, 15, 5, 30, 5.8e6}} {
-		none := coldWork(t, c.dispatchers, c.workers, c.cold, c.rate, "none")
-		if lost := coldWork(t, c.dispatchers, c.workers, c.cold, c.rate, "lost"); lost < none {
-			t.Errorf("%+v: %v is spent at a cold worker by who hears nothing, %v where nobody talks", c, lost, none)
+		withoutGossip := coldTierWork(t, c.dispatchers, c.workers, c.cold, c.rate, "none")
+		if allLost := coldTierWork(t, c.dispatchers, c.workers, c.cold, c.rate, "lost"); allLost < withoutGossip {
+			t.Errorf("%+v: a cold worker got work %v with all gossip lost, %v without gossip", c, allLost,
+				withoutGossip)
 		}
-		if heard := coldWork(t, c.dispatchers, c.workers, c.cold, c.rate, "heard"); heard < c.least {
-			t.Errorf("%+v: %v is spent at a cold worker, %v where nobody talks", c, heard, none)
+		if delivered := coldTierWork(t, c.dispatchers, c.workers, c.cold, c.rate, "delivered"); delivered < c.least {
+			t.Errorf("%+v: a cold worker got work %v with gossip, %v without", c, delivered, withoutGossip)
 		}
 	}
 }
 
-// coldWork lets a tier meet so many cold workers among its warm ones, which have jobs waiting. It fails the test where
-// one is sent more than the rule has for it, and returns the mean work that one is sent while it is cold, in
-// microseconds.
-func coldWork(t *testing.T, dispatchers, workers, cold int, rate float64, words string) float64 {
+// coldTierWork runs a tier with some cold workers among warm ones that have jobs waiting. It fails the test if a cold
+// worker is sent more than the rule permits, and returns the mean work, in microseconds, that one is sent while it is
+// cold. The gossipMode is "none", "lost" or "delivered".
+func coldTierWork(t *testing.T, dispatchers, workers, cold int, rate float64, gossipMode string) float64 {
 	const seconds, job = 9, 200e3
 	s := settings()
-	s.Allowed.PeerMessages, s.LiveWeights = words != "none", true
+	s.Allowed.PeerMessages, s.LiveWeights = gossipMode != "none", true
 	s.Tenants = []Tenant{{Quota: rate * float64(dispatchers)}}
 	s.Contract.ColdFrom, s.Contract.RampTime, s.Contract.FallTime = 0.3, 9e6, 3e6
 	ws := fleet(workers)
 	setWeights(ws, 3)
 	a := newTier(t, s, dispatchers, ws)
-	setWeights(ws, 3/(1+1./3)) // what one job takes off tells the cores
+	setWeights(ws, 3/(1+1./3)) // one job shows the number of cores
 	for _, r := range a.rigs {
 		r.handle(Event{Kind: ListPatch, List: ws})
 	}
-	setWeights(ws, 3/(1+9./3)) // warm ones have jobs waiting
-	born := a.rigs[0].now
-	sent := map[string][]int64{} // to cold ones, when
+	setWeights(ws, 3/(1+9./3)) // the warm workers have jobs waiting
+	start := a.rigs[0].now
+	sent := map[string][]int64{} // times of the sends to each cold worker
 	for i := range cold {
 		w := &ws[(7+3*i)%workers]
-		w.Weight, w.StartedAt = 3, born
+		w.Weight, w.StartedAt = 3, start
 		sent[w.ID] = nil
 	}
 	for _, r := range a.rigs {
@@ -359,7 +363,7 @@
 		r.b.jobTime = job
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	for now := born; now < born+seconds*1e6; now += 10e3 {
+	for now := start; now < start+seconds*1e6; now += 10e3 {
 		for me, r := range a.rigs {
 			r.now = now
 			if random.Float64() > rate*0.01 {
@@ -367,73 +371,75 @@
 			}
 			id, acts := r.arrive(unsafe)
 			if n, act := countActions(acts, Send); n == 1 {
-				if words == "heard" {
+				if gossipMode == "delivered" {
 					a.deliver(me, acts)
 				}
 				if _, is := sent[act.Worker]; is {
 					sent[act.Worker] = append(sent[act.Worker], now)
 				}
-				if end := r.done(id, 0, act.Worker, Completed); words == "heard" {
+				if end := r.finishAttempt(id, 0, act.Worker, Completed); gossipMode == "delivered" {
 					a.deliver(me, end)
 				}
 				r.b.jobTime = job
 				for _, k := range r.b.kinds {
-					k.pace = 1 // though all that is sent ends at once here
+					k.pace = 1 // as jobs end at once here
 				}
 			}
 		}
 	}
-	all := 0.0
+	total := 0.0
 	for _, at := range sent {
-		all += float64(len(at)) * job
+		total += float64(len(at)) * job
 		for i, from := range at {
-			sum, then := 0.0, from
+			sum, limitAt := 0.0, from
 			for _, t := range at[i:] {
 				if t < from+s.Contract.FallTime {
 					sum += job
-					// in equal parts: held to the rule as it is, by what the worker can do at the end of the window
+					// With equal shares the limit is that of the capacity at the end of the window.
 					if dispatchers <= 4 {
-						then = t
+						limitAt = t
 					}
 				}
 			}
-			warm := s.Contract.ColdFrom + (1-s.Contract.ColdFrom)*float64(then-born)/float64(s.Contract.RampTime)
-			if rule := s.Contract.FallMultiple * warm * 3 * float64(s.Contract.FallTime); sum > rule {
-				t.Errorf("%d dispatchers, words %s: work %v within a window from %v s on, the rule has %v", dispatchers,
-					words, sum, float64(from-born)/1e6, rule)
+			capacity := s.Contract.ColdFrom +
+				(1-s.Contract.ColdFrom)*float64(limitAt-start)/float64(s.Contract.RampTime)
+			if limit := s.Contract.FallMultiple * capacity * 3 * float64(s.Contract.FallTime); sum > limit {
+				t.Errorf("%d dispatchers, gossip %s: work %v within a window from %v s on, limit %v", dispatchers,
+					gossipMode, sum, float64(from-start)/1e6, limit)
 			}
 		}
 	}
-	return all / float64(cold)
+	return total / float64(cold)
 }
 
-// A client that gives up early is not one that comes again late: its job is worth its aim, and is not refused unsent
-// while workers are free because a later try would have lost it by now.
-func TestClientOfLittlePatienceKeepsItsAim(t *testing.T) {
+// A client with a short timeout is not a client that retries late: its aim counts from its arrival. The request must
+// not be refused while workers are free as if it were a retry whose aim has passed.
+func TestShortClientTimeoutKeepsAim(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	arrive := func(wait, hint int64) *request {
 		r.id++
 		r.handle(Event{Kind: Arrival, Request: r.id, Class: unsafe, Due: r.now + wait, Hint: hint})
 		return r.b.requests[r.id]
 	}
-	arrive(10e6, 300e3) // how long clients wait
-	r.b.lateLoss = 0.2  // jobs that come late have a price
+	arrive(10e6, 300e3) // the timeout of other clients
+	r.b.lateLoss = 0.2  // late jobs have a price
 	span := r.b.settings.Classes[unsafe].Aim + 600e3
 	if first := arrive(2e6, 300e3); first == nil || first.aim != r.now+span || first.outstanding != 1 {
-		t.Errorf("a message of a client that waits 2 s: %+v", first)
+		t.Errorf("a request of a client with a timeout of 2 s: %+v", first)
 	}
 	r.b.lateLoss = 0
-	if hurried := arrive(400e3, 300e3); hurried == nil || hurried.aim != hurried.due {
-		t.Errorf("the aim lies behind the end of the wait: %+v", hurried)
+	if short := arrive(400e3, 300e3); short == nil || short.aim != short.due {
+		t.Errorf("the aim is after the deadline: %+v", short)
 	}
-	if again := arrive(10e6-400e3, 300e3); again == nil || again.aim != r.now+span-400e3 {
-		t.Errorf("a try that comes 400 ms after the first has its aim: %+v", again)
+	if retry := arrive(10e6-400e3, 300e3); retry == nil || retry.aim != r.now+span-400e3 {
+		t.Errorf("a retry 400 ms after the first try must have the aim of the first: %+v", retry)
 	}
 }
 
-// During a release half of the workers drain, and the buddy sets reach twice as far. Who hears of a worker, and who
-// takes turns at one that is cold, goes by who uses it then; and a fault is no word to all of hundreds.
-func TestSharersAreThoseWhoUseAWorkerNow(t *testing.T) {
+// During a release half of the workers drain, and buddy sets span twice as many workers. The dispatchers that are
+// notified of a worker, and those that take turns at a cold one, are those that use it then. A fault is not announced
+// to all of hundreds of dispatchers.
+func TestSharersFollowCurrentUse(t *testing.T) {
 	const dispatchers, workers, job = 300, 164, 600e3
 	for _, draining := range []bool{false, true} {
 		s := settings()
@@ -449,44 +455,44 @@
 		}
 		a := newTier(t, s, dispatchers, ws)
 		cold := a.rigs[0].b.workers[ws[8].ID]
-		users, uses, turns, rule := 0, map[int]bool{}, 0, 0.0
+		users, missed, turns, limit := 0, map[int]bool{}, 0, 0.0
 		for me, r := range a.rigs {
 			w := r.b.workers[cold.ID]
 			if w.StartedAt = r.now - 1; slices.Contains(r.b.buddies, w) {
-				users, uses[me] = users+1, true
+				users, missed[me] = users+1, true
 			}
 			r.b.now, r.b.jobTime = r.now, job
 			if share := r.b.coldBudget(w); share > 0 {
 				turns++
-				rule = share * 2
+				limit = share * 2
 			}
 		}
-		chance := -math.Expm1(-float64(s.Contract.FallTime) / 1e6) // that one gets a message in a turn
-		// the reach differs a little from one to the next
-		if sum := float64(turns) * job * chance; turns == 0 || sum > rule/2*5/4 {
-			t.Errorf("draining %v: %d of %d users have a turn, with %v of work, the rule has %v", draining, turns,
-				users, sum, rule)
+		chance := -math.Expm1(-float64(s.Contract.FallTime) / 1e6) // that a dispatcher gets a request in a turn
+		// the span of the buddy sets differs slightly between dispatchers
+		if sum := float64(turns) * job * chance; turns == 0 || sum > limit/2*5/4 {
+			t.Errorf("draining %v: %d of %d users have a turn, with %v of work, limit %v", draining, turns,
+				users, sum, limit)
 		}
-		teller := a.rigs[slices.IndexFunc(a.rigs,
+		sender := a.rigs[slices.IndexFunc(a.rigs,
 			func(r *rig) bool { return slices.Contains(r.b.buddies, r.b.workers[cold.ID]) })]
-		teller.b.actions = nil
-		teller.b.reportError(teller.b.workers[cold.ID])
-		told := 0
-		for _, act := range teller.b.actions {
+		sender.b.actions = nil
+		sender.b.reportError(sender.b.workers[cold.ID])
+		notified := 0
+		for _, act := range sender.b.actions {
 			if act.Kind == SendToPeer {
-				told++
-				delete(uses, act.Peer)
+				notified++
+				delete(missed, act.Peer)
 			}
 		}
-		if len(uses) > users/8 || told > users*5/4 {
-			t.Errorf("draining %v: of %d users %d are not told of a fault, by %d words", draining, users, len(uses),
-				told)
+		if len(missed) > users/8 || notified > users*5/4 {
+			t.Errorf("draining %v: of %d users %d are not notified of a fault, by %d messages", draining, users,
+				len(missed), notified)
 		}
 	}
 }
 
-// Faults that all tell of at one moment, true or forged, must not leave a dispatcher with nobody to send to.
-func TestWordsRestAThirdOfTheListAtMost(t *testing.T) {
+// Errors of all workers that are announced at once, true or forged, must not leave a dispatcher without any worker.
+func TestGossipEjectsAtMostAThird(t *testing.T) {
 	s := settings()
 	s.Allowed.PeerMessages = true
 	r := newRig(t, s, fleet(30)...)
@@ -497,20 +503,20 @@
 		}
 	}
 	if n := r.b.UnavailableWorkers(r.now); n != 30/gossipEjectionDivisor {
-		t.Errorf("%d of 30 workers rest because of words", n)
+		t.Errorf("%d of 30 workers are ejected because of gossip", n)
 	}
 	_, acts := r.arrive(unsafe)
 	r.requireSend(acts)
 	w := r.b.ranked[slices.IndexFunc(r.b.ranked, func(w *worker) bool { return r.now >= w.ejectedUntil })]
-	r.b.recordError(w) // what is seen here counts all the same
+	r.b.recordError(w) // an own observation still ejects it
 	if r.now >= w.ejectedUntil {
-		t.Error("its own evidence no longer rests a worker")
+		t.Error("a worker is not ejected for an error seen here")
 	}
 }
 
-// Among workers that are equal a choice pays for no other zone, while there is one at home; and one at home that is
-// busy is no reason to wait.
-func TestEqualsAreTakenFromTheOwnZone(t *testing.T) {
+// Among equal workers one in the own zone is chosen. If those are busy, the job goes to a free worker in another zone
+// instead of waiting.
+func TestEqualWorkersChosenInOwnZone(t *testing.T) {
 	const dispatchers, workers = 300, 165
 	s := settings()
 	s.LiveWeights, s.CrossZone, s.Zones = true, 0.01, []string{"a", "b", "c"}
@@ -529,54 +535,55 @@
 		if sent[w.ID]++; w.Zone != r.b.settings.Zone {
 			crossed++
 		}
-		for _, v := range r.b.buddies { // all at home are busy
+		for _, v := range r.b.buddies { // all in the own zone are busy
 			if v.Zone == r.b.settings.Zone {
 				v.queued, v.evidenceAt = 12, r.now
 			}
 		}
 		_, acts = r.arrive(unsafe)
 		if w := r.b.workers[r.requireSend(acts).Worker]; w.Zone == r.b.settings.Zone {
-			t.Fatalf("%d waits at %s, while others are free", me, w.ID)
+			t.Fatalf("the job of dispatcher %d waits at %s while other workers are free", me, w.ID)
 		}
 	}
 	if crossed > 0 || maxCount(sent) > 6 {
-		t.Errorf("%d of %d sends cross zones, one worker has %d", crossed, dispatchers, maxCount(sent))
+		t.Errorf("%d of %d sends went to another zone, one worker got %d", crossed, dispatchers, maxCount(sent))
 	}
 }
 
-// All start anew in one moment, with no connection kept and one list read: the first second's connections are spread
-// over the workers, none more than a message, and the words about them are few.
-func TestJointRestartIsNoStormOfConnections(t *testing.T) {
+// All dispatchers restart at the same moment, with no connection and the same list. The connections of the first second
+// must be spread over the workers, at most one for each request, with few gossip messages.
+func TestJointRestartDoesNotFloodConnections(t *testing.T) {
 	for _, c := range []struct{ dispatchers, workers int }{{80, 60}, {300, 165}} {
 		s := settings()
 		s.LiveWeights, s.Allowed.PeerMessages = true, true
 		ws := fleet(c.workers)
 		setWeights(ws, 3)
 		a := newTier(t, s, c.dispatchers, ws)
-		const each = 4 // messages in the second, more than most get
-		dials, all, words := map[string]int{}, 0, 0
+		const requestsEach = 4 // requests in the first second, more than most dispatchers get
+		dials, connections, gossiped := map[string]int{}, 0, 0
 		for _, r := range a.rigs {
-			r.b.jobTime = 100e3 // each job is longer than most, and told
+			r.b.jobTime = 100e3 // each job is longer than most, and announced
 			known := map[string]bool{}
-			for range each {
+			for range requestsEach {
 				r.now += 250e3
 				_, acts := r.arrive(unsafe)
 				if w := r.requireSend(acts).Worker; !known[w] {
 					known[w] = true
 					dials[w]++
-					all++
+					connections++
 				}
 				n, _ := countActions(acts, SendToPeer)
-				words += n
+				gossiped += n
 			}
 		}
-		messages := each * c.dispatchers
-		if all > messages || maxCount(dials) > 3*messages/c.workers {
-			t.Errorf("%+v: %d connections for %d messages, %d to one worker", c, all, messages, maxCount(dials))
+		requests := requestsEach * c.dispatchers
+		if connections > requests || maxCount(dials) > 3*requests/c.workers {
+			t.Errorf("%+v: %d connections for %d requests, %d to one worker", c, connections, requests, maxCount(dials))
 		}
-		if users := c.dispatchers * 2 * minBuddies / c.workers; words == 0 || words > messages*(users+1) {
-			t.Errorf("%+v: %d words for %d messages", c, words, messages)
+		if users := c.dispatchers * 2 * minBuddies / c.workers; gossiped == 0 || gossiped > requests*(users+1) {
+			t.Errorf("%+v: %d gossip messages for %d requests", c, gossiped, requests)
 		}
-		t.Logf("%+v: %d connections, %d at most to one worker, %d words", c, all, maxCount(dials), words)
+		t.Logf("%+v: %d connections, at most %d to one worker, %d gossip messages", c, connections, maxCount(dials),
+			gossiped)
 	}
 }
--- a/list_test.go
+++ b/list_test.go
@@ -1,50 +1,50 @@
 package topazfall
 
-// The list of workers, and who of them is a buddy of whom.
+// Tests of the list of workers and of the buddy set.
 
 import (
 	"fmt"
 	"testing"
 )
 
-func TestDrainsStopOnHearing(t *testing.T) {
+func TestDrainStopsSendsAtOnce(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	_, acts := r.arrive(safe)
-	home := r.requireSend(acts).Worker
+	first := r.requireSend(acts).Worker
 	for _, state := range []WorkerState{Draining, Gone} {
-		r.handle(Event{Kind: ListPatch, List: []Worker{{ID: home, Zone: "a", Kind: "std", State: state}}})
+		r.handle(Event{Kind: ListPatch, List: []Worker{{ID: first, Zone: "a", Kind: "std", State: state}}})
 		for range 20 {
-			if _, acts := r.arrive(safe); r.requireSend(acts).Worker == home {
-				t.Fatalf("sent to %s, which is %v", home, state)
+			if _, acts := r.arrive(safe); r.requireSend(acts).Worker == first {
+				t.Fatalf("sent to %s, whose state is %v", first, state)
 			}
 		}
 	}
 	r.handle(Event{Kind: ListSnapshot, List: nil})
 	if _, acts := r.arrive(safe); len(acts) != 1 || acts[0].Kind != SetTimer {
-		t.Errorf("with an empty list a job is held: %+v", acts)
+		t.Errorf("with an empty list a job must be held: %+v", acts)
 	}
 }
 
-func TestEveryWorkerHasItsDispatchers(t *testing.T) {
+func TestEveryWorkerHasDispatchers(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 40
-	seen, homes := map[string]int{}, map[string]int{}
+	sharers, firsts := map[string]int{}, map[string]int{}
 	for me := range s.Dispatchers {
 		s.Me = me
 		r := newRig(t, s, fleet(40)...)
 		for _, w := range r.b.buddies {
-			seen[w.ID]++
+			sharers[w.ID]++
 		}
-		homes[r.b.buddies[0].ID]++
+		firsts[r.b.buddies[0].ID]++
 	}
 	for _, w := range fleet(40) {
-		if n := seen[w.ID]; n < minBuddies-1 || n > minBuddies+1 || homes[w.ID] != 1 {
-			t.Errorf("%s is in %d buddy sets and first in %d", w.ID, n, homes[w.ID])
+		if n := sharers[w.ID]; n < minBuddies-1 || n > minBuddies+1 || firsts[w.ID] != 1 {
+			t.Errorf("%s is in %d buddy sets and first in %d of them", w.ID, n, firsts[w.ID])
 		}
 	}
 }
 
-// The fallback outside the buddy set must not send every dispatcher to the same first workers.
+// Outside the buddy set the dispatchers must not all fall back to the same workers first.
 func TestFallbackIsSpread(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 40
@@ -55,36 +55,36 @@
 		got[r.b.nonBuddies[0].ID]++
 	}
 	if len(got) < 30 {
-		t.Errorf("40 dispatchers turn to %d workers", len(got))
+		t.Errorf("40 dispatchers fall back to %d workers", len(got))
 	}
 }
 
-func TestDeadWorkersLeaveTheBuddySet(t *testing.T) {
+func TestUnreachableWorkerLeavesBuddySet(t *testing.T) {
 	r := newRig(t, settings(), fleet(12)...)
 	size := len(r.b.buddies)
 	id, acts := r.arrive(unsafe)
-	dead := r.requireSend(acts).Worker
-	r.done(id, 0, dead, ConnectionRefused)
+	unreachable := r.requireSend(acts).Worker
+	r.finishAttempt(id, 0, unreachable, ConnectionRefused)
 	for _, w := range r.b.buddies {
-		if w.ID == dead {
+		if w.ID == unreachable {
 			t.Error("a worker that refuses connections is still a buddy")
 		}
 	}
 	if len(r.b.buddies) != size {
-		t.Errorf("the window did not refill: %d buddies of %d", len(r.b.buddies), size)
+		t.Errorf("the buddy set was not refilled: %d buddies of %d", len(r.b.buddies), size)
 	}
 	r.now += 60e6
 	r.handle(Event{Kind: TimerDue, Token: tokenPeriodic})
 	found := false
 	for _, w := range r.b.buddies {
-		found = found || w.ID == dead
+		found = found || w.ID == unreachable
 	}
 	if !found {
-		t.Error("it was never tried again")
+		t.Error("the worker is not a buddy again after a minute")
 	}
 }
 
-func TestWideChangesOfTheList(t *testing.T) {
+func TestWholeListReplaced(t *testing.T) {
 	r := newRig(t, settings(), fleet(12)...)
 	r.handle(Event{Kind: ListSnapshot, List: nil})
 	if len(r.b.buddies) != 0 {
@@ -100,7 +100,7 @@
 	}
 	acts := r.handle(Event{Kind: Arrival, Request: 77, Due: r.now - 5, Tenant: -1})
 	if n, _ := countActions(acts, Refuse); n != 1 {
-		t.Errorf("a deadline already past: %+v", acts)
+		t.Errorf("a request after its deadline is not refused: %+v", acts)
 	}
 }
 
@@ -110,7 +110,7 @@
 	r := newRig(t, s, fleet(4)...)
 	_, acts := r.arrive(unsafe)
 	if n, _ := countActions(acts, Send); n != 0 {
-		t.Errorf("sent to another kind: %+v", acts)
+		t.Errorf("sent to a worker of another kind: %+v", acts)
 	}
 	r.handle(Event{Kind: ListPatch, List: []Worker{{ID: "b", Zone: "a", Kind: "big"}}})
 	_, timer := countActions(acts, SetTimer)
@@ -120,8 +120,9 @@
 	}
 }
 
-// Where the list must be asked for, a start subscribes, and a failure is answered at the next pulse, not at once.
-func TestListIsFollowed(t *testing.T) {
+// If the list arrives on request only, the balancer starts to watch it at the start. After a failure it does so again
+// with the next periodic tasks, not at once.
+func TestListIsWatched(t *testing.T) {
 	s := settings()
 	s.ListOnRequest = true
 	b, err := New(s)
@@ -130,60 +131,60 @@
 	}
 	r := &rig{t: t, b: b, now: 100e6}
 	if n, _ := countActions(r.handle(Event{Kind: ListRestored, List: fleet(3)}), WatchList); n != 1 {
-		t.Error("a start does not subscribe")
+		t.Error("the list is not watched after the start")
 	}
 	if acts := r.handle(Event{Kind: ListFailed}); len(acts) != 0 || len(r.b.ranked) != 3 {
 		t.Errorf("a failure: %+v, %d workers", acts, len(r.b.ranked))
 	}
 	r.now += r.b.probeInterval()
 	if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), WatchList); n != 1 {
-		t.Error("a failed subscription is not asked for again")
+		t.Error("the list is not watched again after a failure")
 	}
 	r.handle(Event{Kind: ListPatch, List: fleet(4)[3:]})
 	r.now += r.b.probeInterval()
 	if n, _ := countActions(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}), WatchList); n != 0 ||
 		len(r.b.ranked) != 4 {
-		t.Errorf("asked again without need, %d workers", len(r.b.ranked))
+		t.Errorf("watched again without a failure, or %d workers instead of 4", len(r.b.ranked))
 	}
 	if p := r.b.probeInterval(); p > 4e6 {
-		t.Errorf("a pulse of %d", p)
+		t.Errorf("a probe interval of %d us", p)
 	}
 }
 
-// Jobs of one key go where what they need is kept, from whichever dispatcher, and beside the buddies; where those have
-// much to do, to others, and on to the next home when one leaves.
-func TestJobsOfAKeyMeet(t *testing.T) {
+// Jobs of one key go to its preferred workers from every dispatcher, even if those are not buddies. While those are
+// busy they go to other workers, and when one drains, to the next preferred worker.
+func TestJobsOfKeyShareWorkers(t *testing.T) {
 	s, key := settings(), uint64(99)
 	s.Dispatchers, s.LiveWeights = 40, true
-	met := map[string]int{}
-	var first *rig
+	used := map[string]int{}
+	var last *rig
 	for me := range 40 {
 		s.Me = me
 		r := newRig(t, s, fleet(60)...)
 		r.id++
 		acts := r.handle(Event{Kind: Arrival, Request: r.id, Tenant: -1, Due: r.now + 10e6, Hint: 200e3, Key: key})
-		met[r.requireSend(acts).Worker]++
-		first = r
+		used[r.requireSend(acts).Worker]++
+		last = r
 	}
-	if len(met) > redundancy {
-		t.Fatalf("%d workers got the jobs of one key, %d should hold what they need", len(met), redundancy)
+	if len(used) > redundancy {
+		t.Fatalf("%d workers got the jobs of one key, at most %d should hold its data", len(used), redundancy)
 	}
 	send := func() string {
-		first.id++
-		return first.requireSend(first.handle(Event{Kind: Arrival, Request: first.id, Tenant: -1, Due: first.now + 10e6,
+		last.id++
+		return last.requireSend(last.handle(Event{Kind: Arrival, Request: last.id, Tenant: -1, Due: last.now + 10e6,
 			Hint: 200e3, Key: key})).Worker
 	}
-	used := map[string]bool{}
+	usedAtOnce := map[string]bool{}
 	for range 40 {
-		used[send()] = true
+		usedAtOnce[send()] = true
 	}
-	if len(used) <= redundancy {
-		t.Errorf("forty jobs at once wait at %d workers while others are free", len(used))
+	if len(usedAtOnce) <= redundancy {
+		t.Errorf("forty jobs at once went to %d workers while others are free", len(usedAtOnce))
 	}
-	for w := range met {
-		first.handle(Event{Kind: ListPatch, List: []Worker{{ID: w, Zone: "a", Kind: "std", State: Draining}}})
+	for w := range used {
+		last.handle(Event{Kind: ListPatch, List: []Worker{{ID: w, Zone: "a", Kind: "std", State: Draining}}})
 	}
-	if w := send(); met[w] > 0 {
-		t.Errorf("%s drains and got a job", w)
+	if w := send(); used[w] > 0 {
+		t.Errorf("%s got a job while it drains", w)
 	}
 }
--- a/random_test.go
+++ b/random_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// checker watches a balancer from outside and knows only the four rules; it shares no code with it.
+// checker checks the actions of a balancer against the four rules of the service. It shares no code with the balancer.
 type checker struct {
 	t        *testing.T
 	s        Settings
@@ -19,91 +19,91 @@
 }
 
 type seenRequest struct {
-	class   Class
-	due     int64
-	tries   []seenTry
-	answers int
+	class    Class
+	due      int64
+	attempts []seenAttempt
+	answers  int
 }
 
-type seenTry struct {
-	worker string
-	at     int64
-	over   bool
-	clean  bool // proved that it never ran
+type seenAttempt struct {
+	worker   string
+	at       int64
+	done     bool
+	neverRan bool // its outcome proves that the job never ran
 }
 
-func (c *checker) bad(format string, args ...any) {
+func (c *checker) fail(format string, args ...any) {
 	c.t.Helper()
 	c.t.Fatalf("seed %d at %d: %s", c.seed, c.now, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) act(a Action) {
+func (c *checker) checkAction(a Action) {
 	if a.Kind != Send && a.Kind != Refuse && a.Kind != Fail && a.Kind != CancelAttempt {
 		return
 	}
 	r := c.requests[a.Request]
 	if r == nil {
-		c.bad("unknown request in %+v", a)
+		c.fail("action for an unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case Send:
-		c.send(r, a)
+		c.checkSend(r, a)
 	case Refuse, Fail:
 		r.answers++
 		if r.answers > 1 || c.now > r.due+c.s.Contract.AnswerSlack {
-			c.bad("answer %d at %d, due %d", r.answers, c.now, r.due)
+			c.fail("answer %d at %d, deadline %d", r.answers, c.now, r.due)
 		}
-		for _, x := range r.tries {
+		for _, x := range r.attempts {
 			forbidden := r.class.Repeat == Unsafe || r.class.Repeat == Keyed && r.class.Group != GroupAll
-			if a.Kind == Refuse && forbidden && !(x.over && x.clean) {
-				c.bad("refused what may have run")
+			if a.Kind == Refuse && forbidden && !(x.done && x.neverRan) {
+				c.fail("refused a job that may have run")
 			}
 		}
 	case CancelAttempt:
-		if a.Attempt < 0 || a.Attempt >= len(r.tries) {
-			c.bad("cancels attempt %d of %d", a.Attempt, len(r.tries))
+		if a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+			c.fail("cancelled attempt %d of %d", a.Attempt, len(r.attempts))
 		}
 	}
 }
 
-func (c *checker) send(r *seenRequest, a Action) {
+func (c *checker) checkSend(r *seenRequest, a Action) {
 	w, ok := c.listed[a.Worker]
 	if r.answers > 0 || c.now >= r.due {
-		c.bad("send after the end")
+		c.fail("sent after the answer or the deadline")
 	}
 	if !ok || w.State != Ready {
-		c.bad("send to %q, state %v, listed %v", a.Worker, w.State, ok)
+		c.fail("sent to %q, state %v, listed %v", a.Worker, w.State, ok)
 	}
 	if r.class.Kind != "" && r.class.Kind != w.Kind {
-		c.bad("kind %q for a class of %q", w.Kind, r.class.Kind)
+		c.fail("sent to a worker of kind %q for a class of kind %q", w.Kind, r.class.Kind)
 	}
 	out := 1
-	for _, x := range r.tries {
-		if !x.over {
+	for _, x := range r.attempts {
+		if !x.done {
 			out++
 		}
-		if x.over && x.clean {
+		if x.done && x.neverRan {
 			continue
 		}
 		was := c.everSeen[x.worker]
 		switch {
 		case r.class.Repeat == Unsafe:
-			c.bad("unsafe sent twice")
+			c.fail("an unsafe job was sent twice")
 		case r.class.Repeat == Keyed && c.now > x.at+r.class.Window:
-			c.bad("keyed sent outside its window")
+			c.fail("a keyed job was sent outside its window")
 		case r.class.Repeat == Keyed && r.class.Group == GroupZone && was.Zone != w.Zone,
 			r.class.Repeat == Keyed && r.class.Group == GroupCell && was.Cell != w.Cell:
-			c.bad("keyed left its group")
+			c.fail("a keyed job left its group")
 		}
 	}
-	if out > 2 || out > 1 && !c.s.Allowed.HedgedRequests || len(r.tries) >= c.s.Allowed.Attempts {
-		c.bad("%d attempts out, %d made", out, len(r.tries))
+	if out > 2 || out > 1 && !c.s.Allowed.HedgedRequests || len(r.attempts) >= c.s.Allowed.Attempts {
+		c.fail("%d attempts outstanding, %d made before", out, len(r.attempts))
 	}
-	r.tries = append(r.tries, seenTry{worker: a.Worker, at: c.now})
+	r.attempts = append(r.attempts, seenAttempt{worker: a.Worker, at: c.now})
 }
 
-// world plays a random but legal course of events.
-type world struct {
+// simulation feeds a random but legal sequence of events.
+type simulation struct {
 	*checker
 	rng    *rand.Rand
 	b      *Balancer
@@ -115,9 +115,9 @@
 	token uint64
 }
 
-func (w *world) feed(e Event) {
+func (w *simulation) feed(e Event) {
 	for _, a := range w.b.Handle(w.now, &e, nil) {
-		w.act(a)
+		w.checkAction(a)
 		if a.Kind == SetTimer {
 			at := w.now + a.After
 			i, _ := slices.BinarySearchFunc(w.timers, at+1, func(t timer, at int64) int { return int(t.at - at) })
@@ -126,7 +126,7 @@
 	}
 }
 
-func (w *world) randomWorker(i int) Worker {
+func (w *simulation) randomWorker(i int) Worker {
 	v := Worker{ID: fmt.Sprintf("w%d", i), Zone: []string{"a", "b"}[i%2], Kind: []string{"std", "big"}[i%3/2],
 		Cell: i % 4, State: WorkerState([]int{0, 0, 0, 1, 2}[w.rng.Intn(5)])}
 	if w.rng.Intn(3) == 0 {
@@ -135,7 +135,7 @@
 	return v
 }
 
-func (w *world) list() {
+func (w *simulation) changeList() {
 	e := Event{Kind: []EventKind{ListPatch, ListPatch, ListSnapshot, ListRestored, ListFailed}[w.rng.Intn(5)]}
 	if e.Kind == ListFailed {
 		w.feed(e)
@@ -157,15 +157,15 @@
 	w.feed(e)
 }
 
-func (w *world) load() Load {
+func (w *simulation) load() Load {
 	v := func() float64 { return []float64{-1, 0, 1, 2, 5, 1e12}[w.rng.Intn(6)] }
 	return Load{v(), v(), v(), v()}
 }
 
-// attempt lets something happen to an attempt that is out.
-func (w *world) attempt(id uint64, n int) {
+// advanceAttempt generates an event for an outstanding attempt.
+func (w *simulation) advanceAttempt(id uint64, n int) {
 	r := w.requests[id]
-	x := &r.tries[n]
+	x := &r.attempts[n]
 	e := Event{Request: id, Attempt: n, Worker: x.worker, Load: w.load()}
 	if k := w.rng.Intn(4); k < 2 && w.now < r.due {
 		e.Kind = []EventKind{JobStarted, JobProgress}[k]
@@ -176,7 +176,7 @@
 	if w.now >= r.due {
 		e.Outcome = TimedOut
 	}
-	x.over, x.clean = true, e.Outcome == Saturated || e.Outcome == ConnectionRefused || e.Outcome == NeverSent
+	x.done, x.neverRan = true, e.Outcome == Saturated || e.Outcome == ConnectionRefused || e.Outcome == NeverSent
 	if e.Outcome == Completed && r.answers == 0 {
 		r.answers = 1
 	}
@@ -184,8 +184,8 @@
 	w.feed(e)
 }
 
-// ring lets the timers that are due go off, in order.
-func (w *world) ring() {
+// fireTimers delivers the timers that are due, in order.
+func (w *simulation) fireTimers() {
 	for len(w.timers) > 0 && w.timers[0].at <= w.now {
 		token := w.timers[0].token
 		w.timers = w.timers[1:]
@@ -193,12 +193,12 @@
 	}
 }
 
-func (w *world) step(next uint64) uint64 {
+func (w *simulation) step(next uint64) uint64 {
 	w.now += w.rng.Int63n(15e3)
 	if w.rng.Intn(40) == 0 {
-		w.list()
+		w.changeList()
 	}
-	w.ring()
+	w.fireTimers()
 	for range max(0, w.rng.Intn(12)-10) {
 		c := w.rng.Intn(len(w.s.Classes))
 		due := w.now + w.rng.Int63n(4e6)
@@ -208,9 +208,9 @@
 	}
 	for id := uint64(1); id < next; id++ {
 		r := w.requests[id]
-		for n := range r.tries {
-			if !r.tries[n].over && (w.rng.Intn(60) == 0 || w.now >= r.due) {
-				w.attempt(id, n)
+		for n := range r.attempts {
+			if !r.attempts[n].done && (w.rng.Intn(60) == 0 || w.now >= r.due) {
+				w.advanceAttempt(id, n)
 			}
 		}
 		if r.answers == 0 && w.rng.Intn(3000) == 0 {
@@ -235,22 +235,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &world{&checker{t: t, s: s, seed: seed, now: 50e6, requests: map[uint64]*seenRequest{},
+		w := &simulation{&checker{t: t, s: s, seed: seed, now: 50e6, requests: map[uint64]*seenRequest{},
 			listed: map[string]Worker{}, everSeen: map[string]Worker{}},
 			rand.New(rand.NewSource(seed)), b, nil}
-		w.list()
+		w.changeList()
 		next := uint64(1)
 		for range 2500 {
 			next = w.step(next)
 		}
-		for range 400 { // nothing new comes: everything must end
+		for range 400 { // without new requests everything must end
 			w.now += 15e3
-			w.ring()
+			w.fireTimers()
 			for id := uint64(1); id < next; id++ {
 				r := w.requests[id]
-				for n := range r.tries {
-					if !r.tries[n].over && w.now >= r.due {
-						w.attempt(id, n)
+				for n := range r.attempts {
+					if !r.attempts[n].done && w.now >= r.due {
+						w.advanceAttempt(id, n)
 					}
 				}
 			}
@@ -261,14 +261,14 @@
 			}
 		}
 		if len(b.requests) != 0 {
-			t.Fatalf("seed %d: %d requests are never forgotten", seed, len(b.requests))
+			t.Fatalf("seed %d: %d requests are never removed", seed, len(b.requests))
 		}
 	}
 }
 
 // The same events must give the same actions.
 func TestDeterminism(t *testing.T) {
-	play := func() string {
+	run := func() string {
 		r := newRig(t, settings(), fleet(20)...)
 		text := ""
 		for i := range 300 {
@@ -276,7 +276,7 @@
 			id, acts := r.arrive(i % 5)
 			text += fmt.Sprintln(acts)
 			if n, a := countActions(acts, Send); n > 0 && i%3 > 0 {
-				text += fmt.Sprintln(r.done(id, 0, a.Worker, Outcome(i%9)))
+				text += fmt.Sprintln(r.finishAttempt(id, 0, a.Worker, Outcome(i%9)))
 			}
 			if i%40 == 0 {
 				text += fmt.Sprintln(r.handle(Event{Kind: TimerDue, Token: tokenPeriodic}))
@@ -284,7 +284,7 @@
 		}
 		return text
 	}
-	first, second := play(), play()
+	first, second := run(), run()
 	if first != second {
 		t.Error("two runs of the same events differ")
 	}
--- a/rig_test.go
+++ b/rig_test.go
@@ -1,13 +1,13 @@
 package topazfall
 
-// What the tests of the module share: plain settings, and a balancer that is driven by hand.
+// Helpers of the module's tests: plain settings, and a balancer that is driven by hand.
 
 import (
 	"fmt"
 	"testing"
 )
 
-// settings returns plain settings with one class of each repeat rule.
+// settings returns plain settings with one class of each repeat rule and group.
 func settings() Settings {
 	class := func(name string, rule RepeatRule, g Group) Class {
 		return Class{Name: name, Deadline: 10e6, Aim: 500e3, Stretch: 2, Worth: 1, LateWorth: 0.3,
@@ -24,6 +24,7 @@
 	}
 }
 
+// The indexes of the classes in settings.
 const (
 	safe = iota
 	unsafe
@@ -40,6 +41,7 @@
 	id  uint64
 }
 
+// newRig returns a rig whose balancer knows a list of workers.
 func newRig(t *testing.T, s Settings, workers ...Worker) *rig {
 	t.Helper()
 	b, err := New(s)
@@ -51,6 +53,7 @@
 	return r
 }
 
+// handle passes an event to the balancer and returns its actions.
 func (r *rig) handle(e Event) []Action {
 	if e.Load == (Load{}) {
 		e.Load = NoLoad
@@ -58,17 +61,19 @@
 	return r.b.Handle(r.now, &e, nil)
 }
 
+// arrive brings a request of a class and returns its id and the actions.
 func (r *rig) arrive(class int) (uint64, []Action) {
 	r.id++
 	return r.id, r.handle(Event{Kind: Arrival, Request: r.id, Class: class, Tenant: -1, Due: r.now + 10e6, Hint: 200e3})
 }
 
-func (r *rig) done(id uint64, attempt int, w string, o Outcome) []Action {
+// finishAttempt ends an attempt and returns the actions.
+func (r *rig) finishAttempt(id uint64, attempt int, w string, o Outcome) []Action {
 	return r.handle(Event{Kind: AttemptDone, Request: id, Attempt: attempt, Worker: w, Outcome: o,
 		Final: o == Completed})
 }
 
-// count returns how many actions of a kind there are, and the last of them.
+// countActions returns how many actions of a kind there are, and the last of them.
 func countActions(acts []Action, k ActionKind) (n int, last Action) {
 	for _, a := range acts {
 		if a.Kind == k {
@@ -78,6 +83,7 @@
 	return n, last
 }
 
+// requireSend fails the test unless exactly one of the actions is a Send, and returns it.
 func (r *rig) requireSend(acts []Action) Action {
 	r.t.Helper()
 	n, a := countActions(acts, Send)
@@ -87,6 +93,7 @@
 	return a
 }
 
+// fleet returns n workers of one zone and kind, three in each cell.
 func fleet(n int) []Worker {
 	var ws []Worker
 	for i := range n {
