--- a/state.go
+++ b/state.go
@@ -41,11 +41,11 @@
 	meanQueued      float64                // moving average of jobs waiting at a worker; below 0: free slots
 	meanQueuedAt    int64                  // when meanQueued was updated
 	tenantShares    share.Shares
-	classRunTimes   map[string]*runTime // by class name
+	classRunTimes   map[string]*runTimeStats // by class name
 }
 
-// runTime is the mean running time of the jobs of a class.
-type runTime struct{ samples, mean float64 }
+// runTimeStats holds the mean running time of the jobs of a class.
+type runTimeStats struct{ samples, mean float64 }
 
 type request struct {
 	id          uint64
@@ -292,9 +292,9 @@
 	class := b.classRunTimes[r.class.Name]
 	if class == nil {
 		if b.classRunTimes == nil {
-			b.classRunTimes = map[string]*runTime{}
+			b.classRunTimes = map[string]*runTimeStats{}
 		}
-		class = &runTime{}
+		class = &runTimeStats{}
 		b.classRunTimes[r.class.Name] = class
 	}
 	class.samples = min(class.samples+1, 32)
