--- a/balancer.go
+++ b/balancer.go
@@ -527,8 +527,7 @@
 	if w == nil || queue < 0 && free < 0 && inflight < 0 {
 		return
 	}
-	// The number of slots is learned, but a single odd report at most doubles it: the cold budget depends on
-	// it.
+	// The number of slots is learned, but one report can at most double it: the cold budget depends on it.
 	w.kind.slots = max(w.kind.slots, min(math.Round(free*0.9), w.kind.slots*2))
 	jobs := inflight - w.kind.slots
 	if queue >= 0.5 || queue >= 0 && free < 0 && inflight < 0 {
@@ -731,8 +730,7 @@
 		b.ranked = append(b.ranked, w)
 	}
 	w.listed = l.State != Gone
-	// A live weight is a load report of every worker, even for a dispatcher that sends too little to get
-	// others.
+	// A live weight is a load report of every worker, even for a dispatcher that sends too little to get any.
 	if b.settings.LiveWeights && w.listed {
 		b.recordLoad(w, Load{Queue: -1, Inflight: w.observeWeight(l.Weight), Free: -1})
 	}
--- a/coldfleet_test.go
+++ b/coldfleet_test.go
@@ -23,7 +23,7 @@
 	listDelay    = int64(400e3)  // the maximum delay of a list
 	downFor      = int64(1500e3) // how long a worker is gone before it returns under its id
 	plainWork    = 300e3         // mean work of a job, in microseconds of a standard core
-	queuePerCore = 7             // a worker rejects further jobs, which count as work sent to it all the same
+	queuePerCore = 7             // beyond this a worker rejects jobs, which count as sent to it all the same
 	workSpread   = 0.6           // coefficient of variation of the work; that of the hints is half of it
 )
 
