--- a/internal/upstream/route.go
+++ b/internal/upstream/route.go
@@ -18,297 +18,303 @@
 	"topazfall/internal/exchange"
 )
 
-// route is how one host with several addresses is reached. Connections belong to the host and the address: after an
-// address has moved to another host, those of the one before are used no more.
+// route holds the addresses of one host (worker) with several addresses, and the connections to them. A connection
+// belongs to the host and the address: after an address has moved to another host, the connections of the old host are
+// not used again.
 type route struct {
-	host string
+	hostID string
 
-	mu    sync.Mutex // may be held when Side.mu is taken, never the other way round
+	mu    sync.Mutex // may be held when Transport.mu is locked, never the other way round
 	set   *addresses.Set
 	pools map[addresses.Address]*fasthttp.HostClient
 }
 
-// SetAddresses takes the addresses of a host as they are now; nil is for a host that has gone, or has none but its dial.
-// Connections and what was learned of the addresses that stay are kept; the others end what is on them.
-func (s *Transport) SetAddresses(host string, list []addresses.Address) {
-	s.mu.Lock()
-	rt := s.routes[host]
+// SetAddresses sets the addresses of a host. list is nil for a host that was removed, or that is reached by its single
+// dial address. Addresses that stay keep their connections and their state; calls under way on the others are finished.
+func (t *Transport) SetAddresses(hostID string, list []addresses.Address) {
+	t.mu.Lock()
+	rt := t.routes[hostID]
 	switch {
 	case list == nil:
-		delete(s.routes, host)
+		delete(t.routes, hostID)
 	case rt == nil:
-		rt = &route{host: host, pools: map[addresses.Address]*fasthttp.HostClient{},
-			set: addresses.NewSet(s.limits(), rand.New(rand.NewPCG(s.o.Seed, rand.Uint64())))}
+		rt = &route{hostID: hostID, pools: map[addresses.Address]*fasthttp.HostClient{},
+			set: addresses.NewSet(t.currentAddressLimits(), rand.New(rand.NewPCG(t.options.Seed, rand.Uint64())))}
 		rt.set.Update(list)
-		rt.set.Inherit(s.core.Now(), s.inherited[host])
-		delete(s.inherited, host)
-		s.routes[host] = rt
+		rt.set.Inherit(t.core.Now(), t.inheritedAddresses[hostID])
+		delete(t.inheritedAddresses, hostID)
+		t.routes[hostID] = rt
 	}
-	s.mu.Unlock()
+	t.mu.Unlock()
 	if rt != nil {
-		s.o.Metrics.HasMultiAddress.Store(true)
-		rt.keep(list)
+		t.options.Metrics.HasMultiAddress.Store(true)
+		rt.setAddresses(list)
 	}
 }
 
-// keep makes list the addresses of the host.
-func (rt *route) keep(list []addresses.Address) {
+// setAddresses replaces the addresses of the host and closes the idle connections to those that are no longer listed.
+func (rt *route) setAddresses(list []addresses.Address) {
 	rt.mu.Lock()
 	rt.set.Update(list)
-	var gone []*fasthttp.HostClient
-	for a, c := range rt.pools {
+	var removed []*fasthttp.HostClient
+	for a, pool := range rt.pools {
 		if !rt.set.Has(a) {
-			gone = append(gone, c)
+			removed = append(removed, pool)
 			delete(rt.pools, a)
 		}
 	}
 	rt.mu.Unlock()
-	for _, c := range gone {
-		c.CloseIdleConnections()
+	for _, pool := range removed {
+		pool.CloseIdleConnections()
 	}
 }
 
-// renew makes the connections that are opened from now on follow other limits.
-func (rt *route) renew(l addresses.Limits, anew bool) {
+// setLimits changes the limits for addresses. With renewPools, all connections are opened anew from now on.
+func (rt *route) setLimits(limits addresses.Limits, renewPools bool) {
 	rt.mu.Lock()
-	rt.set.SetLimits(l)
-	var old map[addresses.Address]*fasthttp.HostClient
-	if anew {
-		old, rt.pools = rt.pools, map[addresses.Address]*fasthttp.HostClient{}
+	rt.set.SetLimits(limits)
+	var oldPools map[addresses.Address]*fasthttp.HostClient
+	if renewPools {
+		oldPools, rt.pools = rt.pools, map[addresses.Address]*fasthttp.HostClient{}
 	}
 	rt.mu.Unlock()
-	for _, c := range old {
-		c.CloseIdleConnections()
+	for _, pool := range oldPools {
+		pool.CloseIdleConnections()
 	}
 }
 
-// pool keeps the connections to one address; rt.mu is held. The settings are those of Side.client.
-func (s *Transport) pool(rt *route, a addresses.Address, t ConnSettings) *fasthttp.HostClient {
-	c := rt.pools[a]
-	if c == nil {
-		c = s.newClient(a.String(), t, s.dial(a.Network(), a.Target(), t.DialTimeout))
-		rt.pools[a] = c
+// addressPool returns the connection pool of one address of a host, with the same pool settings as Transport.pool.
+// rt.mu must be held.
+func (t *Transport) addressPool(rt *route, a addresses.Address, settings ConnSettings) *fasthttp.HostClient {
+	p := rt.pools[a]
+	if p == nil {
+		p = t.newPool(a.String(), settings, t.dial(a.Network(), a.Target(), settings.DialTimeout))
+		rt.pools[a] = p
 	}
-	return c
+	return p
 }
 
-// limits are the knobs of the addresses; s.mu is held.
-func (s *Transport) limits() addresses.Limits {
-	l := s.knobs
-	l.CanProbe = s.times.ProbeAllowed
-	return l
+// currentAddressLimits returns the limits for addresses. t.mu must be held.
+func (t *Transport) currentAddressLimits() addresses.Limits {
+	limits := t.addressLimits
+	limits.CanProbe = t.settings.ProbeAllowed
+	return limits
 }
 
-// SetAddressLimits changes the knobs of the addresses; Probe is that of the settings.
-func (s *Transport) SetAddressLimits(l addresses.Limits) {
-	s.mu.Lock()
-	s.knobs = l
-	l, routes := s.limits(), slices.Collect(maps.Values(s.routes))
-	s.mu.Unlock()
+// SetAddressLimits changes the limits for addresses. CanProbe is ignored: ProbeAllowed of the ConnSettings counts.
+func (t *Transport) SetAddressLimits(limits addresses.Limits) {
+	t.mu.Lock()
+	t.addressLimits = limits
+	limits, routes := t.currentAddressLimits(), slices.Collect(maps.Values(t.routes))
+	t.mu.Unlock()
 	for _, rt := range routes {
-		rt.renew(l, false)
+		rt.setLimits(limits, false)
 	}
 }
 
-var errNoWay = errors.New("no address could be connected to")
+// errNoAddress is returned when no connection to any address of a host could be opened.
+var errNoAddress = errors.New("no address of the host could be connected to")
 
-// errDead is of a connection that came up and had ended before anything was written.
-var errDead = errors.New("the connection was closed as soon as it was up")
+// errClosedEarly is returned for a new connection that was closed before anything was written to it.
+var errClosedEarly = errors.New("connection was closed right after it was opened")
 
-// way is one call's way to a host with several addresses.
-type way struct {
-	s       *Transport
-	rt      *route
-	race    *addresses.Race
-	fresh   bool
-	wake    chan struct{}
-	won     *line
-	started int // connections asked for
+// connector finds a connection to a host with several addresses, for one call.
+type connector struct {
+	transport *Transport
+	route     *route
+	race      *addresses.Race
+	newConn   bool
+	wake      chan struct{}
+	winner    *countedConn
+	dials     int // connections requested, kept ones included
 }
 
-// find begins the race for a connection to the host, which must be found by a time on the core's clock. What is due to
-// be proved beside the messages is so now.
-func (s *Transport) find(rt *route, once, fresh bool, by int64) *way {
-	w := &way{s: s, rt: rt, fresh: fresh, wake: make(chan struct{}, 1)}
-	now := s.core.Now()
+// newConnector starts the race between the host's addresses for a connection, which must be found by deadline, in
+// microseconds on the core's clock. It also starts the trial of an address if one is due.
+func (t *Transport) newConnector(rt *route, runOnce, newConn bool, deadline int64) *connector {
+	c := &connector{transport: t, route: rt, newConn: newConn, wake: make(chan struct{}, 1)}
+	now := t.core.Now()
 	rt.mu.Lock()
-	w.race = rt.set.NewRace(now, by, once)
-	a, how := rt.set.NextTrial(now)
+	c.race = rt.set.NewRace(now, deadline, runOnce)
+	a, trial := rt.set.NextTrial(now)
 	rt.mu.Unlock()
-	if how != addresses.NoTrial {
-		go s.prove(rt, a, how)
+	if trial != addresses.NoTrial {
+		go t.proveAddress(rt, a, trial)
 	}
-	return w
+	return c
 }
 
-// next returns the connection to write on. It is called again only if nothing was written on the last.
-func (w *way) next() (addresses.Address, *line, error) {
-	t := w.s.timesNow()
+// next returns the connection to write on. It may be called again if nothing was written on the one before.
+func (c *connector) next() (addresses.Address, *countedConn, error) {
+	settings := c.transport.currentSettings()
 	for {
-		now := w.s.core.Now()
-		w.rt.mu.Lock()
-		step := w.race.Step(now)
-		won := w.won
-		var client *fasthttp.HostClient
+		now := c.transport.core.Now()
+		c.route.mu.Lock()
+		step := c.race.Step(now)
+		winner := c.winner
+		var pool *fasthttp.HostClient
 		if step.Action == addresses.Open {
-			client = w.s.pool(w.rt, step.Address, t)
+			pool = c.transport.addressPool(c.route, step.Address, settings)
 		}
-		w.rt.mu.Unlock()
+		c.route.mu.Unlock()
 		switch step.Action {
 		case addresses.Use:
-			if w.started > 1 {
-				w.s.o.Metrics.AddressMoves.Add(1)
+			if c.dials > 1 {
+				c.transport.options.Metrics.AddressMoves.Add(1)
 			}
-			return step.Address, won, nil
+			return step.Address, winner, nil
 		case addresses.GiveUp:
-			return addresses.Address{}, nil, errNoWay
+			return addresses.Address{}, nil, errNoAddress
 		case addresses.Open:
-			w.started++
-			go w.open(step.Address, client)
+			c.dials++
+			go c.open(step.Address, pool)
 			continue
 		}
 		timer := time.NewTimer(time.Duration(step.Until-now) * time.Microsecond)
 		select {
-		case <-w.wake:
+		case <-c.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// open takes a kept connection or opens one, and tells the race, which may be over.
-func (w *way) open(a addresses.Address, client *fasthttp.HostClient) {
-	began := w.s.core.Now()
-	l, err := w.s.ready(client, w.fresh, began)
-	now := w.s.core.Now()
-	first := false
-	w.rt.mu.Lock()
+// open takes a kept connection or opens one, and reports the result to the race, which may be over by then.
+func (c *connector) open(a addresses.Address, pool *fasthttp.HostClient) {
+	start := c.transport.core.Now()
+	conn, err := c.transport.acquire(pool, c.newConn, start)
+	now := c.transport.core.Now()
+	won := false
+	c.route.mu.Lock()
 	if err != nil {
-		w.race.Failed(now, a, failure(err))
-	} else if first = w.race.Opened(now, a, l.took, l.born < began); first {
-		w.won = l
+		c.race.Failed(now, a, classifyFailure(err))
+	} else if won = c.race.Opened(now, a, conn.dialTime, conn.openedAt < start); won {
+		c.winner = conn
 	}
-	w.rt.mu.Unlock()
-	w.rt.log()
-	if err == nil && !first {
-		w.s.park(w.rt, a, client, l)
+	c.route.mu.Unlock()
+	c.route.logChanges()
+	if err == nil && !won {
+		c.transport.returnUnused(c.route, a, pool, conn)
 	}
 	select {
-	case w.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// ready takes a connection that can carry something: one on which nothing was sent yet, if fresh is set. One that was
-// opened for it and has ended already is an error: another would most likely fare the same.
-func (s *Transport) ready(client *fasthttp.HostClient, fresh bool, began int64) (*line, error) {
+// acquire takes a usable connection from the pool or opens one; with newConn set, one on which nothing was sent yet. If
+// a connection was opened for the purpose and is closed already, acquire returns an error, as another one would most
+// likely end in the same way.
+func (t *Transport) acquire(pool *fasthttp.HostClient, newConn bool, start int64) (*countedConn, error) {
 	for {
-		cc, err := client.AcquireConn(0, false)
+		pooled, err := pool.AcquireConn(0, false)
 		if err != nil {
-			s.o.Metrics.AddressFailed.Add(1)
+			t.options.Metrics.AddressFailed.Add(1)
 			return nil, err
 		}
-		l := cc.Conn().(*line)
-		if l.born >= began {
-			s.o.Metrics.AddressOpened.Add(1)
+		conn := pooled.Conn().(*countedConn)
+		if conn.openedAt >= start {
+			t.options.Metrics.AddressOpened.Add(1)
 		}
-		dead := s.spent(l)
-		if !dead && !(fresh && l.used) {
-			if l.give == nil {
-				l.client, l.give = client, func(keep bool) {
+		dead := t.isSpent(conn)
+		if !dead && !(newConn && conn.isUsed) {
+			if conn.giveBack == nil {
+				conn.pool, conn.giveBack = pool, func(keep bool) {
 					if keep {
-						client.ReleaseConn(cc)
+						pool.ReleaseConn(pooled)
 					} else {
-						client.CloseConn(cc)
+						pool.CloseConn(pooled)
 					}
 				}
 			}
-			return l, nil
+			return conn, nil
 		}
-		client.CloseConn(cc)
-		if dead && l.born >= began {
-			return nil, errDead
+		pool.CloseConn(pooled)
+		if dead && conn.openedAt >= start {
+			return nil, errClosedEarly
 		}
 	}
 }
 
-// park keeps a connection that is not used, if there is room and the host still has the address. The quarter that is
-// left is for the messages that come.
-func (s *Transport) park(rt *route, a addresses.Address, client *fasthttp.HostClient, l *line) {
+// returnUnused returns a connection that was not needed to its pool, unless the host has lost the address or three
+// quarters of the allowed connections are open. The last quarter is left for the messages to come.
+func (t *Transport) returnUnused(rt *route, a addresses.Address, pool *fasthttp.HostClient, conn *countedConn) {
 	rt.mu.Lock()
-	keep := rt.set.Has(a) && rt.pools[a] == client
+	keep := rt.set.Has(a) && rt.pools[a] == pool
 	rt.mu.Unlock()
-	l.give(keep && s.conns.Load() <= s.most.Load()*3/4)
+	conn.giveBack(keep && t.openConns.Load() <= t.maxConns.Load()*3/4)
 }
 
-// failure says what an error of a connection means for its address.
-func failure(err error) addresses.Failure {
+// classifyFailure returns what an error of a connection means for its address.
+func classifyFailure(err error) addresses.Failure {
 	switch {
-	case err == errDead:
+	case err == errClosedEarly:
 		return addresses.ConnectionReset
 	case errors.Is(err, errTooMany), errors.Is(err, fasthttp.ErrNoFreeConns), errors.Is(err, syscall.EMFILE),
 		errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.EADDRNOTAVAIL), errors.Is(err, syscall.ENOBUFS):
-		return addresses.Unrelated // we lack something, not the host
+		return addresses.Unrelated // a resource is exhausted here, not at the host
 	case isTimeout(err):
 		return addresses.ConnectTimeout
 	}
 	return addresses.ConnectionRefused
 }
 
+// isTimeout reports whether err is a timeout of the network.
 func isTimeout(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// prove tries an address beside the messages.
-func (s *Transport) prove(rt *route, a addresses.Address, how addresses.TrialKind) {
-	s.o.Metrics.AddressTrials.Add(1)
-	began, t := s.core.Now(), s.timesNow()
+// proveAddress makes a trial of an address that does not involve a message: it opens a connection or probes the host.
+func (t *Transport) proveAddress(rt *route, a addresses.Address, trial addresses.TrialKind) {
+	t.options.Metrics.AddressTrials.Add(1)
+	start, settings := t.core.Now(), t.currentSettings()
 	rt.mu.Lock()
-	client := s.pool(rt, a, t)
+	pool := t.addressPool(rt, a, settings)
 	rt.mu.Unlock()
-	why := addresses.NoFailure
-	switch l, err := s.ready(client, true, began); {
+	result := addresses.NoFailure
+	switch conn, err := t.acquire(pool, true, start); {
 	case err != nil:
-		why = failure(err)
-	case how == addresses.ConnectTrial:
-		s.park(rt, a, client, l)
+		result = classifyFailure(err)
+	case trial == addresses.ConnectTrial:
+		t.returnUnused(rt, a, pool, conn)
 	default:
-		out := fasthttp.AcquireResponse()
-		defer fasthttp.ReleaseResponse(out)
-		by := time.Now().Add(probeTime)
-		_, _, keep, err := s.say(client, l, call{out: out, writeBy: by, readBy: by,
-			compose: bare("GET", "/status/load", rt.host)})
-		if l.give(keep); err != nil {
-			why = addresses.ConnectionReset
+		response := fasthttp.AcquireResponse()
+		defer fasthttp.ReleaseResponse(response)
+		deadline := time.Now().Add(probeTimeout)
+		_, _, keep, err := t.roundTripOn(pool, conn, call{response: response,
+			writeDeadline: deadline, readDeadline: deadline,
+			compose: encodeBareRequest("GET", "/status/load", rt.hostID)})
+		if conn.giveBack(keep); err != nil {
+			result = addresses.ConnectionReset
 		}
 	}
 	rt.mu.Lock()
-	rt.set.TrialEnded(s.core.Now(), a, how, began, why)
+	rt.set.TrialEnded(t.core.Now(), a, trial, start, result)
 	rt.mu.Unlock()
-	rt.log()
+	rt.logChanges()
 }
 
-// across is talk for a host with several addresses. Until something is written it moves from one to the next; what
-// became of the call is told to the set.
-func (s *Transport) across(h *exchange.Host, c call) (written bool, err error) {
-	s.mu.Lock()
-	rt, by := s.routes[h.ID], s.core.Now()+s.times.DialTimeout.Microseconds()
-	s.mu.Unlock()
-	if rt == nil { // the host has just gone
-		return false, errNoWay
+// roundTripAcross is roundTrip for a host with several addresses. Until something is written it goes on from one
+// address to the next. It reports the result of the call to the set of addresses.
+func (t *Transport) roundTripAcross(h *exchange.Host, c call) (written bool, err error) {
+	t.mu.Lock()
+	rt, deadline := t.routes[h.ID], t.core.Now()+t.settings.DialTimeout.Microseconds()
+	t.mu.Unlock()
+	if rt == nil { // the host was just removed
+		return false, errNoAddress
 	}
 	if c.relay != nil {
-		by = min(by, c.relay.Due)
+		deadline = min(deadline, c.relay.Due)
 	}
 	compose := c.compose
-	w := s.find(rt, c.once, c.fresh, by)
+	connector := t.newConnector(rt, c.runOnce, c.newConn, deadline)
 	for {
-		a, l, err := w.next()
+		a, conn, err := connector.next()
 		if err != nil {
 			return false, err
 		}
-		began, moved, fresh := s.core.Now(), false, !l.used
+		start, moved, unused := t.core.Now(), false, !conn.isUsed
 		c.compose = func(nc net.Conn) []byte {
 			rt.mu.Lock()
 			defer rt.mu.Unlock()
@@ -317,69 +323,69 @@
 			}
 			return compose(nc)
 		}
-		n, whole, keep, err := s.say(l.client, l, c)
-		l.give(keep && !moved)
+		n, written, keep, err := t.roundTripOn(conn.pool, conn, c)
+		conn.giveBack(keep && !moved)
 		rt.mu.Lock()
-		now := s.core.Now()
+		now := t.core.Now()
 		switch {
-		case moved: // it is another host's by now, and what listens there perhaps as well
-			w.race.Failed(now, a, addresses.Unrelated)
+		case moved: // the address, and perhaps its listener too, belongs to another host by now
+			connector.race.Failed(now, a, addresses.Unrelated)
 		case err == nil:
-			rt.set.Answered(now, a, began, !c.proves)
-		case err == errNotSent || isTimeout(err): // no word on the address
-		case c.relay != nil && (c.relay.IsEnded() || c.relay.IsAccepted()): // nor this
-		case n > 0 && fresh:
-			s.o.Metrics.AddressResets.Add(1)
-			rt.set.RequestReset(now, a, began, c.once)
+			rt.set.Answered(now, a, start, !c.provesAddress)
+		case err == errNotSent || isTimeout(err): // says nothing about the address
+		case c.relay != nil && (c.relay.IsEnded() || c.relay.IsAccepted()): // nor does this
+		case n > 0 && unused:
+			t.options.Metrics.AddressResets.Add(1)
+			rt.set.RequestReset(now, a, start, c.runOnce)
 		case n > 0:
 			rt.set.KeptConnectionClosed(a)
 		}
 		if !moved {
-			w.race.Finish()
+			connector.race.Finish()
 		}
 		rt.mu.Unlock()
-		rt.log()
+		rt.logChanges()
 		if !moved {
-			return whole, err
+			return written, err
 		}
 	}
 }
 
-// log says what is believed anew.
-func (rt *route) log() {
+// logChanges logs the changes of the addresses' states.
+func (rt *route) logChanges() {
 	rt.mu.Lock()
-	news := rt.set.Changes()
+	changes := rt.set.Changes()
 	rt.mu.Unlock()
-	for _, m := range news {
+	for _, memory := range changes {
 		level := slog.LevelInfo
-		if m.State != addresses.Good || m.Doubt != addresses.NoDoubt {
+		if memory.State != addresses.Good || memory.Doubt != addresses.NoDoubt {
 			level = slog.LevelWarn
 		}
-		slog.Log(context.Background(), level, "address", "host", rt.host, "address", m.Address, "state", m.State,
-			"doubt", m.Doubt, "failures", m.Failures, "connect_us", m.Connect)
+		slog.Log(context.Background(), level, "address", "host", rt.hostID, "address", memory.Address,
+			"state", memory.State, "doubt", memory.Doubt, "failures", memory.Failures, "connect_us", memory.Connect)
 	}
 }
 
-// HandoverState is what another process goes on with: what is believed of the addresses, by host.
+// HandoverState is the state of the addresses, by host ID, that a successor process starts with.
 type HandoverState map[string][]addresses.Memory
 
-// HandoverState returns what is believed now.
-func (s *Transport) HandoverState() HandoverState {
-	s.mu.Lock()
-	routes := slices.Collect(maps.Values(s.routes))
-	s.mu.Unlock()
-	l := HandoverState{}
+// HandoverState returns the state of the addresses.
+func (t *Transport) HandoverState() HandoverState {
+	t.mu.Lock()
+	routes := slices.Collect(maps.Values(t.routes))
+	t.mu.Unlock()
+	state := HandoverState{}
 	for _, rt := range routes {
 		rt.mu.Lock()
-		l[rt.host] = rt.set.Memory()
+		state[rt.hostID] = rt.set.Memory()
 		rt.mu.Unlock()
 	}
-	return l
+	return state
 }
 
-// RestoreState goes on with a legacy; it comes before the list of hosts.
-func (s *Transport) RestoreState(l HandoverState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.inherited = l
+// RestoreState sets the state that the predecessor handed over. It is called before the list of hosts is applied.
+func (t *Transport) RestoreState(state HandoverState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.inheritedAddresses = state
 }
--- a/internal/upstream/route_test.go
+++ b/internal/upstream/route_test.go
@@ -15,9 +15,9 @@
 	"topazfall/internal/metrics"
 )
 
-// A list that changes keeps what was learned, and the connections, of the addresses that stay, closes those of the
-// others, and new limits at SIGHUP take nothing away. A host that has gone leaves nothing.
-func TestRouteKeepsWhatStays(t *testing.T) {
+// When the list of addresses changes, the addresses that stay keep their state and connections, and the connections of
+// the others are closed. New limits, as at SIGHUP, discard nothing. A host that is removed leaves nothing behind.
+func TestRouteKeepsStateOfRemainingAddresses(t *testing.T) {
 	h, err := host.Start(host.Options{Name: "h", Dir: t.TempDir()}, func([]byte) error { return nil }, "127.0.0.1:0",
 		"[::1]:0")
 	require.NoError(t, err)
@@ -25,51 +25,53 @@
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
 		Allowed: topazfall.Allowed{Attempts: 1}}, &metrics.Metrics{})
 	require.NoError(t, err)
-	s := New(core,
-		Options{ConnSettings: ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour}, MaxConns: 9, Metrics: &metrics.Metrics{}})
+	transport := New(core,
+		Options{ConnSettings: ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour}, MaxConns: 9,
+			Metrics: &metrics.Metrics{}})
 	both, faults := addresses.ParseList(h.Addresses())
 	require.Empty(t, faults)
-	s.SetAddresses("h", both)
+	transport.SetAddresses("h", both)
 	to := &exchange.Host{ID: "h", MultiAddress: true}
-	call := func() error { return s.call("GET", "/health", to, time.Second, nil) }
+	call := func() error { return transport.simpleCall("GET", "/health", to, time.Second, nil) }
 	require.NoError(t, call())
 	require.NoError(t, call())
-	require.EqualValues(t, 1, s.conns.Load())
-	require.Equal(t, 1, h.Accepted(0), "kept, and used again")
-	require.Equal(t, addresses.Good, s.HandoverState()["h"][0].State)
+	require.EqualValues(t, 1, transport.openConns.Load())
+	require.Equal(t, 1, h.Accepted(0), "the connection is kept and used again")
+	require.Equal(t, addresses.Good, transport.HandoverState()["h"][0].State)
 
-	s.SetConnSettings(ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour, ProbeAllowed: true})
-	s.SetAddresses("h", []addresses.Address{both[1], both[0]}) // another order
-	require.Equal(t, addresses.Good, s.HandoverState()["h"][1].State)
+	transport.SetConnSettings(ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour, ProbeAllowed: true})
+	transport.SetAddresses("h", []addresses.Address{both[1], both[0]}) // another order
+	require.Equal(t, addresses.Good, transport.HandoverState()["h"][1].State)
 	require.NoError(t, call())
 	require.Equal(t, 1, h.Accepted(0))
-	require.Eventually(t, func() bool { return s.HandoverState()["h"][0].State == addresses.Good }, 10*time.Second,
-		time.Millisecond, "the one that is preferred now was probed")
+	require.Eventually(t, func() bool { return transport.HandoverState()["h"][0].State == addresses.Good },
+		10*time.Second, time.Millisecond, "the address that is preferred now was probed")
 
-	s.SetAddresses("h", both[1:])
-	require.Eventually(t, func() bool { return s.conns.Load() == 1 }, 10*time.Second, time.Millisecond,
-		"that of the probe")
+	transport.SetAddresses("h", both[1:])
+	require.Eventually(t, func() bool { return transport.openConns.Load() == 1 }, 10*time.Second, time.Millisecond,
+		"the connection of the probe stays")
 	require.NoError(t, call())
 	require.Equal(t, 1, h.Accepted(0))
 	require.Equal(t, 1, h.Accepted(1))
-	s.SetAddresses("h", nil)
-	require.Empty(t, s.HandoverState())
-	require.ErrorIs(t, call(), errNoWay)
-	require.Eventually(t, func() bool { return s.conns.Load() == 0 }, 10*time.Second, time.Millisecond)
+	transport.SetAddresses("h", nil)
+	require.Empty(t, transport.HandoverState())
+	require.ErrorIs(t, call(), errNoAddress)
+	require.Eventually(t, func() bool { return transport.openConns.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// What a connection comes to is told apart: what we lack is no fault of the address.
-func TestFailures(t *testing.T) {
+// Errors of connections are classified: a resource that is exhausted here is not a fault of the address.
+func TestClassifyFailure(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want addresses.Failure
-	}{{errTooMany, addresses.Unrelated}, {errDead, addresses.ConnectionReset},
+	}{{errTooMany, addresses.Unrelated}, {errClosedEarly, addresses.ConnectionReset},
 		{&net.OpError{Err: timeout{}}, addresses.ConnectTimeout},
 		{net.ErrClosed, addresses.ConnectionRefused}} {
-		require.Equal(t, c.want, failure(c.err), c.err)
+		require.Equal(t, c.want, classifyFailure(c.err), c.err)
 	}
 }
 
+// timeout is a network error that is a timeout.
 type timeout struct{}
 
 func (timeout) Error() string { return "timeout" }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream talks to the workers: it forwards requests to them, receives their callbacks, cancels jobs and
-// probes them. Every attempt is written at most once; this package never retries by itself.
+// Package upstream talks to the workers: it forwards messages (client requests) to them, parses their callbacks,
+// cancels jobs and probes workers. Every relay (one attempt at one worker) is written at most once; this package never
+// retries it.
 package upstream
 
 import (
@@ -21,240 +22,247 @@
 	"topazfall/internal/metrics"
 )
 
-// Options bound what the south side uses.
+// Options configure a Transport.
 type Options struct {
 	ConnSettings
-	MaxConns int // most connections at a time
+	MaxConns int // open connections
 	Metrics  *metrics.Metrics
-	Seed     uint64
+	Seed     uint64 // of the random numbers that spread the backoffs of addresses
 }
 
-// ConnSettings are the limits in time on connections to hosts.
+// ConnSettings are the settings for connections to hosts (workers).
 type ConnSettings struct {
 	DialTimeout  time.Duration
-	IdleTimeout  time.Duration // the hosts' idle limit
-	ProbeAllowed bool          // hosts may be asked for their load
+	IdleTimeout  time.Duration // after which hosts close an idle connection
+	ProbeAllowed bool          // whether hosts may be asked for their load
 }
 
 const (
-	sideCall  = 2 * time.Second // the most that a call-off may take
-	probeTime = 500 * time.Millisecond
-	burntTime = time.Minute // for which messages keep off kept connections after one was found dead
-	largest   = 64 << 10    // of an answer's body
+	cancelTimeout = 2 * time.Second // for cancelling a job at its worker
+	probeTimeout  = 500 * time.Millisecond
+	reuseBan      = time.Minute // for which no kept connection is used after one was found dead
+	maxAnswerBody = 64 << 10    // bytes
 )
 
-// Transport is the south side.
+// Transport keeps the connections to the workers and makes all calls on them.
 type Transport struct {
-	core  *dispatch.Core
-	o     Options
-	conns atomic.Int64
-	most  atomic.Int64 // of conns
-	side  atomic.Int64 // calls other than relays that are under way
-	burnt atomic.Int64 // when a kept connection was last found dead, on the core's clock
+	core            *dispatch.Core
+	options         Options
+	openConns       atomic.Int64
+	maxConns        atomic.Int64
+	pendingCancels  atomic.Int64 // cancel calls under way
+	deadConnFoundAt atomic.Int64 // when a kept connection was last found dead, in microseconds on the core's clock
 
-	mu      sync.Mutex
-	times   ConnSettings
-	clients map[string]*fasthttp.HostClient
-	routes  map[string]*route            // to the hosts with several addresses
-	early   map[*exchange.Relay]net.Conn // relays written, or being written, that the host has not answered
+	mu         sync.Mutex
+	settings   ConnSettings
+	pools      map[string]*fasthttp.HostClient // by address, of the hosts with one address
+	routes     map[string]*route               // by ID, of the hosts with several addresses
+	unanswered map[*exchange.Relay]net.Conn    // relays that were written, or are being written, without an answer yet
 
-	knobs     addresses.Limits
-	inherited HandoverState // of the hosts that are not listed yet
+	addressLimits      addresses.Limits
+	inheritedAddresses HandoverState // of the predecessor, for the hosts that are not listed yet
 }
 
-// New returns a south side that reports to core.
-func New(core *dispatch.Core, o Options) *Transport {
-	s := &Transport{core: core, o: o, times: o.ConnSettings, clients: map[string]*fasthttp.HostClient{},
-		routes: map[string]*route{}, knobs: addresses.Defaults,
-		early: map[*exchange.Relay]net.Conn{}}
-	s.SetMaxConns(o.MaxConns)
-	return s
+// New returns a transport that reports the results of its calls to core.
+func New(core *dispatch.Core, options Options) *Transport {
+	t := &Transport{core: core, options: options, settings: options.ConnSettings,
+		pools: map[string]*fasthttp.HostClient{}, routes: map[string]*route{}, addressLimits: addresses.Defaults,
+		unanswered: map[*exchange.Relay]net.Conn{}}
+	t.SetMaxConns(options.MaxConns)
+	return t
 }
 
-// SetConnSettings changes the limits. Connections that are kept under the old ones are used no more.
-func (s *Transport) SetConnSettings(t ConnSettings) {
-	s.mu.Lock()
-	if s.times == t {
-		s.mu.Unlock()
+// SetConnSettings changes the settings for connections. Kept connections from before are not used again, except those
+// of hosts with several addresses if only ProbeAllowed has changed.
+func (t *Transport) SetConnSettings(settings ConnSettings) {
+	t.mu.Lock()
+	if t.settings == settings {
+		t.mu.Unlock()
 		return
 	}
-	old, anew := s.clients, s.times.DialTimeout != t.DialTimeout || s.times.IdleTimeout != t.IdleTimeout
-	s.times, s.clients = t, map[string]*fasthttp.HostClient{}
-	l, routes := s.limits(), slices.Collect(maps.Values(s.routes))
-	s.mu.Unlock()
-	for _, c := range old {
-		c.CloseIdleConnections()
+	oldPools, renewPools := t.pools,
+		t.settings.DialTimeout != settings.DialTimeout || t.settings.IdleTimeout != settings.IdleTimeout
+	t.settings, t.pools = settings, map[string]*fasthttp.HostClient{}
+	limits, routes := t.currentAddressLimits(), slices.Collect(maps.Values(t.routes))
+	t.mu.Unlock()
+	for _, pool := range oldPools {
+		pool.CloseIdleConnections()
 	}
 	for _, rt := range routes {
-		rt.renew(l, anew)
+		rt.setLimits(limits, renewPools)
 	}
 }
 
-func (s *Transport) timesNow() ConnSettings {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.times
+// currentSettings returns the settings for connections.
+func (t *Transport) currentSettings() ConnSettings {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.settings
 }
 
-// SetMaxConns changes the bound on connections. Those over it end by themselves.
-func (s *Transport) SetMaxConns(most int) { s.most.Store(int64(most)) }
+// SetMaxConns changes the limit on open connections. Connections over a lowered limit are not closed early.
+func (t *Transport) SetMaxConns(maxConns int) { t.maxConns.Store(int64(maxConns)) }
 
 var errTooMany = errors.New("too many connections")
 
-// client keeps the connections to one address. The newest is used first, so that the rest fall idle; they
-// are closed well before the host would do it, as what crosses the host's closing is lost.
-func (s *Transport) client(addr string) *fasthttp.HostClient {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.clients[addr]
-	if c == nil {
-		c = s.newClient(addr, s.times, s.dial("tcp", addr, s.times.DialTimeout))
-		s.clients[addr] = c
+// pool returns the connection pool of one address. It uses the newest connection first, so that the others become idle.
+// Idle ones are closed well before the host would do it: a message that is written while the host closes is lost.
+func (t *Transport) pool(addr string) *fasthttp.HostClient {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.pools[addr]
+	if p == nil {
+		p = t.newPool(addr, t.settings, t.dial("tcp", addr, t.settings.DialTimeout))
+		t.pools[addr] = p
 	}
-	return c
+	return p
 }
 
-func (s *Transport) newClient(addr string, t ConnSettings, dial fasthttp.DialFunc) *fasthttp.HostClient {
-	return &fasthttp.HostClient{Addr: addr, MaxConns: s.o.MaxConns, MaxIdleConnDuration: t.IdleTimeout * 2 / 3,
-		ConnPoolStrategy: fasthttp.LIFO, MaxIdemponentCallAttempts: 1, Dial: dial}
+// newPool returns a connection pool that opens connections with dial.
+func (t *Transport) newPool(addr string, settings ConnSettings, dial fasthttp.DialFunc) *fasthttp.HostClient {
+	return &fasthttp.HostClient{Addr: addr, MaxConns: t.options.MaxConns,
+		MaxIdleConnDuration: settings.IdleTimeout * 2 / 3, ConnPoolStrategy: fasthttp.LIFO,
+		MaxIdemponentCallAttempts: 1, Dial: dial}
 }
 
-// dial opens a connection, within the bound that the limit on descriptors sets.
-func (s *Transport) dial(network, target string, limit time.Duration) fasthttp.DialFunc {
+// dial returns a function that opens a connection unless the limit of SetMaxConns is reached.
+func (t *Transport) dial(network, target string, timeout time.Duration) fasthttp.DialFunc {
 	return func(string) (net.Conn, error) {
-		if s.conns.Add(1) > s.most.Load() {
-			s.conns.Add(-1)
+		if t.openConns.Add(1) > t.maxConns.Load() {
+			t.openConns.Add(-1)
 			return nil, errTooMany
 		}
-		began := s.core.Now()
-		c, err := net.DialTimeout(network, target, limit)
+		start := t.core.Now()
+		c, err := net.DialTimeout(network, target, timeout)
 		if err != nil {
-			s.conns.Add(-1)
+			t.openConns.Add(-1)
 			return nil, err
 		}
-		born := s.core.Now()
-		return &line{Conn: c, count: &s.conns, born: born, took: born - began}, nil
+		opened := t.core.Now()
+		return &countedConn{Conn: c, openConns: &t.openConns, openedAt: opened, dialTime: opened - start}, nil
 	}
 }
 
-// Send carries out a relay.
-func (s *Transport) Send(r *exchange.Relay) {
+// Send starts a relay and reports to the core how it ends, unless callbacks or its cancellation do.
+func (t *Transport) Send(r *exchange.Relay) {
 	go func() {
-		if o, l, ended := s.relay(r); ended {
-			s.core.RelayEnded(r, o, l)
+		if outcome, load, ended := t.runRelay(r); ended {
+			t.core.RelayEnded(r, outcome, load)
 		}
 	}()
 }
 
-// relay writes the message to the host and reads its first answer. A 202 does not end the relay: the
-// call-backs tell the rest.
-func (s *Transport) relay(r *exchange.Relay) (o topazfall.Outcome, l topazfall.Load, ended bool) {
-	l = topazfall.NoLoad
-	out := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(out)
-	written, err := s.talk(r.Host, call{once: r.Exchange.Once, fresh: s.fresh(r), proves: !r.Exchange.Once, relay: r,
-		out: out,
-		// When it is due it is called off, if it has not ended before: what is not read then is of no use to anybody.
-		writeBy: s.core.ToTime(r.Due), readBy: s.core.ToTime(r.Due).Add(sideCall),
+// runRelay writes the message to the host and reads its first answer. ended is false if the answer does not end the
+// relay: after a 202 the callbacks report the rest.
+func (t *Transport) runRelay(r *exchange.Relay) (outcome topazfall.Outcome, load topazfall.Load, ended bool) {
+	load = topazfall.NoLoad
+	response := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(response)
+	written, err := t.roundTrip(r.Host, call{runOnce: r.Exchange.Once, newConn: t.needsNewConn(r),
+		provesAddress: !r.Exchange.Once, relay: r, response: response,
+		// A relay that has not ended when it is due is cancelled then, and nobody needs an answer that is read later.
+		writeDeadline: t.core.ToTime(r.Due), readDeadline: t.core.ToTime(r.Due).Add(cancelTimeout),
 		compose: func(c net.Conn) []byte {
-			bytes := request(r, s.core.Now()) // before it is asked whether they may go: they go at once then
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			if !r.TryStart(s.core.Now()) {
+			request := encodeRequest(r, t.core.Now()) // composed before TryStart, so that it is written right after
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			if !r.TryStart(t.core.Now()) {
 				return nil
 			}
-			s.early[r] = c // from here on a call-off closes the connection
-			return bytes
+			t.unanswered[r] = c // from here on Cancel closes the connection
+			return request
 		}})
 	switch {
 	case err == errNotSent:
-		return topazfall.NeverSent, l, true
-	case r.IsAccepted(): // what else there is of the answer, or is not, says nothing of the job
-		return 0, l, false
-	case err != nil && r.IsEnded(): // called off: its outcome is known
-		return 0, l, false
+		return topazfall.NeverSent, load, true
+	case r.IsAccepted(): // the job is accepted, whatever became of the rest of the answer
+		return 0, load, false
+	case err != nil && r.IsEnded(): // cancelled: its outcome is known
+		return 0, load, false
 	case err != nil:
 		slog.Warn("relay", "id", r.Exchange.ID, "n", r.Index, "host", r.Host.ID, "written", written, "error", err)
 		if !written {
-			return topazfall.ConnectionRefused, l, true
+			return topazfall.ConnectionRefused, load, true
 		}
-		if !broke(err) { // it is we who end it: the host may have taken the job, and must not run it beside a repeat
-			s.call("DELETE", "/jobs/"+r.Exchange.ID, r.Host, probeTime, nil)
+		if !isBroken(err) { // this side closes: the host may have accepted the job, and must not run it beside a retry
+			t.simpleCall("DELETE", "/jobs/"+r.Exchange.ID, r.Host, probeTimeout, nil)
 		}
-		return topazfall.ConnectionLost, l, true
+		return topazfall.ConnectionLost, load, true
 	}
-	l = headerLoad(out.Header.Peek("X-Server-Load"))
-	switch status := out.StatusCode(); {
-	case (status == 503 || status == 504) && string(out.Header.Peek("X-Not-Processed")) == "1":
-		return topazfall.Saturated, l, true
+	load = parseLoadHeader(response.Header.Peek("X-Server-Load"))
+	switch status := response.StatusCode(); {
+	case (status == 503 || status == 504) && string(response.Header.Peek("X-Not-Processed")) == "1":
+		return topazfall.Saturated, load, true
 	default:
 		slog.Info("relay", "id", r.Exchange.ID, "n", r.Index, "host", r.Host.ID, "status", status)
-		if status/100 == 4 && status != 408 && status != 429 { // the host means the message, not itself
-			return topazfall.Unusable, l, true
+		if status/100 == 4 && status != 408 && status != 429 { // the fault is in the message, not in the host
+			return topazfall.Unusable, load, true
 		}
-		return topazfall.Errored, l, true
+		return topazfall.Errored, load, true
 	}
 }
 
-// Cancel makes the host drop a relay that has ended here. Where it has not answered yet, the closed
-// connection may do; if its 202 is on the way, only DELETE does.
-func (s *Transport) Cancel(r *exchange.Relay) {
-	s.mu.Lock()
+// Cancel ends a relay and makes its host drop the job. If the host has not answered yet, closing the connection may be
+// enough; if its 202 is on the way, only the DELETE is.
+func (t *Transport) Cancel(r *exchange.Relay) {
+	t.mu.Lock()
 	wasStarted := r.End()
-	if c := s.early[r]; c != nil {
+	if c := t.unanswered[r]; c != nil {
 		c.Close()
 	}
-	s.mu.Unlock()
+	t.mu.Unlock()
 	if wasStarted {
-		s.side.Add(1)
+		t.pendingCancels.Add(1)
 		go func() {
-			defer s.side.Add(-1)
-			s.call("DELETE", "/jobs/"+r.Exchange.ID, r.Host, sideCall, nil)
+			defer t.pendingCancels.Add(-1)
+			t.simpleCall("DELETE", "/jobs/"+r.Exchange.ID, r.Host, cancelTimeout, nil)
 		}()
 	}
 }
 
-// Probe asks a host for its load.
-func (s *Transport) Probe(h *exchange.Host) {
+// Probe asks a host for its load and reports the result to the core.
+func (t *Transport) Probe(h *exchange.Host) {
 	go func() {
-		began, l, o := s.core.Now(), topazfall.NoLoad, topazfall.ProbeFailed
-		if s.call("GET", "/status/load", h, probeTime, func(out *fasthttp.Response) {
-			if out.StatusCode() == fasthttp.StatusOK {
-				l, o = bodyLoad(out.Body()), topazfall.Completed
+		start, load, outcome := t.core.Now(), topazfall.NoLoad, topazfall.ProbeFailed
+		if t.simpleCall("GET", "/status/load", h, probeTimeout, func(response *fasthttp.Response) {
+			if response.StatusCode() == fasthttp.StatusOK {
+				load, outcome = parseLoadBody(response.Body()), topazfall.Completed
 			}
 		}) != nil {
-			l = topazfall.NoLoad
+			load = topazfall.NoLoad
 		}
-		s.core.ProbeDone(h, o, s.core.Now()-began, l)
+		t.core.ProbeDone(h, outcome, t.core.Now()-start, load)
 	}()
 }
 
-// call makes a call without a body, which may be made again: so it is, on a new connection, where the kept one
-// turned out to be dead. It holds a connection for a limited time only.
-func (s *Transport) call(method, path string, h *exchange.Host, limit time.Duration, use func(*fasthttp.Response)) error {
-	out := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(out)
-	by := time.Now().Add(limit)
-	name := h.Addr
-	if name == "" {
-		name = h.ID
+// simpleCall makes an idempotent call without a body. If a kept connection turns out to be dead it retries once on a
+// new one. Both calls together must end within timeout. use, if not nil, gets the response.
+func (t *Transport) simpleCall(method, path string, h *exchange.Host, timeout time.Duration,
+	use func(*fasthttp.Response)) error {
+	response := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(response)
+	deadline := time.Now().Add(timeout)
+	hostField := h.Addr
+	if hostField == "" {
+		hostField = h.ID
 	}
-	c := call{fresh: s.wary(), out: out, writeBy: by, readBy: by, compose: bare(method, path, name),
-		proves: method == "GET"} // a probe, which is asked for only where it is permitted
-	written, err := s.talk(h, c)
-	if err != nil && written && !c.fresh && s.wary() {
-		c.fresh = true
-		_, err = s.talk(h, c)
+	c := call{newConn: t.avoidsReuse(), response: response, writeDeadline: deadline, readDeadline: deadline,
+		compose:       encodeBareRequest(method, path, hostField),
+		provesAddress: method == "GET"} // a probe, which is made only where it is allowed
+	written, err := t.roundTrip(h, c)
+	if err != nil && written && !c.newConn && t.avoidsReuse() {
+		c.newConn = true
+		_, err = t.roundTrip(h, c)
 	}
 	if err != nil {
 		slog.Warn("call", "method", method, "path", path, "host", h.ID, "addr", h.Addr, "error", err)
 		return err
 	}
 	if use != nil {
-		use(out)
+		use(response)
 	}
 	return nil
 }
 
-// HasPendingCancels tells whether call-offs are still on their way.
-func (s *Transport) HasPendingCancels() bool { return s.side.Load() > 0 }
+// HasPendingCancels reports whether cancel calls are still under way.
+func (t *Transport) HasPendingCancels() bool { return t.pendingCancels.Load() > 0 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads the batches of the bench and writes the replies. It translates words only: no
-// decision is made here.
+// Package wire decodes the batches that the bench sends to the decision module, and encodes the replies. It only
+// translates between the text protocol and the module's types.
 package wire
 
 import (
@@ -16,68 +16,68 @@
 	"topazfall/internal/decide/affinity"
 )
 
-// MsgKind says what one message asks of the adapter.
-type MsgKind int
+// MessageKind is the kind of a Message.
+type MessageKind int
 
-// The messages that Decoder.Next returns.
+// The kinds of messages, with the fields that each one sets.
 const (
-	Begin  MsgKind = iota // a batch begins: Now
-	Commit                // a batch ends: the reply is due
-	Enlist                // an instance starts: Instance, Settings
-	Kill                  // an instance is gone: Instance
-	Occur                 // something happened to an instance: Instance, Event
+	BeginBatch    MessageKind = iota // a batch begins: Now
+	CommitBatch                      // a batch ends, and its reply is due
+	StartInstance                    // a dispatcher instance starts: Instance, Settings
+	KillInstance                     // an instance has ended: Instance
+	InstanceEvent                    // an event occurred at an instance: Instance, Event
 )
 
-// Msg is one message. Event is valid until the next call of Next.
-type Msg struct {
-	Kind     MsgKind
+// Message is one decoded message of the bench. Event is valid until the next call of Next.
+type Message struct {
+	Kind     MessageKind
 	Now      int64
 	Instance int
 	Settings topazfall.Settings
 	Event    *topazfall.Event
 }
 
-// names resolves the class and tenant names of one instance.
-type names struct{ classes, tenants map[string]int }
+// instanceNames maps the class and tenant names of one instance to their indices.
+type instanceNames struct{ classes, tenants map[string]int }
 
 // Decoder reads messages from a stream.
 type Decoder struct {
-	in        *bufio.Reader
-	line      int
-	long      []byte
-	inBatch   bool
-	selected  int
-	instances map[int]*names
-	lists     map[int][]topazfall.Worker
-	words     map[string]string
-	event     topazfall.Event
-	rest      []byte // what is unread of the current line
-	err       error  // first fault of the current line
+	in               *bufio.Reader
+	lineNumber       int
+	longLine         []byte
+	inBatch          bool
+	selectedInstance int
+	instances        map[int]*instanceNames
+	lists            map[int][]topazfall.Worker
+	interned         map[string]string
+	event            topazfall.Event
+	unread           []byte // rest of the current line
+	err              error  // first error in the current line
 }
 
 // NewDecoder returns a decoder that reads from in.
 func NewDecoder(in io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(in, 1<<16), instances: map[int]*names{},
-		lists: map[int][]topazfall.Worker{}, words: map[string]string{}, selected: -1}
+	return &Decoder{in: bufio.NewReaderSize(in, 1<<16), instances: map[int]*instanceNames{},
+		lists: map[int][]topazfall.Worker{}, interned: map[string]string{}, selectedInstance: -1}
 }
 
-// Next returns the next message. At the orderly end of the input the error is io.EOF; every other
-// error names the line and what is wrong with it.
-func (d *Decoder) Next() (Msg, error) {
+// Next returns the next message. At the end of the input, after a whole batch, the error is io.EOF; every other error
+// has the line number and what is wrong with the line.
+func (d *Decoder) Next() (Message, error) {
 	for {
 		line, err := d.readLine()
 		if err == io.EOF && !d.inBatch {
-			return Msg{}, io.EOF
+			return Message{}, io.EOF
 		}
 		if err == io.EOF {
 			err = errors.New("the input ends within a batch")
 		}
 		if err != nil {
-			return Msg{}, d.fault(err)
+			return Message{}, d.lineError(err)
 		}
-		m, ready, err := d.message(line)
+		m, ready, err := d.decodeLine(line)
 		if err != nil {
-			return Msg{}, d.fault(err)
+			return Message{}, d.lineError(err)
 		}
 		if ready {
 			return m, nil
@@ -85,22 +85,23 @@
 	}
 }
 
-func (d *Decoder) fault(err error) error { return fmt.Errorf("line %d: %w", d.line, err) }
+// lineError adds the line number to an error.
+func (d *Decoder) lineError(err error) error { return fmt.Errorf("line %d: %w", d.lineNumber, err) }
 
-// readLine returns the next line without its end. A last line without an end is reported as truncated.
+// readLine returns the next line without its line feed. A last line without a line feed is an error.
 func (d *Decoder) readLine() ([]byte, error) {
-	d.line++
-	d.long = d.long[:0]
+	d.lineNumber++
+	d.longLine = d.longLine[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
-		if err == nil && len(d.long) == 0 {
+		if err == nil && len(d.longLine) == 0 {
 			return part[:len(part)-1], nil
 		}
-		d.long = append(d.long, part...)
+		d.longLine = append(d.longLine, part...)
 		switch {
 		case err == nil:
-			return d.long[:len(d.long)-1], nil
-		case err == io.EOF && len(d.long) > 0:
+			return d.longLine[:len(d.longLine)-1], nil
+		case err == io.EOF && len(d.longLine) > 0:
 			return nil, errors.New("truncated line")
 		case err != bufio.ErrBufferFull:
 			return nil, err
@@ -108,82 +109,83 @@
 	}
 }
 
-// message decodes one line; ready is false for lines that only change the decoder's own state.
-func (d *Decoder) message(line []byte) (m Msg, ready bool, err error) {
-	d.rest, d.err = line, nil
-	word := d.part()
+// decodeLine decodes one line; ready is false for lines that only change the decoder's own state.
+func (d *Decoder) decodeLine(line []byte) (m Message, ready bool, err error) {
+	d.unread, d.err = line, nil
+	word := d.value()
 	if !d.inBatch {
 		if string(word) != "BEGIN_BATCH" {
-			return m, false, fmt.Errorf("expected BEGIN_BATCH, found %q", clip(line))
+			return m, false, fmt.Errorf("expected BEGIN_BATCH, found %q", truncate(line))
 		}
-		m.Kind, m.Now = Begin, d.integer()
-		d.inBatch, d.selected = true, -1
-		return m, true, d.done()
+		m.Kind, m.Now = BeginBatch, d.integer()
+		d.inBatch, d.selectedInstance = true, -1
+		return m, true, d.endLine()
 	}
 	switch string(word) {
 	case "COMMIT":
 		d.inBatch = false
-		m.Kind = Commit
-		return m, true, d.done()
+		m.Kind = CommitBatch
+		return m, true, d.endLine()
 	case "SELECT":
-		d.selected = int(d.integer())
-		return m, false, d.done()
+		d.selectedInstance = int(d.integer())
+		return m, false, d.endLine()
 	case "LIST":
-		return m, false, d.list()
+		return m, false, d.decodeList()
 	}
-	if d.selected < 0 {
-		return m, false, fmt.Errorf("%q before any SELECT", clip(line))
+	if d.selectedInstance < 0 {
+		return m, false, fmt.Errorf("%q before any SELECT", truncate(line))
 	}
-	m.Instance = d.selected
+	m.Instance = d.selectedInstance
 	if string(word) == "ENLIST" {
-		return d.enlist()
+		return d.decodeEnlist()
 	}
-	known := d.instances[d.selected]
+	known := d.instances[d.selectedInstance]
 	if known == nil {
-		return m, false, fmt.Errorf("%s for unknown instance %d", clip(word), d.selected)
+		return m, false, fmt.Errorf("%s for unknown instance %d", truncate(word), d.selectedInstance)
 	}
 	if string(word) == "KILL" {
-		delete(d.instances, d.selected)
-		m.Kind = Kill
-		return m, true, d.done()
+		delete(d.instances, d.selectedInstance)
+		m.Kind = KillInstance
+		return m, true, d.endLine()
 	}
-	m.Kind, m.Event = Occur, &d.event
-	return m, true, d.occurrence(word, known)
+	m.Kind, m.Event = InstanceEvent, &d.event
+	return m, true, d.decodeEvent(word, known)
 }
 
-func (d *Decoder) enlist() (m Msg, ready bool, err error) {
-	m.Kind, m.Instance = Enlist, d.selected
-	seed := d.part()
-	n, perr := strconv.ParseUint(string(seed), 10, 64)
-	if perr != nil {
-		signed, serr := strconv.ParseInt(string(seed), 10, 64)
-		if serr != nil {
-			return m, false, fmt.Errorf("seed %q is no number", clip(seed))
+// decodeEnlist decodes the seed and the settings of an ENLIST line.
+func (d *Decoder) decodeEnlist() (m Message, ready bool, err error) {
+	m.Kind, m.Instance = StartInstance, d.selectedInstance
+	seedText := d.value()
+	n, unsignedErr := strconv.ParseUint(string(seedText), 10, 64)
+	if unsignedErr != nil {
+		signed, signedErr := strconv.ParseInt(string(seedText), 10, 64)
+		if signedErr != nil {
+			return m, false, fmt.Errorf("seed %q is not a number", truncate(seedText))
 		}
 		n = uint64(signed)
 	}
 	if d.err != nil {
 		return m, false, d.err
 	}
-	m.Settings, err = config.ParseSettings(n, d.rest)
+	m.Settings, err = config.ParseSettings(n, d.unread)
 	if err != nil {
 		return m, false, err
 	}
-	known := &names{map[string]int{}, map[string]int{}}
+	known := &instanceNames{map[string]int{}, map[string]int{}}
 	for i, c := range m.Settings.Classes {
 		known.classes[c.Name] = i
 	}
 	for i, t := range m.Settings.Tenants {
 		known.tenants[t.Name] = i
 	}
-	d.instances[d.selected] = known
+	d.instances[d.selectedInstance] = known
 	return m, true, nil
 }
 
-// list reads a LIST line and the WORKER lines that follow it.
-func (d *Decoder) list() error {
+// decodeList decodes a LIST line and the WORKER lines that follow it.
+func (d *Decoder) decodeList() error {
 	ref, n := int(d.integer()), int(d.integer())
-	if err := d.done(); err != nil {
+	if err := d.endLine(); err != nil {
 		return err
 	}
 	if n < 0 {
@@ -198,12 +200,12 @@
 		if err != nil {
 			return err
 		}
-		d.rest, d.err = line, nil
-		if word := d.part(); string(word) != "WORKER" {
-			return fmt.Errorf("expected WORKER, found %q", clip(line))
+		d.unread, d.err = line, nil
+		if word := d.value(); string(word) != "WORKER" {
+			return fmt.Errorf("expected WORKER, found %q", truncate(line))
 		}
-		w := topazfall.Worker{ID: d.word(), Zone: d.word(), Kind: d.word(), Cell: int(d.integer())}
-		switch state := d.part(); string(state) {
+		w := topazfall.Worker{ID: d.name(), Zone: d.name(), Kind: d.name(), Cell: int(d.integer())}
+		switch state := d.value(); string(state) {
 		case "ready":
 			w.State = topazfall.Ready
 		case "draining":
@@ -211,10 +213,10 @@
 		case "gone":
 			w.State = topazfall.Gone
 		default:
-			return fmt.Errorf("unknown readiness %q", clip(state))
+			return fmt.Errorf("unknown worker state %q", truncate(state))
 		}
-		w.Weight, w.StartedAt = d.number(), d.integer()
-		if err := d.done(); err != nil {
+		w.Weight, w.StartedAt = d.decimal(), d.integer()
+		if err := d.endLine(); err != nil {
 			return err
 		}
 		entries = append(entries, w)
@@ -223,48 +225,50 @@
 	return nil
 }
 
+// outcomes maps the names of outcomes.
 var outcomes = map[string]topazfall.Outcome{
 	"completed": topazfall.Completed, "errored": topazfall.Errored, "saturated": topazfall.Saturated,
 	"overdue": topazfall.TimedOut, "refused_conn": topazfall.ConnectionRefused, "severed": topazfall.ConnectionLost,
 	"recalled": topazfall.Cancelled, "superseded": topazfall.NeverSent}
 
+// listKinds maps the names of the kinds of worker lists.
 var listKinds = map[string]topazfall.EventKind{"patch": topazfall.ListPatch, "whole": topazfall.ListSnapshot,
 	"stale_copy": topazfall.ListRestored, "broken": topazfall.ListFailed}
 
-// occurrence decodes an event of the selected instance into d.event.
-func (d *Decoder) occurrence(word []byte, known *names) error {
+// decodeEvent decodes an event of the selected instance into d.event.
+func (d *Decoder) decodeEvent(word []byte, known *instanceNames) error {
 	d.event = topazfall.Event{Tenant: -1, Load: topazfall.NoLoad}
 	e := &d.event
 	switch string(word) {
 	case "CALL":
-		e.Kind, e.Request = topazfall.Arrival, d.id()
-		class := d.part()
+		e.Kind, e.Request = topazfall.Arrival, d.requestID()
+		class := d.value()
 		i, ok := known.classes[string(class)]
 		if !ok && d.err == nil {
-			return fmt.Errorf("unknown class %q", clip(class))
+			return fmt.Errorf("unknown class %q", truncate(class))
 		}
 		e.Class = i
-		if i, ok := known.tenants[string(d.part())]; ok {
+		if i, ok := known.tenants[string(d.value())]; ok {
 			e.Tenant = i
 		}
-		if key := d.part(); string(key) != "-" { // an absent one
+		if key := d.value(); string(key) != "-" { // "-" stands for no key
 			e.Key = affinity.HashKey(string(key))
 		}
-		e.Due, e.Hint, e.Slots = d.integer(), d.integer(), d.number()
-		d.part() // memory
+		e.Due, e.Hint, e.Slots = d.integer(), d.integer(), d.decimal()
+		d.value() // the job's memory, which is not used
 		flags := d.integer()
 		if flags&1 == 0 {
 			e.Hint = 0
 		}
 		e.Retry = flags&2 != 0
 	case "COMPLETED":
-		e.Kind, e.Request, e.Attempt, e.Worker = topazfall.AttemptDone, d.id(), int(d.integer()), d.word()
-		d.outcome(e)
+		e.Kind, e.Request, e.Attempt, e.Worker = topazfall.AttemptDone, d.requestID(), int(d.integer()), d.name()
+		d.decodeOutcome(e)
 		e.Final = d.integer() == 1
-		d.part() // note of the family
-		d.load(e)
+		d.value() // a note, which is not used
+		d.decodeLoad(e)
 	case "NOTICE":
-		e.Request, e.Worker, e.Attempt = d.id(), d.word(), int(d.integer())
+		e.Request, e.Worker, e.Attempt = d.requestID(), d.name(), int(d.integer())
 		switch kind := d.integer(); kind {
 		case 1:
 			e.Kind = topazfall.JobStarted
@@ -273,44 +277,45 @@
 		default:
 			return fmt.Errorf("unknown kind of notice %d", kind)
 		}
-		e.Amount = d.number()
+		e.Amount = d.decimal()
 	case "BELL":
-		name := d.part()
+		name := d.value()
 		token, err := strconv.ParseUint(string(name), 10, 64)
 		if err != nil {
-			return fmt.Errorf("no timer was set by the name %q", clip(name))
+			return fmt.Errorf("no timer was set by the name %q", truncate(name))
 		}
 		e.Kind, e.Token = topazfall.TimerDue, token
 	case "CANCELLED_BY_CLIENT":
-		e.Kind, e.Request = topazfall.ClientGone, d.id()
+		e.Kind, e.Request = topazfall.ClientGone, d.requestID()
 	case "HEALTH_RESULT":
-		e.Kind, e.Worker = topazfall.ProbeDone, d.word()
-		d.outcome(e)
-		d.load(e)
+		e.Kind, e.Worker = topazfall.ProbeDone, d.name()
+		d.decodeOutcome(e)
+		d.decodeLoad(e)
 	case "FIRST_BYTE":
-		e.Kind, e.Request, e.Elapsed = topazfall.StreamStarted, d.id(), d.integer()
-		e.Attempt, e.Worker = int(d.integer()), d.word()
+		e.Kind, e.Request, e.Elapsed = topazfall.StreamStarted, d.requestID(), d.integer()
+		e.Attempt, e.Worker = int(d.integer()), d.name()
 	case "WHISPER":
 		e.Kind, e.From = topazfall.PeerMessage, int(d.integer())
-		d.payload(e)
+		d.decodePayload(e)
 	case "TARGETS":
-		return d.targets(e)
+		return d.decodeTargets(e)
 	default:
-		return fmt.Errorf("unknown message %q", clip(word))
+		return fmt.Errorf("unknown message %q", truncate(word))
 	}
-	return d.done()
+	return d.endLine()
 }
 
-func (d *Decoder) targets(e *topazfall.Event) error {
-	d.part() // the version: changes come in order and without gaps
-	how := d.part()
-	kind, ok := listKinds[string(how)]
+// decodeTargets decodes a TARGETS event, which refers to a list by its number.
+func (d *Decoder) decodeTargets(e *topazfall.Event) error {
+	d.value() // the version: changes come in order and without gaps
+	kindName := d.value()
+	kind, ok := listKinds[string(kindName)]
 	if !ok {
-		return fmt.Errorf("unknown kind of list %q", clip(how))
+		return fmt.Errorf("unknown kind of list %q", truncate(kindName))
 	}
 	e.Kind = kind
 	ref := int(d.integer())
-	if err := d.done(); err != nil || kind == topazfall.ListFailed {
+	if err := d.endLine(); err != nil || kind == topazfall.ListFailed {
 		return err
 	}
 	if e.List, ok = d.lists[ref]; !ok {
@@ -319,17 +324,19 @@
 	return nil
 }
 
-func (d *Decoder) outcome(e *topazfall.Event) {
-	rc := d.part()
-	code, ok := outcomes[string(rc)]
+// decodeOutcome decodes an outcome and the time that it took.
+func (d *Decoder) decodeOutcome(e *topazfall.Event) {
+	name := d.value()
+	code, ok := outcomes[string(name)]
 	if !ok && d.err == nil {
-		d.err = fmt.Errorf("unknown outcome %q", clip(rc))
+		d.err = fmt.Errorf("unknown outcome %q", truncate(name))
 	}
 	e.Outcome, e.Elapsed = code, d.integer()
 }
 
-func (d *Decoder) payload(e *topazfall.Event) {
-	text := d.part()
+// decodePayload decodes the base64 data of a gossip message.
+func (d *Decoder) decodePayload(e *topazfall.Event) {
+	text := d.value()
 	if string(text) == "-" {
 		return
 	}
@@ -340,9 +347,9 @@
 	e.Data = data
 }
 
-// load reads a load report: name:value pairs set apart by commas.
-func (d *Decoder) load(e *topazfall.Event) {
-	text := d.part()
+// decodeLoad decodes a load report: name:value pairs separated by commas.
+func (d *Decoder) decodeLoad(e *topazfall.Event) {
+	text := d.value()
 	if string(text) == "-" {
 		return
 	}
@@ -351,59 +358,60 @@
 		text = rest
 		name, value, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
-			d.keep(fmt.Errorf("load report: %q is no name:value pair", clip(pair)))
+			d.setError(fmt.Errorf("load report: %q is no name:value pair", truncate(pair)))
 			return
 		}
-		v, err := float(value)
-		d.keep(err)
+		v, err := parseDecimal(value)
+		d.setError(err)
 		config.SetLoad(&e.Load, string(name), v)
 	}
 }
 
-func (d *Decoder) keep(err error) {
+// setError records the first error in the line.
+func (d *Decoder) setError(err error) {
 	if d.err == nil {
 		d.err = err
 	}
 }
 
-// part takes the next part of the line.
-func (d *Decoder) part() []byte {
-	if d.rest == nil {
-		d.keep(errors.New("too few values"))
+// value takes the next value of the line.
+func (d *Decoder) value() []byte {
+	if d.unread == nil {
+		d.setError(errors.New("too few values"))
 		return nil
 	}
-	p, rest, found := bytes.Cut(d.rest, []byte{' '})
-	if d.rest = rest; !found {
-		d.rest = nil
+	p, rest, found := bytes.Cut(d.unread, []byte{' '})
+	if d.unread = rest; !found {
+		d.unread = nil
 	}
 	if len(p) == 0 {
-		d.keep(errors.New("empty value"))
+		d.setError(errors.New("empty value"))
 	}
 	return p
 }
 
-// done reports the first fault of the line, or values left over.
-func (d *Decoder) done() error {
-	if d.err == nil && d.rest != nil {
+// endLine returns the first error in the line, or an error if there are values left.
+func (d *Decoder) endLine() error {
+	if d.err == nil && d.unread != nil {
 		return errors.New("too many values")
 	}
 	return d.err
 }
 
-// word takes a name; each distinct one is stored once.
-func (d *Decoder) word() string {
-	p := d.part()
-	if s, ok := d.words[string(p)]; ok {
+// name takes a name; each distinct name is stored once.
+func (d *Decoder) name() string {
+	p := d.value()
+	if s, ok := d.interned[string(p)]; ok {
 		return s
 	}
 	s := string(p)
-	d.words[s] = s
+	d.interned[s] = s
 	return s
 }
 
-// integer takes a whole number; an absent one is 0.
+// integer takes a whole number; "-" stands for 0.
 func (d *Decoder) integer() int64 {
-	p := d.part()
+	p := d.value()
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
@@ -414,7 +422,7 @@
 	var n int64
 	for _, c := range digits {
 		if c < '0' || c > '9' || n > (1<<63-10)/10 {
-			d.keep(fmt.Errorf("%q is no whole number", clip(p)))
+			d.setError(fmt.Errorf("%q is no whole number", truncate(p)))
 			return 0
 		}
 		n = n*10 + int64(c-'0')
@@ -422,27 +430,28 @@
 	return sign * n
 }
 
-func (d *Decoder) id() uint64 {
+// requestID takes the number of a request.
+func (d *Decoder) requestID() uint64 {
 	n := d.integer()
 	if n < 0 {
-		d.keep(errors.New("negative request id"))
+		d.setError(errors.New("negative request id"))
 	}
 	return uint64(n)
 }
 
-// number takes a number that may have a fraction; an absent one is 0.
-func (d *Decoder) number() float64 {
-	p := d.part()
+// decimal takes a number that may have a fraction; "-" stands for 0.
+func (d *Decoder) decimal() float64 {
+	p := d.value()
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
-	v, err := float(p)
-	d.keep(err)
+	v, err := parseDecimal(p)
+	d.setError(err)
 	return v
 }
 
-// float parses plain decimals without allocating and leaves the rest to strconv.
-func float(p []byte) (float64, error) {
+// parseDecimal parses plain decimals without allocating and leaves other numbers to strconv.
+func parseDecimal(p []byte) (float64, error) {
 	var n, scale float64 = 0, 0
 	for i, c := range p {
 		switch {
@@ -453,7 +462,7 @@
 		default:
 			v, err := strconv.ParseFloat(string(p), 64)
 			if err != nil && !errors.Is(err, strconv.ErrRange) {
-				return 0, fmt.Errorf("%q is no number", clip(p))
+				return 0, fmt.Errorf("%q is not a number", truncate(p))
 			}
 			return v, nil
 		}
@@ -467,20 +476,21 @@
 	return n, nil
 }
 
-func clip(p []byte) string {
+// truncate shortens a text for an error message.
+func truncate(p []byte) string {
 	if len(p) > 60 {
 		return string(p[:60]) + "..."
 	}
 	return string(p)
 }
 
-// AppendActor appends the line that says whose actions follow.
-func AppendActor(out []byte, instance int) []byte {
+// AppendInstance appends the line that names the instance whose actions follow.
+func AppendInstance(out []byte, instance int) []byte {
 	return append(strconv.AppendInt(append(out, "AS "...), int64(instance), 10), '\n')
 }
 
-// AppendEnd appends the end of a reply.
-func AppendEnd(out []byte) []byte { return append(out, "EOR\n"...) }
+// AppendEndOfReply appends the line that ends a reply.
+func AppendEndOfReply(out []byte) []byte { return append(out, "EOR\n"...) }
 
 // AppendAction appends the line of one action.
 func AppendAction(out []byte, a *topazfall.Action) []byte {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,12 +19,13 @@
  "realms": [{"name": "t", "share": 0.5, "quota_per_s": 4}], "allowed": {"send_cap": 3, "may_probe": true},
  "domain": {"class_kind": [-1, 0], "class_stretch": [1.75, 2], "tells_start": true}, "stats": {"source": "answers"}}`
 
-func start(rest string) string {
+// batch returns the begin of a batch in which instance 3 starts, and rest.
+func batch(rest string) string {
 	return "BEGIN_BATCH 5\nSELECT 3\nENLIST 9 " + strings.ReplaceAll(settings, "\n", "") + "\n" + rest
 }
 
-// decode returns the messages of a text and the error that ended it.
-func decode(text string) (msgs []Msg, err error) {
+// decode returns the messages of a text and the error that ended the decoding.
+func decode(text string) (msgs []Message, err error) {
 	d := NewDecoder(strings.NewReader(text))
 	for {
 		m, err := d.Next()
@@ -40,7 +41,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	msgs, err := decode(start("COMMIT\n"))
+	msgs, err := decode(batch("COMMIT\n"))
 	if err != io.EOF || len(msgs) != 3 {
 		t.Fatalf("%v, %d messages", err, len(msgs))
 	}
@@ -74,7 +75,7 @@
 			Load: topazfall.NoLoad},
 		"TARGETS 4 broken 0": {Kind: topazfall.ListFailed, Tenant: -1, Load: topazfall.NoLoad},
 	} {
-		msgs, err := decode(start(list + line + "\nCOMMIT\n"))
+		msgs, err := decode(batch(list + line + "\nCOMMIT\n"))
 		if err != io.EOF || len(msgs) != 4 {
 			t.Errorf("%s: %v", line, err)
 			continue
@@ -84,15 +85,15 @@
 		}
 	}
 	msgs, err := decode(
-		start(list + "TARGETS 4 patch 0\nLIST 0 0\nTARGETS 5 whole 0\nWHISPER 2 aGkgNw==\nKILL\nCOMMIT\n"))
+		batch(list + "TARGETS 4 patch 0\nLIST 0 0\nTARGETS 5 whole 0\nWHISPER 2 aGkgNw==\nKILL\nCOMMIT\n"))
 	if err != io.EOF || len(msgs[2].Event.List) != 2 || len(msgs[3].Event.List) != 0 ||
 		msgs[2].Event.List[1].State != topazfall.Gone || msgs[2].Event.List[1].StartedAt != 77 ||
-		string(msgs[4].Event.Data) != "hi 7" || msgs[5].Kind != Kill {
+		string(msgs[4].Event.Data) != "hi 7" || msgs[5].Kind != KillInstance {
 		t.Errorf("%v, %+v", err, msgs)
 	}
 }
 
-func TestMalformedIsNamed(t *testing.T) {
+func TestMalformedInputErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"HELLO\n":                                  "line 1: expected BEGIN_BATCH",
 		"BEGIN_BATCH 5\n":                          "ends within a batch",
@@ -101,18 +102,18 @@
 		"BEGIN_BATCH 5\nBELL 4\n":                  "before any SELECT",
 		"BEGIN_BATCH 5\nSELECT 1\nBELL 4\n":        "line 3: BELL for unknown instance 1",
 		"BEGIN_BATCH 5\nSELECT 1\nENLIST 4 {\n":    "unreadable settings",
-		start("DANCE\n"):                           `line 4: unknown message "DANCE"`,
-		start("CALL 17 fly - - 8 1 1 - 1\n"):       `unknown class "fly"`,
-		start("CALL 17 plan -\n"):                  "too few values",
-		start("BELL 4 5\n"):                        "too many values",
-		start("BELL sweep\n"):                      "no timer was set",
-		start("COMPLETED 17 1 w1 fine 1 0 - -\n"):  `unknown outcome "fine"`,
-		start("TARGETS 4 whole 9\n"):               "no list has the number 9",
-		start("LIST 0 1\nCOMMIT\n"):                "expected WORKER",
-		start("LIST 0 1\n"):                        "ends within a list",
-		start("HEALTH_RESULT w1 completed 4 x0\n"): "no name:value pair",
-		start("WHISPER 1 %%\n"):                    "not base64",
-		start("KILL\nBELL 4\n"):                    "unknown instance 3",
+		batch("DANCE\n"):                           `line 4: unknown message "DANCE"`,
+		batch("CALL 17 fly - - 8 1 1 - 1\n"):       `unknown class "fly"`,
+		batch("CALL 17 plan -\n"):                  "too few values",
+		batch("BELL 4 5\n"):                        "too many values",
+		batch("BELL sweep\n"):                      "no timer was set",
+		batch("COMPLETED 17 1 w1 fine 1 0 - -\n"):  `unknown outcome "fine"`,
+		batch("TARGETS 4 whole 9\n"):               "no list has the number 9",
+		batch("LIST 0 1\nCOMMIT\n"):                "expected WORKER",
+		batch("LIST 0 1\n"):                        "ends within a list",
+		batch("HEALTH_RESULT w1 completed 4 x0\n"): "no name:value pair",
+		batch("WHISPER 1 %%\n"):                    "not base64",
+		batch("KILL\nBELL 4\n"):                    "unknown instance 3",
 	} {
 		if _, err := decode(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
@@ -120,9 +121,9 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	var out []byte
-	out = AppendActor(out, 3)
+	out = AppendInstance(out, 3)
 	for _, a := range []topazfall.Action{
 		{Kind: topazfall.Send, Request: 7, Worker: "w1", After: 9}, {Kind: topazfall.Refuse, Request: 7, After: 5},
 		{Kind: topazfall.Fail, Request: 7}, {Kind: topazfall.CancelAttempt, Request: 7, Attempt: 1},
@@ -135,30 +136,30 @@
 	}
 	want := "AS 3\nPASS_ON 7 w1 9\nTURN_AWAY 7 5\nABORT 7\nABORT_ATTEMPT 7 1\nWAKE_ME 4 29\nASK_LOAD w1\nFOLLOW 1\n" +
 		"QUERY_ALL\nNOTIFY 2 aGkgNw==\nNOTIFY all AQ==\nNOTE_DOWN two words\nEOR\n"
-	if got := string(AppendEnd(out)); got != want {
+	if got := string(AppendEndOfReply(out)); got != want {
 		t.Errorf("got %s", got)
 	}
 }
 
-func TestFloat(t *testing.T) {
+func TestParseDecimal(t *testing.T) {
 	for text, want := range map[string]float64{"0": 0, "12.5": 12.5, "-3": -3, "1e3": 1000, "0.000001": 1e-6,
 		"1e999": math.Inf(1)} {
-		if got, err := float([]byte(text)); err != nil || got != want {
+		if got, err := parseDecimal([]byte(text)); err != nil || got != want {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
 	for _, text := range []string{"", "x", "1.2.3", "."} {
-		if v, err := float([]byte(text)); err == nil {
+		if v, err := parseDecimal([]byte(text)); err == nil {
 			t.Errorf("%q: %v", text, v)
 		}
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(start("COMMIT\nBEGIN_BATCH 6\nCOMMIT\n"))
-	f.Add(start("LIST 0 1\nWORKER w1 z fast 4 ready 1.5 -\nTARGETS 4 stale_copy 0\n" +
+	f.Add(batch("COMMIT\nBEGIN_BATCH 6\nCOMMIT\n"))
+	f.Add(batch("LIST 0 1\nWORKER w1 z fast 4 ready 1.5 -\nTARGETS 4 stale_copy 0\n" +
 		"CALL 17 book t 99 8000 120 2 - 3\nCOMMIT\n"))
-	f.Add(start("COMPLETED 17 1 w1 severed 18500 0 - pending:1,x0:nan\nHEALTH_RESULT w1 overdue 5 -\nKILL\nCOMMIT\n"))
+	f.Add(batch("COMPLETED 17 1 w1 severed 18500 0 - pending:1,x0:nan\nHEALTH_RESULT w1 overdue 5 -\nKILL\nCOMMIT\n"))
 	f.Add("BEGIN_BATCH 9223372036854775807\nSELECT -1\nLIST 0 99999999999\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := decode(text); err == nil {
