--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -137,7 +137,7 @@
 }
 
 // closeUnproven closes unproven connections until no more than maxConns connections are open, or until a request has
-// begun to arrive on each that is left.
+// begun to arrive on each unproven one that is left.
 func (l *listener) closeUnproven(maxConns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +149,7 @@
 // waits for its answer.
 type HandoverConn struct {
 	Conn           syscall.Conn
-	Proven, Client bool                      // it has delivered a message or callback; a message
+	Proven, Client bool                      // whether it has delivered a message or callback; whether a message
 	Begun          *dispatch.InFlightMessage // the message in flight on it; nil for none
 	More           bool                      // its client has sent further bytes before the answer
 }
--- a/internal/frontend/leaving_test.go
+++ b/internal/frontend/leaving_test.go
@@ -125,9 +125,9 @@
 
 // departures are the ways in which a client disconnects.
 var departures = map[string]func(*net.TCPConn) error{
-	"closed": func(c *net.TCPConn) error { return c.Close() },
-	"half":   func(c *net.TCPConn) error { return c.CloseWrite() },
-	"reset":  func(c *net.TCPConn) error { c.SetLinger(0); return c.Close() },
+	"closed":      func(c *net.TCPConn) error { return c.Close() },
+	"half-closed": func(c *net.TCPConn) error { return c.CloseWrite() },
+	"reset":       func(c *net.TCPConn) error { c.SetLinger(0); return c.Close() },
 }
 
 // sentAhead are numbers of bytes that a client sends before it disconnects. The last is more than the sockets buffer.
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -27,9 +27,9 @@
 
 // closings are the ways in which the other side ends a connection.
 var closings = map[string]func(*net.TCPConn){
-	"closed": func(c *net.TCPConn) { c.Close() },
-	"half":   func(c *net.TCPConn) { c.CloseWrite() },
-	"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	"closed":      func(c *net.TCPConn) { c.Close() },
+	"half-closed": func(c *net.TCPConn) { c.CloseWrite() },
+	"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
 // requireState waits until the connection is in a state.
--- a/internal/upstream/attempts_test.go
+++ b/internal/upstream/attempts_test.go
@@ -105,7 +105,7 @@
 // The client disconnects, or its time runs out, while the connection is being opened. Nothing is sent for it, the
 // connection is kept, and no cancel call follows.
 func TestNothingIsSentAfterSlowDial(t *testing.T) {
-	for _, reason := range []string{"left", "late"} {
+	for _, reason := range []string{"disconnected", "late"} {
 		t.Run(reason, func(t *testing.T) {
 			forEachSlowDial(t, func(t *testing.T, h *fixture, delay time.Duration, secondAttempt, multiAddress bool) {
 				client := &leavingClient{}
@@ -119,7 +119,7 @@
 				gate := h.holdDials(multiAddress)
 				r, end := h.startAttempt(x, due)
 				time.Sleep(delay)
-				client.Store(reason == "left")
+				client.Store(reason == "disconnected")
 				close(gate)
 				got, givenUp := receive(t, end), multiAddress && reason == "late"
 				if givenUp { // the call may be given up before the connection is open
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -139,8 +139,8 @@
 	if string(word) == "ENLIST" {
 		return d.decodeEnlist()
 	}
-	known := d.instances[d.selectedInstance]
-	if known == nil {
+	names := d.instances[d.selectedInstance]
+	if names == nil {
 		return m, false, fmt.Errorf("%s for unknown instance %d", truncate(word), d.selectedInstance)
 	}
 	if string(word) == "KILL" {
@@ -149,7 +149,7 @@
 		return m, true, d.endLine()
 	}
 	m.Kind, m.Event = InstanceEvent, &d.event
-	return m, true, d.decodeEvent(word, known)
+	return m, true, d.decodeEvent(word, names)
 }
 
 // decodeEnlist decodes the seed and the settings of an ENLIST line.
@@ -171,20 +171,20 @@
 	if err != nil {
 		return m, false, err
 	}
-	known := &instanceNames{map[string]int{}, map[string]int{}}
+	names := &instanceNames{map[string]int{}, map[string]int{}}
 	for i, c := range m.Settings.Classes {
-		known.classes[c.Name] = i
+		names.classes[c.Name] = i
 	}
 	for i, t := range m.Settings.Tenants {
-		known.tenants[t.Name] = i
+		names.tenants[t.Name] = i
 	}
-	d.instances[d.selectedInstance] = known
+	d.instances[d.selectedInstance] = names
 	return m, true, nil
 }
 
 // decodeList decodes a LIST line and the WORKER lines that follow it.
 func (d *Decoder) decodeList() error {
-	ref, n := int(d.integer()), int(d.integer())
+	number, n := int(d.integer()), int(d.integer())
 	if err := d.endLine(); err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 		}
 		entries = append(entries, w)
 	}
-	d.lists[ref] = entries
+	d.lists[number] = entries
 	return nil
 }
 
@@ -236,19 +236,19 @@
 	"stale_copy": topazfall.ListRestored, "broken": topazfall.ListFailed}
 
 // decodeEvent decodes an event of the selected instance into d.event.
-func (d *Decoder) decodeEvent(word []byte, known *instanceNames) error {
+func (d *Decoder) decodeEvent(word []byte, names *instanceNames) error {
 	d.event = topazfall.Event{Tenant: -1, Load: topazfall.NoLoad}
 	e := &d.event
 	switch string(word) {
 	case "CALL":
 		e.Kind, e.Request = topazfall.Arrival, d.requestID()
 		class := d.value()
-		i, ok := known.classes[string(class)]
+		i, ok := names.classes[string(class)]
 		if !ok && d.err == nil {
 			return fmt.Errorf("unknown class %q", truncate(class))
 		}
 		e.Class = i
-		if i, ok := known.tenants[string(d.value())]; ok {
+		if i, ok := names.tenants[string(d.value())]; ok {
 			e.Tenant = i
 		}
 		if key := d.value(); string(key) != "-" { // "-" stands for no key
@@ -314,12 +314,12 @@
 		return fmt.Errorf("unknown kind of list %q", truncate(kindName))
 	}
 	e.Kind = kind
-	ref := int(d.integer())
+	number := int(d.integer())
 	if err := d.endLine(); err != nil || kind == topazfall.ListFailed {
 		return err
 	}
-	if e.List, ok = d.lists[ref]; !ok {
-		return fmt.Errorf("no list has the number %d", ref)
+	if e.List, ok = d.lists[number]; !ok {
+		return fmt.Errorf("no list has the number %d", number)
 	}
 	return nil
 }
