--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -125,7 +125,8 @@
 		MaxIdemponentCallAttempts: 1, Dial: dial}
 }
 
-// dial returns a function that opens a connection unless the limit of SetMaxConns is reached.
+// dial returns a function that opens a connection unless the limit of SetMaxConns is reached, which follows from the
+// limit on file descriptors.
 func (t *Transport) dial(network, target string, timeout time.Duration) fasthttp.DialFunc {
 	return func(string) (net.Conn, error) {
 		if t.openConns.Add(1) > t.maxConns.Load() {
