--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -1,68 +1,69 @@
 package dispatch
 
-// What hosts tell of jobs.
+// Callbacks of hosts about the state of jobs.
 
 import (
 	"topazfall"
 	"topazfall/internal/exchange"
 )
 
-// JobState is what a host says of a job.
+// JobState is the state of a job that a host (worker) reports.
 type JobState int
 
-// The states that hosts tell of.
+// The states that hosts report.
 const (
 	Started JobState = iota
 	Running
 	Finished
 )
 
-// Callback is one call-back of a host.
+// Callback is one callback of a host about a job.
 type Callback struct {
-	ID, From string
+	ID, From string // the message's id and the host's
 	State    JobState
-	Progress float64
-	Outcome  topazfall.Outcome // of Over
+	Progress float64           // the share of the job that is done
+	Outcome  topazfall.Outcome // if State is Finished
 	Result   []byte
 	Load     topazfall.Load
 }
 
-// PostCallback takes a call-back. It may come before the host's answer to the relay, come again, or be about an
-// earlier life of this dispatcher: it counts only for a relay that is still out at the host it comes from.
-func (c *Core) PostCallback(n Callback) { c.ops <- func() { c.note(n) } }
+// PostCallback queues a callback and returns. A callback may arrive before the host's answer to the relay (attempt),
+// may be repeated, or may be about a relay of an earlier process. It counts only for an open relay at the host that
+// sent it.
+func (c *Core) PostCallback(callback Callback) { c.ops <- func() { c.applyCallback(callback) } }
 
-// HandleCallback is Noted, and tells whether the message is in hand here.
-func (c *Core) HandleCallback(n Callback) bool {
+// HandleCallback applies a callback like PostCallback, waits for it, and reports whether the message is in flight here.
+func (c *Core) HandleCallback(callback Callback) bool {
 	taken := make(chan bool, 1)
 	c.ops <- func() {
-		taken <- c.byID[n.ID] != nil
-		c.note(n)
+		taken <- c.byID[callback.ID] != nil
+		c.applyCallback(callback)
 	}
 	return <-taken
 }
 
-func (c *Core) note(n Callback) {
-	r := c.find(n.ID, n.From)
+func (c *Core) applyCallback(callback Callback) {
+	r := c.findRelay(callback.ID, callback.From)
 	if r == nil {
 		return
 	}
-	e := topazfall.Event{Request: r.Exchange.Number, Attempt: r.Index, Worker: r.Host.ID, Amount: n.Progress}
-	switch n.State {
+	event := topazfall.Event{Request: r.Exchange.Number, Attempt: r.Index, Worker: r.Host.ID, Amount: callback.Progress}
+	switch callback.State {
 	case Started:
-		e.Kind = topazfall.JobStarted
+		event.Kind = topazfall.JobStarted
 		if r.StartedAt == 0 {
 			r.StartedAt = c.Now()
 		}
-		c.feed(e)
+		c.queueEvent(event)
 	case Running:
-		e.Kind = topazfall.JobProgress
-		c.feed(e)
+		event.Kind = topazfall.JobProgress
+		c.queueEvent(event)
 	case Finished:
-		c.end(r, n.Outcome, n.Load, n.Result)
+		c.endRelay(r, callback.Outcome, callback.Load, callback.Result)
 	}
 }
 
-func (c *Core) find(id, host string) *exchange.Relay {
+func (c *Core) findRelay(id, host string) *exchange.Relay {
 	if x := c.byID[id]; x != nil {
 		for _, r := range x.Relays {
 			if !r.Done && r.Host.ID == host {
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Clock tells microseconds of Unix time, so that it compares with the start times in the inventory. It
-// takes the wall clock once and goes on by the monotonic one: a step of the wall clock cannot turn it back.
+// Clock returns Unix time in microseconds, which is comparable with the start times on discovery's list. It reads the
+// wall clock once and then follows the monotonic clock, so that a step of the wall clock cannot set it back.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts at the current wall clock time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time.
+// Now returns the current time in microseconds.
 func (c Clock) Now() int64 { return c.FromTime(time.Now()) }
 
-// FromTime converts a time that was read from the system's clock.
+// FromTime converts a time read from the system's clock to microseconds of this clock.
 func (c Clock) FromTime(t time.Time) int64 {
 	return c.start.UnixMicro() + t.Sub(c.start).Microseconds()
 }
 
-// ToTime converts a time of this clock to one that deadlines of connections take.
+// ToTime converts microseconds of this clock to a time.Time, for example for the deadline of a connection.
 func (c Clock) ToTime(us int64) time.Time {
 	return c.start.Add(time.Duration(us-c.start.UnixMicro()) * time.Microsecond)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch runs the decision module: one goroutine owns the Balancer, its clock and timers and the
-// open exchanges. It feeds what happens to the module and carries out the module's actions in order. It
-// decides nothing and knows no HTTP, so that another protocol can enter here by the same rules.
+// Package dispatch runs the decision module, topazfall.Balancer. One goroutine owns the Balancer, its clock and timers,
+// and the open exchanges (the client messages in flight with their relays). It passes events to the module and executes
+// the module's actions in order. It makes no decisions and does not depend on HTTP, so that another protocol can be
+// served through the same calls.
 package dispatch
 
 import (
@@ -15,194 +16,200 @@
 	"topazfall/internal/metrics"
 )
 
-// Upstream carries relays to hosts. Its methods return at once.
+// Upstream sends relays (attempts) to hosts (workers, as the network code knows them). Its methods do not block.
 type Upstream interface {
 	Send(*exchange.Relay)
-	Cancel(*exchange.Relay) // the relay has ended here; the host should drop it
+	Cancel(*exchange.Relay) // the relay has ended at the dispatcher; the host should drop the job
 	Probe(*exchange.Host)
-	// Readdress says by which addresses a host that has several is reached from now on; nil if it has gone, or has none
-	// but its dial.
+	// SetAddresses replaces the addresses of a host that has several. The list is nil if the host has been removed or
+	// has only its single address, Entry.Addr.
 	SetAddresses(host string, list []addresses.Address)
 }
 
-// Discovery is asked for the list of hosts. Its methods return at once.
+// Discovery requests the list of hosts from the discovery service. Its methods do not block.
 type Discovery interface {
-	Follow()
-	Fetch()
+	Follow() // requests the changes of the list from now on
+	Fetch()  // requests the whole list
 }
 
-// Peers carries words to other dispatchers. Its method returns at once.
+// Peers sends gossip messages to other dispatchers. Its method does not block.
 type Peers interface {
 	Send(peer int, data []byte)
 }
 
-// Entry is one host of the inventory.
+// Entry is one host (worker) on discovery's list. The names of its fields, and the type name of the embedded Worker,
+// are part of the handover format.
 type Entry struct {
 	topazfall.Worker
-	Addr  string
-	Addrs []addresses.Address // in the host's own order of preference; where there are any, Addr is not used
+	Addr  string              // the host's only address
+	Addrs []addresses.Address // in the host's own order of preference; if there are any, Addr is not used
 }
 
-// Core is the dispatch goroutine's state. The exported methods may be called from any goroutine.
+// Core holds the state of the dispatch goroutine. Its exported methods may be called from any goroutine.
 type Core struct {
 	Clock
 	balancer  *topazfall.Balancer
 	settings  topazfall.Settings
-	classes   []topazfall.Class // by index, those that are gone as well
+	classes   []topazfall.Class // by index, including removed ones
 	tenants   []topazfall.Tenant
-	south     Upstream
-	inventory Discovery
-	peers     Peers       // nil where there are none
-	news      chan func() // of the inventory: a host that drains gets nothing new that is decided after it was heard
-	ops       chan func()
-	inHand    atomic.Int64
-	metrics   *metrics.Metrics
-
-	// The dispatch goroutine's own from here on.
-	number  uint64
-	byID    map[string]*exchange.Exchange
-	byNum   map[uint64]*exchange.Exchange
-	known   map[string]bool // ids of late, in hand or not
-	order   [remembered]string
-	hosts   map[string]*exchange.Host
-	listed  map[string]topazfall.Worker // as the inventory has them
-	held    bool                        // the list may not be relied on; see Hold
-	claims  *addresses.Claims
-	events  []topazfall.Event
-	actions []topazfall.Action
-	timers  timers
+	upstream  Upstream
+	discovery Discovery
+	peers     Peers // nil if peer messages are off
+	// listOps carries list updates. They run before ops, so that a draining host is not chosen by any decision made
+	// after its drain was received.
+	listOps  chan func()
+	ops      chan func()
+	inFlight atomic.Int64
+	metrics  *metrics.Metrics
+
+	// The fields below belong to the dispatch goroutine.
+	lastNumber    uint64
+	byID          map[string]*exchange.Exchange
+	byNumber      map[uint64]*exchange.Exchange
+	knownIDs      map[string]bool     // recent message ids, in flight or not
+	recentIDs     [maxKnownIDs]string // the same ids as a ring, by number
+	hosts         map[string]*exchange.Host
+	listedWorkers map[string]topazfall.Worker // as discovery reported them
+	onHold        bool                        // the list is too old to use; see SetHold
+	claims        *addresses.Claims
+	events        []topazfall.Event
+	actions       []topazfall.Action
+	timers        timerHeap
 }
 
-// New returns a core for these settings that counts in f.
-func New(s topazfall.Settings, f *metrics.Metrics) (*Core, error) {
-	b, err := topazfall.New(s)
+// New returns a core with the given settings that updates counters.
+func New(settings topazfall.Settings, counters *metrics.Metrics) (*Core, error) {
+	balancer, err := topazfall.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	for _, k := range s.Classes {
-		f.AddClasses(k.Name)
+	for _, class := range settings.Classes {
+		counters.AddClasses(class.Name)
 	}
-	return &Core{Clock: NewClock(), balancer: b, settings: s, classes: s.Classes, tenants: s.Tenants,
-		ops: make(chan func(), 1024), news: make(chan func(), 16), metrics: f,
-		byID: map[string]*exchange.Exchange{}, byNum: map[uint64]*exchange.Exchange{},
-		known: map[string]bool{}, hosts: map[string]*exchange.Host{},
-		listed: map[string]topazfall.Worker{}, claims: addresses.NewClaims()}, nil
+	return &Core{Clock: NewClock(), balancer: balancer, settings: settings, classes: settings.Classes,
+		tenants: settings.Tenants, ops: make(chan func(), 1024), listOps: make(chan func(), 16), metrics: counters,
+		byID: map[string]*exchange.Exchange{}, byNumber: map[uint64]*exchange.Exchange{},
+		knownIDs: map[string]bool{}, hosts: map[string]*exchange.Host{},
+		listedWorkers: map[string]topazfall.Worker{}, claims: addresses.NewClaims()}, nil
 }
 
-// SetPeers names what carries words to other dispatchers. It comes before Run.
+// SetPeers sets the sender of gossip messages. It must be called before Run.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
-// ReceivePeerMessage takes what another dispatcher tells, or, with a number below 0, somebody who is none.
+// ReceivePeerMessage accepts a gossip message from a peer (another dispatcher). A negative number marks a sender that
+// is not a peer.
 func (c *Core) ReceivePeerMessage(from int, data []byte) {
 	c.metrics.PeerMessages.Add(1)
-	c.ops <- func() { c.feed(topazfall.Event{Kind: topazfall.PeerMessage, From: from, Data: data}) }
+	c.ops <- func() { c.queueEvent(topazfall.Event{Kind: topazfall.PeerMessage, From: from, Data: data}) }
 }
 
-// Run serves until the program ends.
-func (c *Core) Run(south Upstream, inventory Discovery) {
-	c.south, c.inventory = south, inventory
-	alarm := newAlarm()
-	c.look()
+// Run runs the dispatch goroutine. It never returns.
+func (c *Core) Run(upstream Upstream, discovery Discovery) {
+	c.upstream, c.discovery = upstream, discovery
+	wake := newWakeTimer()
+	c.updateGauges()
 	for {
-		alarm.set(c.timers.next(), c.Now())
+		wake.setDue(c.timers.nextDue(), c.Now())
 		select {
-		case op := <-c.news:
+		case op := <-c.listOps:
 			op()
 		case op := <-c.ops:
-			c.hearNews()
+			c.runListOps()
 			op()
-		case <-alarm.C:
-			c.hearNews()
+		case <-wake.C:
+			c.runListOps()
 		}
-		for now := c.Now(); c.timers.next() <= now; {
-			heap.Pop(&c.timers).(timer).ring()
-			c.settle()
+		for now := c.Now(); c.timers.nextDue() <= now; {
+			heap.Pop(&c.timers).(timer).fire()
+			c.processEvents()
 		}
-		c.settle()
+		c.processEvents()
 	}
 }
 
-// hearNews takes what the inventory has told before anything else is dealt with.
-func (c *Core) hearNews() {
+// runListOps applies all waiting list updates before any other operation.
+func (c *Core) runListOps() {
 	for {
 		select {
-		case op := <-c.news:
+		case op := <-c.listOps:
 			op()
-			c.settle()
+			c.processEvents()
 		default:
 			return
 		}
 	}
 }
 
-// lookTime is how often the module is asked whom it avoids, which changes with time as well, and what it has dropped.
-const lookTime = 200_000
+// gaugeInterval is the time between two updates of the gauges, in microseconds. They are polled because the number of
+// unavailable workers also changes with time alone.
+const gaugeInterval = 200_000
 
-func (c *Core) look() {
+func (c *Core) updateGauges() {
 	c.metrics.Ejected.Store(int64(c.balancer.UnavailableWorkers(c.Now())))
 	c.metrics.PeerMessagesDropped.Store(int64(c.balancer.DroppedMessages()))
-	c.after(c.Now()+lookTime, c.look)
+	c.schedule(c.Now()+gaugeInterval, c.updateGauges)
 }
 
-// InFlight is the number of messages without a final answer, and of relays that have not ended.
-func (c *Core) InFlight() int64 { return c.inHand.Load() }
+// InFlight returns the number of messages without a final answer plus the number of relays that have not ended.
+func (c *Core) InFlight() int64 { return c.inFlight.Load() }
 
-// remembered is how many ids are known: some minutes of them on a busy day, and a few hundred kB.
-const remembered = 4096
+// maxKnownIDs is the number of message ids that are kept: some minutes of them on a busy day, in a few hundred kB.
+const maxKnownIDs = 4096
 
-// Submit takes in a message. It gets exactly one final answer. An id is new with every message: one that is
-// known is of somebody else's, and a call-back could not tell the two apart. That holds for a while after the
-// first has ended as well, since hosts may still tell of it, and must not be asked to run it again.
+// Submit accepts a message. It gets exactly one final answer. Each message needs a new id: a message with a known id is
+// rejected as a duplicate, because a callback could not tell the two messages apart. Ids stay known for a while after
+// their message has ended, because hosts may still send callbacks for it and must not be asked to run it again.
 func (c *Core) Submit(x *exchange.Exchange) {
-	c.inHand.Add(1)
+	c.inFlight.Add(1)
 	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
 		if x.IsDisconnected() {
 			c.finish(x, exchange.Answer{Result: exchange.Failed})
 			return
 		}
-		if c.known[x.ID] || c.byID[x.ID] != nil {
+		if c.knownIDs[x.ID] || c.byID[x.ID] != nil {
 			c.finish(x, exchange.Answer{Result: exchange.Duplicate})
 			return
 		}
-		c.remember(x.ID)
-		x.Number = c.number
-		c.class(x)
-		c.byID[x.ID], c.byNum[x.Number] = x, x
-		c.feed(topazfall.Event{Kind: topazfall.Arrival, Request: x.Number, Class: x.Class, Tenant: x.Tenant,
+		c.addKnownID(x.ID)
+		x.Number = c.lastNumber
+		c.applyClass(x)
+		c.byID[x.ID], c.byNumber[x.Number] = x, x
+		c.queueEvent(topazfall.Event{Kind: topazfall.Arrival, Request: x.Number, Class: x.Class, Tenant: x.Tenant,
 			Due: x.Due, Hint: x.Hint, Key: x.Key, Slots: x.Slots, Retry: x.Retry})
 	}
 }
 
-// ClientDisconnected tells that the client of a message has left.
+// ClientDisconnected reports that the client of a message has closed its connection.
 func (c *Core) ClientDisconnected(x *exchange.Exchange) {
 	x.MarkDisconnected()
-	c.ops <- func() { c.gone(x) }
+	c.ops <- func() { c.endDisconnected(x) }
 }
 
-func (c *Core) gone(x *exchange.Exchange) {
+func (c *Core) endDisconnected(x *exchange.Exchange) {
 	if c.finish(x, exchange.Answer{Result: exchange.Failed}) {
-		c.feed(topazfall.Event{Kind: topazfall.ClientGone, Request: x.Number})
-		c.forget(x)
+		c.queueEvent(topazfall.Event{Kind: topazfall.ClientGone, Request: x.Number})
+		c.removeIfDone(x)
 	}
 }
 
-// RelayEnded tells how a relay ended. Of several endings the first counts.
-func (c *Core) RelayEnded(r *exchange.Relay, o topazfall.Outcome, l topazfall.Load) {
-	c.ops <- func() { c.end(r, o, l, nil) }
+// RelayEnded reports the outcome of a relay. Only the first outcome reported for a relay counts.
+func (c *Core) RelayEnded(r *exchange.Relay, outcome topazfall.Outcome, load topazfall.Load) {
+	c.ops <- func() { c.endRelay(r, outcome, load, nil) }
 }
 
-// ApplyList takes news of the inventory; for ListBroken there are no entries.
+// ApplyList applies an update of discovery's list. A ListFailed update has no entries.
 func (c *Core) ApplyList(kind topazfall.EventKind, entries []Entry) {
-	c.news <- func() {
+	c.listOps <- func() {
 		if kind == topazfall.ListSnapshot || kind == topazfall.ListRestored {
-			old := c.hosts
-			c.hosts, c.listed = map[string]*exchange.Host{}, map[string]topazfall.Worker{}
+			previous := c.hosts
+			c.hosts, c.listedWorkers = map[string]*exchange.Host{}, map[string]topazfall.Worker{}
 			for _, e := range entries {
-				c.hosts[e.ID] = old[e.ID]
+				c.hosts[e.ID] = previous[e.ID]
 			}
-			for id, h := range old {
-				if _, listed := c.hosts[id]; !listed { // the others' state is below: a relay may begin at any moment
+			for id, h := range previous {
+				// Listed hosts get their state below: closing one even for a moment could stop a relay that starts now.
+				if _, listed := c.hosts[id]; !listed {
 					h.SetClosed(true)
 				}
 			}
@@ -215,241 +222,250 @@
 		workers := make([]topazfall.Worker, len(entries))
 		for i, e := range entries {
 			h := c.hosts[e.ID]
-			// A relay under way keeps the address it was made for; one of several the south side looks after.
-			if several := len(e.Addrs) > 0; h == nil || h.MultiAddress != several || !several && h.Addr != e.Addr {
+			// A relay in flight keeps the address it was created with. Of a host with several addresses, the upstream
+			// selects one.
+			if multiAddress := len(e.Addrs) > 0; h == nil || h.MultiAddress != multiAddress ||
+				!multiAddress && h.Addr != e.Addr {
 				if h != nil {
 					h.SetClosed(true)
 				}
-				h = &exchange.Host{ID: e.ID, Addr: e.Addr, MultiAddress: several}
+				h = &exchange.Host{ID: e.ID, Addr: e.Addr, MultiAddress: multiAddress}
 				c.hosts[e.ID] = h
 			}
-			c.listed[e.ID] = e.Worker
-			workers[i] = c.offered(e.Worker)
+			c.listedWorkers[e.ID] = e.Worker
+			workers[i] = c.effectiveWorker(e.Worker)
 			h.SetClosed(workers[i].State != topazfall.Ready)
 			if e.State == topazfall.Gone {
 				delete(c.hosts, e.ID)
-				delete(c.listed, e.ID)
+				delete(c.listedWorkers, e.ID)
 				c.claims.Remove(e.ID)
 			} else {
 				c.claims.Set(e.ID, e.Addrs, e.Addr)
 			}
 		}
-		c.settleClaims()
+		c.resolveClaims()
 		c.metrics.Discovered.Store(int64(len(c.hosts)))
-		c.feed(topazfall.Event{Kind: kind, List: workers})
+		c.queueEvent(topazfall.Event{Kind: kind, List: workers})
 	}
 }
 
-// SetHold tells whether the list may not be relied on: then no host is offered to the module for anything new, and what
-// has not begun does not begin. What is under way goes on, and a job that still has time waits for the next list. As
-// with List, news goes before all that waits to be dealt with.
+// SetHold starts or ends a hold. During a hold the list is too old to use: every ready worker is shown to the module as
+// draining, and relays that have not started do not start. Relays that have started continue, and a job with time left
+// waits for the next list. Like ApplyList, SetHold takes effect before all waiting operations.
 func (c *Core) SetHold(held bool) {
-	c.news <- func() {
-		if c.held == held {
+	c.listOps <- func() {
+		if c.onHold == held {
 			return
 		}
-		c.held = held
-		workers := make([]topazfall.Worker, 0, len(c.listed))
-		for id, w := range c.listed {
-			w = c.offered(w)
+		c.onHold = held
+		workers := make([]topazfall.Worker, 0, len(c.listedWorkers))
+		for id, w := range c.listedWorkers {
+			w = c.effectiveWorker(w)
 			c.hosts[id].SetClosed(w.State != topazfall.Ready)
 			workers = append(workers, w)
 		}
-		c.feed(topazfall.Event{Kind: topazfall.ListPatch, List: workers})
-		if held { // it is no news of the inventory: that is still broken
-			c.feed(topazfall.Event{Kind: topazfall.ListFailed})
+		c.queueEvent(topazfall.Event{Kind: topazfall.ListPatch, List: workers})
+		if held { // the patch above does not come from discovery, which is still failing
+			c.queueEvent(topazfall.Event{Kind: topazfall.ListFailed})
 		}
 	}
 }
 
-// offered is a worker as the module is to see it.
-func (c *Core) offered(w topazfall.Worker) topazfall.Worker {
-	if c.held && w.State == topazfall.Ready {
+// effectiveWorker returns a listed worker as the module sees it: during a hold a ready worker is draining.
+func (c *Core) effectiveWorker(w topazfall.Worker) topazfall.Worker {
+	if c.onHold && w.State == topazfall.Ready {
 		w.State = topazfall.Draining
 	}
 	return w
 }
 
-// settleClaims hands on which addresses the hosts of the list have now.
-func (c *Core) settleClaims() {
+// resolveClaims sends the upstream the addresses of each host whose addresses have changed.
+func (c *Core) resolveClaims() {
 	changed, conflicts := c.claims.Resolve()
-	for _, f := range conflicts {
-		slog.Warn("inventory", "odd", "address", "host", f.Host, "address", f.Address, "owner", f.Owner)
+	for _, conflict := range conflicts {
+		slog.Warn("inventory", "odd", "address", "host", conflict.Host, "address", conflict.Address,
+			"owner", conflict.Owner)
 	}
 	for _, host := range changed {
 		list, listed := c.claims.Usable(host)
 		if !listed {
 			list = nil
 		}
-		c.south.SetAddresses(host, list)
+		c.upstream.SetAddresses(host, list)
 	}
 }
 
-// ProbeDone tells what a probe brought.
-func (c *Core) ProbeDone(h *exchange.Host, o topazfall.Outcome, took int64, l topazfall.Load) {
+// ProbeDone reports the result of a probe. The time it took is in microseconds.
+func (c *Core) ProbeDone(h *exchange.Host, outcome topazfall.Outcome, elapsed int64, load topazfall.Load) {
 	c.ops <- func() {
-		c.feed(topazfall.Event{Kind: topazfall.ProbeDone, Worker: h.ID, Outcome: o, Elapsed: took, Load: l})
+		c.queueEvent(topazfall.Event{Kind: topazfall.ProbeDone, Worker: h.ID, Outcome: outcome, Elapsed: elapsed,
+			Load: load})
 	}
 }
 
-// CancelUnanswered calls off the relays that their hosts have not answered for so long. What may run again goes to another
-// host, the rest is failed: better than no answer at all, where this process is about to be killed.
+// CancelUnanswered cancels the relays that were sent at least age microseconds ago and that their hosts have not
+// answered. A message that may run again goes to another host, the others fail. It is for a process that is about to be
+// killed: a failure is better for a client than no answer.
 func (c *Core) CancelUnanswered(age int64) {
 	c.ops <- func() {
-		for _, x := range c.byNum {
+		for _, x := range c.byNumber {
 			for _, r := range x.Relays {
 				if !r.Done && !r.IsAccepted() && c.Now()-r.Sent >= age {
-					c.south.Cancel(r)
-					c.end(r, topazfall.Cancelled, topazfall.NoLoad, nil)
+					c.upstream.Cancel(r)
+					c.endRelay(r, topazfall.Cancelled, topazfall.NoLoad, nil)
 				}
 			}
 		}
 	}
 }
 
-// Sync returns when all that was told before has been dealt with.
+// Sync waits until all operations queued before it have been executed.
 func (c *Core) Sync() {
 	done := make(chan struct{})
 	c.ops <- func() { close(done) }
 	<-done
 }
 
-// feed queues an event: what an action leads to must not reach the module before that action's siblings
-// are carried out.
-func (c *Core) feed(e topazfall.Event) { c.events = append(c.events, e) }
+// queueEvent queues an event for the module. An event caused by an action must not reach the module before the other
+// actions of the same batch have been executed.
+func (c *Core) queueEvent(e topazfall.Event) { c.events = append(c.events, e) }
 
-// settle hands the queued events to the module and carries out what it wants.
-func (c *Core) settle() {
+// processEvents passes the queued events to the module and executes the resulting actions.
+func (c *Core) processEvents() {
 	for i := 0; i < len(c.events); i++ {
 		c.actions = c.balancer.Handle(c.Now(), &c.events[i], c.actions[:0])
 		for j := range c.actions {
-			c.carryOut(&c.actions[j])
+			c.execute(&c.actions[j])
 		}
 	}
 	c.events = c.events[:0]
 }
 
-func (c *Core) carryOut(a *topazfall.Action) {
-	x := c.byNum[a.Request]
-	switch a.Kind {
+func (c *Core) execute(action *topazfall.Action) {
+	x := c.byNumber[action.Request]
+	switch action.Kind {
 	case topazfall.Send:
-		c.send(x, c.hosts[a.Worker], a)
+		c.send(x, c.hosts[action.Worker], action)
 	case topazfall.Refuse:
-		c.finish(x, exchange.Answer{Result: exchange.Refused, RetryAfter: a.After})
-		c.forget(x)
+		c.finish(x, exchange.Answer{Result: exchange.Refused, RetryAfter: action.After})
+		c.removeIfDone(x)
 	case topazfall.Fail:
-		verdict := exchange.Failed
+		result := exchange.Failed
 		if x != nil && len(x.Relays) > 0 && x.Relays[len(x.Relays)-1].Outcome == topazfall.TimedOut {
-			verdict = exchange.TimedOut
+			result = exchange.TimedOut
 		}
-		c.finish(x, exchange.Answer{Result: verdict})
-		c.forget(x)
+		c.finish(x, exchange.Answer{Result: result})
+		c.removeIfDone(x)
 	case topazfall.CancelAttempt:
-		if x != nil && a.Attempt < len(x.Relays) && !x.Relays[a.Attempt].Done {
-			c.south.Cancel(x.Relays[a.Attempt])
-			c.end(x.Relays[a.Attempt], topazfall.Cancelled, topazfall.NoLoad, nil)
+		if x != nil && action.Attempt < len(x.Relays) && !x.Relays[action.Attempt].Done {
+			c.upstream.Cancel(x.Relays[action.Attempt])
+			c.endRelay(x.Relays[action.Attempt], topazfall.Cancelled, topazfall.NoLoad, nil)
 		}
 	case topazfall.SetTimer:
-		token := a.Token
-		c.after(c.Now()+a.After, func() { c.feed(topazfall.Event{Kind: topazfall.TimerDue, Token: token}) })
+		token := action.Token
+		c.schedule(c.Now()+action.After, func() {
+			c.queueEvent(topazfall.Event{Kind: topazfall.TimerDue, Token: token})
+		})
 	case topazfall.ProbeWorker:
-		if h := c.hosts[a.Worker]; h != nil {
-			c.south.Probe(h)
+		if h := c.hosts[action.Worker]; h != nil {
+			c.upstream.Probe(h)
 		}
 	case topazfall.WatchList:
-		c.inventory.Follow()
+		c.discovery.Follow()
 	case topazfall.FetchList:
-		c.inventory.Fetch()
+		c.discovery.Fetch()
 	case topazfall.SendToPeer:
 		if c.peers != nil {
-			c.peers.Send(a.Peer, a.Data)
+			c.peers.Send(action.Peer, action.Data)
 		}
 	case topazfall.Log:
-		slog.Info("module", "text", a.Text)
+		slog.Info("module", "text", action.Text)
 	}
 }
 
-func (c *Core) send(x *exchange.Exchange, h *exchange.Host, a *topazfall.Action) {
-	if x == nil { // the module names only what it was given and has not ended
-		slog.Warn("send", "error", "no such message", "request", a.Request)
+func (c *Core) send(x *exchange.Exchange, h *exchange.Host, action *topazfall.Action) {
+	if x == nil { // unexpected: the module names only requests that it was given and that have not ended
+		slog.Warn("send", "error", "no such message", "request", action.Request)
 		return
 	}
 	now, due := c.Now(), x.Due
-	if a.After != 0 {
-		due = min(due, now+a.After)
+	if action.After != 0 {
+		due = min(due, now+action.After)
 	}
-	c.inHand.Add(1)
-	if h == nil || x.IsDisconnected() { // the relay still counts and ends: else the message would wait for it in vain
+	c.inFlight.Add(1)
+	// If the relay cannot be sent, it is still recorded and ended: otherwise the message would wait for it in vain.
+	if h == nil || x.IsDisconnected() {
 		if h == nil {
-			h = &exchange.Host{ID: a.Worker}
+			h = &exchange.Host{ID: action.Worker}
 		}
-		c.end(x.AddRelay(h, now, due), topazfall.NeverSent, topazfall.NoLoad, nil)
+		c.endRelay(x.AddRelay(h, now, due), topazfall.NeverSent, topazfall.NoLoad, nil)
 		return
 	}
 	r := x.AddRelay(h, now, due)
-	c.watch(r)
-	c.south.Send(r)
+	c.scheduleTimeout(r)
+	c.upstream.Send(r)
 }
 
-// watch ends a relay when its time is up. Timers cannot be taken back: this one must not keep the message's body until
-// its time comes.
-func (c *Core) watch(r *exchange.Relay) {
-	number, n := r.Exchange.Number, r.Index
-	c.after(r.Due, func() {
-		if x := c.byNum[number]; x != nil && !x.Relays[n].Done {
-			c.south.Cancel(x.Relays[n])
-			c.end(x.Relays[n], topazfall.TimedOut, topazfall.NoLoad, nil)
+// scheduleTimeout ends a relay at its deadline. Timers cannot be removed, so this one refers to the relay by number: a
+// pointer would keep the message's body in memory until the deadline.
+func (c *Core) scheduleTimeout(r *exchange.Relay) {
+	number, index := r.Exchange.Number, r.Index
+	c.schedule(r.Due, func() {
+		if x := c.byNumber[number]; x != nil && !x.Relays[index].Done {
+			c.upstream.Cancel(x.Relays[index])
+			c.endRelay(x.Relays[index], topazfall.TimedOut, topazfall.NoLoad, nil)
 		}
 	})
 }
 
-// end gives a relay its one outcome. The first to be served answers the client.
-func (c *Core) end(r *exchange.Relay, o topazfall.Outcome, l topazfall.Load, result []byte) {
+// endRelay sets the outcome of a relay, once. The first relay that completes answers the client.
+func (c *Core) endRelay(r *exchange.Relay, outcome topazfall.Outcome, load topazfall.Load, result []byte) {
 	if r.Done {
 		return
 	}
-	r.Done, r.Outcome = true, o
+	r.Done, r.Outcome = true, outcome
 	r.End()
-	if o.NotRun() {
+	if outcome.NotRun() {
 		r.MarkNeverRan()
 	}
-	c.inHand.Add(-1)
+	c.inFlight.Add(-1)
 	x := r.Exchange
-	if o == topazfall.Completed {
+	if outcome == topazfall.Completed {
 		c.finish(x, exchange.Answer{Result: exchange.Served, Body: result})
-	} else if x.IsDisconnected() { // the relay found out
-		c.gone(x)
+	} else if x.IsDisconnected() { // the check before the relay's start may have noticed it
+		c.endDisconnected(x)
 	}
 	now := c.Now()
 	slog.LogAttrs(context.Background(), slog.LevelInfo, "relay", slog.String("id", x.ID), slog.Int("n", r.Index),
-		slog.String("host", r.Host.ID), slog.String("outcome", outcomes[o]), slog.Int64("took_us", now-r.Sent),
-		slog.Int64("begun_us", max(r.StartedAt-r.Sent, 0)))
-	c.feed(topazfall.Event{Kind: topazfall.AttemptDone, Request: x.Number, Attempt: r.Index, Worker: r.Host.ID,
-		Outcome: o, Elapsed: now - r.Sent, Final: x.IsFinished(), Load: l})
-	c.forget(x)
+		slog.String("host", r.Host.ID), slog.String("outcome", outcomeNames[outcome]),
+		slog.Int64("took_us", now-r.Sent), slog.Int64("begun_us", max(r.StartedAt-r.Sent, 0)))
+	c.queueEvent(topazfall.Event{Kind: topazfall.AttemptDone, Request: x.Number, Attempt: r.Index, Worker: r.Host.ID,
+		Outcome: outcome, Elapsed: now - r.Sent, Final: x.IsFinished(), Load: load})
+	c.removeIfDone(x)
 }
 
-var outcomes = [...]string{"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled",
+var outcomeNames = [...]string{"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled",
 	"superseded", "unusable"}
 
-func (c *Core) finish(x *exchange.Exchange, a exchange.Answer) bool {
-	if x == nil || !x.Finish(a) {
+func (c *Core) finish(x *exchange.Exchange, answer exchange.Answer) bool {
+	if x == nil || !x.Finish(answer) {
 		return false
 	}
-	c.inHand.Add(-1)
+	c.inFlight.Add(-1)
 	c.metrics.Outstanding.Add(-1)
-	if e, ok := endings[a.Result]; ok {
-		c.metrics.CountJob(x.Class, e)
+	if result, ok := jobResults[answer.Result]; ok {
+		c.metrics.CountJob(x.Class, result)
 	}
 	return true
 }
 
-// endings says how a verdict counts. A message that was not taken is no job.
-var endings = map[exchange.Result]metrics.JobResult{exchange.Served: metrics.Succeeded,
+// jobResults maps the result of an answer to its counter. A message that was not accepted here, or was handed over,
+// does not count as a job.
+var jobResults = map[exchange.Result]metrics.JobResult{exchange.Served: metrics.Succeeded,
 	exchange.Refused: metrics.Declined, exchange.Failed: metrics.Aborted, exchange.TimedOut: metrics.Aborted}
 
-// forget drops an exchange that owes and awaits nothing any more.
-func (c *Core) forget(x *exchange.Exchange) {
+// removeIfDone drops an exchange that has its final answer and no open relay.
+func (c *Core) removeIfDone(x *exchange.Exchange) {
 	if x == nil || !x.IsFinished() {
 		return
 	}
@@ -459,5 +475,5 @@
 		}
 	}
 	delete(c.byID, x.ID)
-	delete(c.byNum, x.Number)
+	delete(c.byNumber, x.Number)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -14,40 +14,40 @@
 	"topazfall/internal/metrics"
 )
 
-// side stands in for the south side and the inventory: it keeps what it is given.
-type side struct {
-	sent, off chan *exchange.Relay
+// fakeUpstream stands in for the upstream and discovery. It records the relays that are sent and cancelled.
+type fakeUpstream struct {
+	sent, cancelled chan *exchange.Relay
 }
 
-func (s side) Send(r *exchange.Relay)                   { s.sent <- r }
-func (s side) Cancel(r *exchange.Relay)                 { r.End(); s.off <- r }
-func (s side) Probe(*exchange.Host)                     {}
-func (s side) SetAddresses(string, []addresses.Address) {}
-func (s side) Follow()                                  {}
-func (s side) Fetch()                                   {}
+func (s fakeUpstream) Send(r *exchange.Relay)                   { s.sent <- r }
+func (s fakeUpstream) Cancel(r *exchange.Relay)                 { r.End(); s.cancelled <- r }
+func (s fakeUpstream) Probe(*exchange.Host)                     {}
+func (s fakeUpstream) SetAddresses(string, []addresses.Address) {}
+func (s fakeUpstream) Follow()                                  {}
+func (s fakeUpstream) Fetch()                                   {}
 
 func entry(id string, state topazfall.WorkerState) Entry {
 	return Entry{Addr: "127.0.0.1:1", Worker: topazfall.Worker{ID: id, Zone: "z", Kind: "k", State: state}}
 }
 
-func start(t *testing.T, hosts ...string) (*Core, side) {
-	return startWith(t, nil, hosts...)
+func start(t *testing.T, hosts ...string) (*Core, fakeUpstream) {
+	return startWithTenants(t, nil, hosts...)
 }
 
-func settings(tenants []topazfall.Tenant) topazfall.Settings {
+func testSettings(tenants []topazfall.Tenant) topazfall.Settings {
 	return topazfall.Settings{Tenants: tenants, Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "once", Deadline: 60e6, Aim: 60e6, Repeat: topazfall.Unsafe}},
 		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3, Cancel: true}}
 }
 
-func startWith(t *testing.T, tenants []topazfall.Tenant, hosts ...string) (*Core, side) {
-	return startOn(t, settings(tenants), hosts...)
+func startWithTenants(t *testing.T, tenants []topazfall.Tenant, hosts ...string) (*Core, fakeUpstream) {
+	return startWithSettings(t, testSettings(tenants), hosts...)
 }
 
-func startOn(t *testing.T, settings topazfall.Settings, hosts ...string) (*Core, side) {
+func startWithSettings(t *testing.T, settings topazfall.Settings, hosts ...string) (*Core, fakeUpstream) {
 	c, err := New(settings, &metrics.Metrics{})
 	require.NoError(t, err)
-	s := side{make(chan *exchange.Relay, 9), make(chan *exchange.Relay, 9)}
+	s := fakeUpstream{make(chan *exchange.Relay, 9), make(chan *exchange.Relay, 9)}
 	go c.Run(s, s)
 	var entries []Entry
 	for _, h := range hosts {
@@ -57,37 +57,39 @@
 	return c, s
 }
 
-func message(c *Core, id string, wait time.Duration) *exchange.Exchange {
+func newExchange(c *Core, id string, wait time.Duration) *exchange.Exchange {
 	return exchange.New(exchange.Message{ID: id, Tenant: -1, Due: c.Now() + wait.Microseconds()})
 }
 
-// A relay has one ending, whatever else is told of it; the first answer stands, and nothing is kept after.
-func TestOneEndingOneAnswer(t *testing.T) {
+// A relay has one outcome, whatever else is reported about it. The first answer counts, and no state remains
+// afterwards.
+func TestOneOutcomeAndOneAnswer(t *testing.T) {
 	c, s := start(t, "h")
-	x := message(c, "1", time.Minute)
+	x := newExchange(c, "1", time.Minute)
 	c.Submit(x)
 	r := <-s.sent
 	require.True(t, r.TryStart(c.Now()))
 	for _, result := range []string{"first", "second"} {
-		c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Result: []byte(result),
-			Load: topazfall.NoLoad})
+		c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed,
+			Result: []byte(result), Load: topazfall.NoLoad})
 	}
 	c.RelayEnded(r, topazfall.ConnectionLost, topazfall.NoLoad)
 	c.ClientDisconnected(x)
 	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("first")}, <-x.Answer())
 	c.Sync()
-	c.Sync() // what the first found queued has been dealt with too
+	c.Sync() // the events queued during the first Sync have been processed too
 	require.Zero(t, c.InFlight())
-	require.Empty(t, s.off)
+	require.Empty(t, s.cancelled)
 	require.Empty(t, c.byID)
-	require.Empty(t, c.byNum)
+	require.Empty(t, c.byNumber)
 }
 
-// A dial may outlast a drain notice: the relay is not started any more, and the job goes elsewhere.
+// A host starts to drain while a connection to it is dialled: the relay does not start, and the job goes to another
+// host.
 func TestDialOutlastsDrainNotice(t *testing.T) {
 	for _, how := range []string{"draining", "gone", "not listed"} {
 		c, s := start(t, "h", "i")
-		c.Submit(message(c, "1", time.Minute))
+		c.Submit(newExchange(c, "1", time.Minute))
 		r := <-s.sent
 		other := map[string]string{"h": "i", "i": "h"}[r.Host.ID]
 		switch how {
@@ -107,98 +109,99 @@
 	}
 }
 
-// A client leaves while the core has other things to do: nothing is sent for it any more, though its leaving is not
-// dealt with.
-func TestNoStartAfterTheClientLeft(t *testing.T) {
-	c, err := New(settings(nil), &metrics.Metrics{}) // and it does not run
+// A client disconnects while the core is busy: nothing is sent for it, even before the core has handled the event.
+func TestNoStartAfterClientDisconnects(t *testing.T) {
+	c, err := New(testSettings(nil), &metrics.Metrics{}) // the core is not running
 	require.NoError(t, err)
-	x := message(c, "1", time.Minute)
+	x := newExchange(c, "1", time.Minute)
 	r := x.AddRelay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
 	c.ClientDisconnected(x)
 	require.False(t, r.TryStart(c.Now()))
-	r = c.Resume(InFlightMessage{Message: x.Message}, away{}).AddRelay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
+	r = c.Resume(InFlightMessage{Message: x.Message}, disconnectedClient{}).
+		AddRelay(&exchange.Host{ID: "h"}, c.Now(), x.Due)
 	require.False(t, r.TryStart(c.Now()))
 }
 
-// A client leaves while its message waits in line with others, or its next attempt waits for its time: of the first
-// nothing is prepared, and of the second nothing more.
-func TestNothingIsPreparedAfterTheClientLeft(t *testing.T) {
+// A client disconnects while its message is queued behind others, or between two attempts: no relay is made, or no
+// further one.
+func TestNoRelayAfterClientDisconnects(t *testing.T) {
 	block := func(c *Core) (gate chan struct{}) {
 		begun, gate := make(chan struct{}), make(chan struct{})
 		c.ops <- func() { close(begun); <-gate }
 		<-begun
 		return gate
 	}
-	fill := func(c *Core) { // no further operation finds a place
+	fill := func(c *Core) { // until the channel of operations is full
 		for len(c.ops) < cap(c.ops) {
 			c.ops <- func() {}
 		}
 	}
-	t.Run("in line", func(t *testing.T) {
+	t.Run("queued", func(t *testing.T) {
 		c, s := start(t, "h")
 		gate := block(c)
-		x := message(c, "1", time.Minute)
+		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		fill(c)
-		go c.ClientDisconnected(x) // waits for its place, behind all
-		require.Eventually(t, x.IsDisconnected, patience, time.Millisecond)
+		go c.ClientDisconnected(x) // blocks until the full channel has room
+		require.Eventually(t, x.IsDisconnected, testTimeout, time.Millisecond)
 		close(gate)
-		require.Equal(t, exchange.Failed, answered(t, x).Result)
-		require.Eventually(t, func() bool { return len(c.ops) == 0 }, patience, time.Millisecond)
+		require.Equal(t, exchange.Failed, awaitAnswer(t, x).Result)
+		require.Eventually(t, func() bool { return len(c.ops) == 0 }, testTimeout, time.Millisecond)
 		c.Sync()
 		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
 	})
 	t.Run("between two attempts", func(t *testing.T) {
 		c, s := start(t, "h", "i")
-		x := message(c, "1", time.Minute)
+		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		r := <-s.sent
 		gate := block(c)
 		c.RelayEnded(r, topazfall.Saturated, topazfall.NoLoad)
 		fill(c)
 		go c.ClientDisconnected(x)
-		require.Eventually(t, x.IsDisconnected, patience, time.Millisecond)
+		require.Eventually(t, x.IsDisconnected, testTimeout, time.Millisecond)
 		close(gate)
-		require.Equal(t, exchange.Failed, answered(t, x).Result)
-		require.Eventually(t, func() bool { return len(c.ops) == 0 }, patience, time.Millisecond)
+		require.Equal(t, exchange.Failed, awaitAnswer(t, x).Result)
+		require.Eventually(t, func() bool { return len(c.ops) == 0 }, testTimeout, time.Millisecond)
 		c.Sync()
 		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
-		require.Empty(t, c.byNum)
+		require.Empty(t, c.byNumber)
 	})
-	t.Run("until a worker comes", func(t *testing.T) { // the module looks again by a timer
+	t.Run("until a worker comes", func(t *testing.T) { // the module checks again by a timer
 		c, s := start(t)
-		x := message(c, "1", time.Minute)
+		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		c.Sync()
-		x.MarkDisconnected() // and nobody tells of it
+		x.MarkDisconnected() // without a ClientDisconnected
 		c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Ready)})
-		require.Equal(t, exchange.Failed, answered(t, x).Result)
+		require.Equal(t, exchange.Failed, awaitAnswer(t, x).Result)
 		c.Sync()
 		require.Zero(t, c.InFlight())
 		require.Empty(t, s.sent)
 	})
 }
 
-// A client leaves while the module is about to send a second copy: there is none, and the first is called off.
-func TestNoCopyAfterTheClientLeft(t *testing.T) {
+// A client disconnects while the module is about to send a hedged request: it is not sent, and the first relay is
+// cancelled.
+func TestNoHedgedRequestAfterClientDisconnects(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
-		s := settings(nil)
+		s := testSettings(nil)
 		s.ReportsStart, s.Allowed.HedgedRequests = true, true
 		s.Classes[0].Repeat, s.Classes[0].Deadline, s.Classes[0].Aim = topazfall.Safe, 400e3, 400e3
-		c, side := startOn(t, s, "h", "i")
-		x := message(c, "1", time.Minute)
+		c, side := startWithSettings(t, s, "h", "i")
+		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		first := <-side.sent
 		require.True(t, first.TryStart(c.Now()))
 		if !leaves {
-			require.NotEqual(t, first.Host.ID, (<-side.sent).Host.ID, "without leaving there is a copy")
+			require.NotEqual(t, first.Host.ID, (<-side.sent).Host.ID, "a client that stays gets a hedged request")
 			continue
 		}
-		x.MarkDisconnected() // and nobody tells of it but the mark
-		require.Equal(t, exchange.Failed, answered(t, x).Result)
-		require.Same(t, first, <-side.off)
+		x.MarkDisconnected() // without a ClientDisconnected
+		require.Equal(t, exchange.Failed, awaitAnswer(t, x).Result)
+		require.Same(t, first, <-side.cancelled)
 		c.Sync()
 		c.Sync()
 		require.Empty(t, side.sent)
@@ -206,58 +209,58 @@
 	}
 }
 
-const patience = 20 * time.Second // no verdict hangs on how fast a machine is
+const testTimeout = 20 * time.Second // long enough for a slow machine
 
-// answered waits for the final answer.
-func answered(t *testing.T, x *exchange.Exchange) exchange.Answer {
+// awaitAnswer waits for the final answer.
+func awaitAnswer(t *testing.T, x *exchange.Exchange) exchange.Answer {
 	t.Helper()
 	select {
 	case a := <-x.Answer():
 		return a
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "no answer")
 		return exchange.Answer{}
 	}
 }
 
-// Nor is it started once it is called off, the message is over, or its time is up.
+// A relay does not start after it was cancelled, after the message has ended, or at its deadline.
 func TestNoStartAfterTheEnd(t *testing.T) {
 	for name, end := range map[string]func(*exchange.Exchange, *exchange.Relay){
-		"called off": func(_ *exchange.Exchange, r *exchange.Relay) { r.End() },
-		"over":       func(x *exchange.Exchange, _ *exchange.Relay) { x.Finish(exchange.Answer{}) },
-		"late":       func(_ *exchange.Exchange, r *exchange.Relay) { r.Due = 5 },
-		"never":      func(*exchange.Exchange, *exchange.Relay) {},
+		"cancelled": func(_ *exchange.Exchange, r *exchange.Relay) { r.End() },
+		"finished":  func(x *exchange.Exchange, _ *exchange.Relay) { x.Finish(exchange.Answer{}) },
+		"late":      func(_ *exchange.Exchange, r *exchange.Relay) { r.Due = 5 },
+		"not ended": func(*exchange.Exchange, *exchange.Relay) {},
 	} {
 		x := exchange.New(exchange.Message{ID: "1"})
 		r := x.AddRelay(&exchange.Host{}, 1, 10)
 		end(x, r)
-		require.Equal(t, name == "never", r.TryStart(5), name)
-		require.Equal(t, name == "never", r.End(), name)
+		require.Equal(t, name == "not ended", r.TryStart(5), name)
+		require.Equal(t, name == "not ended", r.End(), name)
 	}
 }
 
-// A repeat of a keyed class that its window allowed when it was decided does not begin once the window is over, as
-// behind a slow dial: its effect would come twice. One after attempts that never ran has no window.
-func TestNoRepeatBeginsBeyondTheWindow(t *testing.T) {
+// A repeat of a keyed class was decided within the window, but a slow dial ends after the window: the repeat does not
+// start, because the job could take effect twice. A repeat after attempts that never ran has no window.
+func TestNoRepeatStartsAfterTheWindow(t *testing.T) {
 	const window = 3e6
 	for name, c := range map[string]struct {
 		repeat    topazfall.RepeatRule
 		first     topazfall.Outcome
-		later     int64 // the repeat's dial comes up so long after the first attempt
+		later     int64 // from the first attempt to the end of the repeat's dial, in microseconds
 		permitted bool
 	}{
 		"in time":       {topazfall.Keyed, topazfall.ConnectionLost, window - 8001, true}, // two ticks before its end
 		"at the end":    {topazfall.Keyed, topazfall.ConnectionLost, window - 8000, false},
-		"beyond":        {topazfall.Keyed, topazfall.ConnectionLost, window + 1e6, false},
+		"after the end": {topazfall.Keyed, topazfall.ConnectionLost, window + 1e6, false},
 		"never ran":     {topazfall.Keyed, topazfall.Saturated, window + 1e6, true},
 		"not written":   {topazfall.Keyed, topazfall.ConnectionRefused, window + 1e6, true},
-		"of every kind": {topazfall.Safe, topazfall.ConnectionLost, window + 1e6, true},
+		"safe class":    {topazfall.Safe, topazfall.ConnectionLost, window + 1e6, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := settings(nil)
+			s := testSettings(nil)
 			s.Classes[0].Repeat, s.Classes[0].Window, s.Classes[0].Group = c.repeat, window, topazfall.GroupAll
-			core, side := startOn(t, s, "h", "i")
-			core.Submit(message(core, "1", time.Minute))
+			core, side := startWithSettings(t, s, "h", "i")
+			core.Submit(newExchange(core, "1", time.Minute))
 			first := <-side.sent
 			require.True(t, first.TryStart(first.Sent))
 			core.RelayEnded(first, c.first, topazfall.NoLoad)
@@ -267,22 +270,22 @@
 	}
 }
 
-// Without a word from the host the relay ends when its time is up, is called off, and the client is told.
-func TestOverdue(t *testing.T) {
+// A relay without any report from the host ends at its deadline and is cancelled, and the client gets an answer.
+func TestRelayTimesOut(t *testing.T) {
 	c, s := start(t, "h")
-	x := message(c, "1", 50*time.Millisecond)
+	x := newExchange(c, "1", 50*time.Millisecond)
 	c.Submit(x)
 	r := <-s.sent
 	require.Equal(t, exchange.TimedOut, (<-x.Answer()).Result)
-	require.Equal(t, r, <-s.off)
+	require.Equal(t, r, <-s.cancelled)
 	require.GreaterOrEqual(t, c.Now(), x.Due)
 }
 
-// A relay that its host has not answered for long is called off where there is no time to wait: what must not run
-// twice is failed then. One that the host has taken stays, and so does a young one.
-func TestEndUnanswered(t *testing.T) {
+// A relay that its host has not answered for long is cancelled when there is no time left to wait. A message that must
+// not run twice fails then. A relay that the host has accepted stays, and so does a recent one.
+func TestCancelUnanswered(t *testing.T) {
 	c, s := start(t, "h")
-	taken, unanswered := message(c, "1", time.Minute), message(c, "2", time.Minute)
+	taken, unanswered := newExchange(c, "1", time.Minute), newExchange(c, "2", time.Minute)
 	c.Submit(taken)
 	r := <-s.sent
 	require.True(t, r.TryStart(c.Now()))
@@ -292,20 +295,20 @@
 	require.True(t, r.TryStart(c.Now()))
 	c.CancelUnanswered(time.Minute.Microseconds())
 	c.Sync()
-	require.Empty(t, s.off)
+	require.Empty(t, s.cancelled)
 	c.CancelUnanswered(0)
-	require.Equal(t, r, <-s.off)
+	require.Equal(t, r, <-s.cancelled)
 	require.Equal(t, exchange.Failed, (<-unanswered.Answer()).Result)
 	c.Sync()
 	require.False(t, taken.IsFinished())
 	require.Empty(t, s.sent)
 }
 
-// A message in hand goes to another core as it stands, with what is told of it later; one whose relay its host has not
-// answered stays until then.
+// A message in flight is handed over to another core in its current state, and later callbacks reach it there. A
+// message with a relay that its host has not answered stays until the answer.
 func TestHandOver(t *testing.T) {
 	c, s := start(t, "h")
-	x := message(c, "1", time.Minute)
+	x := newExchange(c, "1", time.Minute)
 	x.Path, x.Body = "/p\xff", []byte("b\x00")
 	c.Submit(x)
 	r := <-s.sent
@@ -318,16 +321,16 @@
 	require.Equal(t, int64(2), c.InFlight())
 	require.True(t, c.HandOver(x, over))
 	require.Equal(t, exchange.HandedOver, (<-x.Answer()).Result)
-	require.False(t, c.HandOver(x, over), "it is gone")
+	require.False(t, c.HandOver(x, over), "it is handed over already")
 	require.Zero(t, c.InFlight())
 	require.False(t, c.HandleCallback(Callback{ID: "1", From: "h", State: Started}))
-	require.Empty(t, s.off, "nothing is called off")
+	require.Empty(t, s.cancelled, "nothing is cancelled")
 
 	to, t2 := start(t, "h")
 	y := to.Resume(begun, nil)
 	require.True(t,
-		to.HandleCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Result: []byte("r"),
-			Load: topazfall.NoLoad}))
+		to.HandleCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed,
+			Result: []byte("r"), Load: topazfall.NoLoad}))
 	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("r")}, <-y.Answer())
 	require.Equal(t, x.Path, y.Path)
 	require.Equal(t, x.Body, y.Body)
@@ -336,15 +339,15 @@
 	require.Empty(t, t2.sent, "it is not sent again")
 }
 
-// A second message with a known id is not taken, and does the first no harm whichever way either ends: a
-// call-back could not tell the two apart, and a host must not be asked to run the job again.
+// A second message with a known id is rejected and does not affect the first, however either of them ends: a callback
+// could not tell the two apart, and a host must not be asked to run the job again.
 func TestKnownID(t *testing.T) {
 	c, s := start(t, "h")
-	first := message(c, "1", time.Minute)
+	first := newExchange(c, "1", time.Minute)
 	c.Submit(first)
 	<-s.sent
 	again := func() {
-		x := message(c, "1", time.Minute)
+		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		require.Equal(t, exchange.Duplicate, (<-x.Answer()).Result)
 		c.ClientDisconnected(x)
@@ -355,24 +358,24 @@
 	c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Load: topazfall.NoLoad})
 	require.Equal(t, exchange.Served, (<-first.Answer()).Result)
 	again()
-	for i := range remembered {
-		c.Submit(message(c, strconv.Itoa(2+i), 0))
+	for i := range maxKnownIDs {
+		c.Submit(newExchange(c, strconv.Itoa(2+i), 0))
 	}
 	c.Sync()
-	require.Len(t, c.known, remembered)
-	require.False(t, c.known["1"])
+	require.Len(t, c.knownIDs, maxKnownIDs)
+	require.False(t, c.knownIDs["1"])
 	require.Empty(t, s.sent)
 }
 
-// A whole list that names a host again never closes it, not even for a moment: a relay may be about to begin.
+// A snapshot that lists a known host never closes it, even for a moment, because a relay may be about to start.
 func TestWholeListKeepsHostsOpen(t *testing.T) {
 	c, s := start(t)
 	var entries []Entry
-	for i := range 20_000 { // a long one: what is done in two steps lies apart
+	for i := range 20_000 { // a long list, so that two passes over it are far apart in time
 		entries = append(entries, entry("h"+strconv.Itoa(i), topazfall.Ready))
 	}
 	c.ApplyList(topazfall.ListSnapshot, entries)
-	c.Submit(message(c, "1", time.Minute))
+	c.Submit(newExchange(c, "1", time.Minute))
 	host := (<-s.sent).Host
 	done := make(chan struct{})
 	go func() {
@@ -387,19 +390,19 @@
 		default:
 		}
 		r := exchange.New(exchange.Message{ID: "2"}).AddRelay(host, 1, 10)
-		require.True(t, r.TryStart(5), "a host that is listed was closed")
+		require.True(t, r.TryStart(5), "a listed host was closed")
 	}
 }
 
-// News of the inventory goes before all that waits to be dealt with: what is decided after a drain was heard does not
-// go there, however much came before it.
-func TestNewsGoesFirst(t *testing.T) {
+// List updates are applied before all waiting operations: no decision made after a drain was received chooses the
+// draining host, however many operations were queued before the drain.
+func TestListUpdatesGoFirst(t *testing.T) {
 	c, s := start(t, "h", "i")
 	begun, gate := make(chan struct{}), make(chan struct{})
 	c.ops <- func() { close(begun); <-gate }
 	<-begun
 	for i := range 8 {
-		c.Submit(message(c, strconv.Itoa(i), time.Minute))
+		c.Submit(newExchange(c, strconv.Itoa(i), time.Minute))
 	}
 	c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining)})
 	close(gate)
@@ -408,32 +411,32 @@
 	}
 }
 
-// While the list may not be relied on, nothing new begins at any host, listed before or meanwhile; what has begun goes
-// on. A drain that the next list tells is heard before anything is sent again.
+// During a hold no relay starts at any host, whether it was listed before or during the hold. Relays that have started
+// continue. A drain in the next list is applied before anything is sent again.
 func TestHold(t *testing.T) {
 	c, s := start(t, "h", "i")
-	c.Submit(message(c, "begun", time.Minute))
+	c.Submit(newExchange(c, "begun", time.Minute))
 	begun := <-s.sent
 	require.True(t, begun.TryStart(c.Now()))
-	c.Submit(message(c, "dialling", time.Minute))
+	c.Submit(newExchange(c, "dialling", time.Minute))
 	dialling := <-s.sent
 	c.SetHold(true)
-	c.Submit(message(c, "new", time.Minute))
+	c.Submit(newExchange(c, "new", time.Minute))
 	c.ApplyList(topazfall.ListPatch, []Entry{entry("j", topazfall.Ready)})
 	c.Sync()
-	require.False(t, dialling.TryStart(c.Now()), "it begins after the list may not be relied on")
+	require.False(t, dialling.TryStart(c.Now()), "a relay started during the hold")
 	c.RelayEnded(dialling, topazfall.NeverSent, topazfall.NoLoad)
-	c.PostCallback(Callback{ID: "begun", From: begun.Host.ID, State: Finished, Outcome: topazfall.Completed, Result: []byte("ok"),
-		Load: topazfall.NoLoad})
+	c.PostCallback(Callback{ID: "begun", From: begun.Host.ID, State: Finished, Outcome: topazfall.Completed,
+		Result: []byte("ok"), Load: topazfall.NoLoad})
 	require.Equal(t, exchange.Served, (<-begun.Exchange.Answer()).Result)
 	c.ApplyList(topazfall.ListSnapshot,
 		[]Entry{entry("h", topazfall.Ready), entry("i", topazfall.Ready), entry("j", topazfall.Ready)})
-	time.Sleep(100 * time.Millisecond) // the module's next looks at what waits
+	time.Sleep(100 * time.Millisecond) // time for the module's next checks of waiting jobs
 	require.Empty(t, s.sent)
 
 	gate := make(chan struct{})
 	c.ops <- func() { <-gate }
-	c.Submit(message(c, "newer", time.Minute))
+	c.Submit(newExchange(c, "newer", time.Minute))
 	c.ApplyList(topazfall.ListPatch, []Entry{entry("h", topazfall.Draining), entry("i", topazfall.Gone)})
 	c.SetHold(false)
 	close(gate)
@@ -444,41 +447,42 @@
 	}
 }
 
-// A job for which no attempt was made is refused by the module once its time is lost, and not before.
-func TestHoldRefusesWhatCannotWait(t *testing.T) {
+// The module refuses a job without attempts once it can no longer be finished in time, and not before.
+func TestHoldRefusesJobsThatCannotWait(t *testing.T) {
 	c, s := start(t, "h")
 	c.SetHold(true)
-	x := message(c, "1", 300*time.Millisecond)
+	x := newExchange(c, "1", 300*time.Millisecond)
 	x.Hint = 50_000
 	came := time.Now()
 	c.Submit(x)
 	require.Equal(t, exchange.Refused, (<-x.Answer()).Result)
-	require.Greater(t, time.Since(came), 100*time.Millisecond, "a short hold would have cost nothing")
+	require.Greater(t, time.Since(came), 100*time.Millisecond, "refused although the hold could still end in time")
 	require.Empty(t, s.sent)
 	c.Sync()
 	require.Zero(t, c.InFlight())
 }
 
-// tenants are named by single letters, with the letter as their quota.
-func tenants(names string) (ts []topazfall.Tenant) {
+// namedTenants returns one tenant for each letter of names, with the letter's code as its quota.
+func namedTenants(names string) (ts []topazfall.Tenant) {
 	for _, n := range names {
 		ts = append(ts, topazfall.Tenant{Name: string(n), Quota: float64(n)})
 	}
 	return ts
 }
 
-// A message that was read by the settings before comes after the new ones hold: it is counted for its own tenant,
-// whatever order they have now, also one that has gone or whose process has another order.
-func TestTenantsKeepTheirNumbers(t *testing.T) {
-	c, s := startWith(t, tenants("abc"), "h")
+// A message that was read with the previous settings arrives after new settings are in force. It counts for its own
+// tenant whatever the order of tenants is now, even if the tenant was removed or the message goes to a process with
+// another order.
+func TestTenantsKeepTheirIndices(t *testing.T) {
+	c, s := startWithTenants(t, namedTenants("abc"), "h")
 	first := NewIndices(&c.settings)
-	now := c.UpdateSettings(settings(tenants("dca")))
+	now := c.UpdateSettings(testSettings(namedTenants("dca")))
 	require.Equal(t, map[string]int{"a": 0, "b": 1, "c": 2}, first.Tenants)
 	require.Equal(t, map[string]int{"a": 0, "b": 1, "c": 2, "d": 3}, now.Tenants)
 	require.Equal(t, []topazfall.Tenant{{Name: "a", Quota: 'a'}, {Name: "b"}, {Name: "c", Quota: 'c'},
 		{Name: "d", Quota: 'd'}}, c.tenants)
 	for name, number := range now.Tenants {
-		x := message(c, name, time.Minute)
+		x := newExchange(c, name, time.Minute)
 		x.Tenant = number
 		c.Submit(x)
 		r := <-s.sent
@@ -486,19 +490,19 @@
 		r.MarkAccepted()
 		var begun InFlightMessage
 		require.True(t, c.HandOver(x, func(b InFlightMessage) error { begun = b; return nil }))
-		to, _ := startWith(t, tenants("xcda"), "h")
+		to, _ := startWithTenants(t, namedTenants("xcda"), "h")
 		y := to.Resume(begun, nil)
 		to.Sync()
 		require.Equal(t, map[string]int{"a": 3, "b": -1, "c": 1, "d": 2}[name], y.Tenant)
 	}
 }
 
-// A message that was read when its class could be repeated comes after settings by which it must not run twice.
-func TestClassBecomesOneThatMustNotRunTwice(t *testing.T) {
+// A message that was read while its class could be repeated arrives after settings by which it must not run twice.
+func TestClassBecomesUnsafe(t *testing.T) {
 	for _, now := range []topazfall.RepeatRule{topazfall.Safe, topazfall.Unsafe} {
 		c, s := start(t, "h")
-		x := message(c, "1", time.Minute) // by the settings before
-		next := settings(nil)
+		x := newExchange(c, "1", time.Minute) // with the previous settings
+		next := testSettings(nil)
 		next.Classes[0].Repeat = now
 		next.Allowed.HedgedRequests = true
 		c.UpdateSettings(next)
@@ -509,7 +513,7 @@
 	}
 }
 
-// away is a client that has left.
-type away struct{}
+// disconnectedClient is a client that has closed its connection.
+type disconnectedClient struct{}
 
-func (away) Disconnected() bool { return true }
+func (disconnectedClient) Disconnected() bool { return true }
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// What goes from a process to the one that replaces it: messages in hand, ids, and what was learned.
+// The state that a process passes to its successor: messages in flight, known ids, and the module's memory.
 
 import (
 	"log/slog"
@@ -10,122 +10,128 @@
 	"topazfall/internal/exchange"
 )
 
-// HandoverState is what another process needs to go on in this one's place.
+// HandoverState is what a successor needs to continue in the place of this process. Its field names are part of the
+// handover format.
 type HandoverState struct {
-	Known  []string // ids, the oldest first
-	Memory topazfall.Memory
+	Known  []string         // known message ids, the oldest first
+	Memory topazfall.Memory // what the module has learned about workers and their kinds
 }
 
-// HandoverState returns what there is now.
+// HandoverState returns the current state for a successor.
 func (c *Core) HandoverState() HandoverState {
-	l := make(chan HandoverState, 1)
+	result := make(chan HandoverState, 1)
 	c.ops <- func() {
-		out := HandoverState{Memory: c.balancer.Memory()}
-		for i := range uint64(remembered) {
-			if id := c.order[(c.number+1+i)%remembered]; id != "" {
-				out.Known = append(out.Known, id)
+		state := HandoverState{Memory: c.balancer.Memory()}
+		for i := range uint64(maxKnownIDs) {
+			if id := c.recentIDs[(c.lastNumber+1+i)%maxKnownIDs]; id != "" {
+				state.Known = append(state.Known, id)
 			}
 		}
-		l <- out
+		result <- state
 	}
-	return <-l
+	return <-result
 }
 
-// RestoreState goes on with a legacy. The list that it speaks of must have come before.
-func (c *Core) RestoreState(l HandoverState) {
-	c.AddKnownIDs(l.Known)
-	c.Sync() // the list is with the module
-	c.ops <- func() { c.balancer.Restore(c.Now(), l.Memory) }
+// RestoreState continues with the state of a predecessor. The list of workers that it refers to must have been applied
+// before.
+func (c *Core) RestoreState(state HandoverState) {
+	c.AddKnownIDs(state.Known)
+	c.Sync() // now the module has the list
+	c.ops <- func() { c.balancer.Restore(c.Now(), state.Memory) }
 }
 
-// InFlightMessage is a message in hand that goes from one process to another.
+// InFlightMessage is a message in flight that is handed over to another process. Its field names, and the type name of
+// the embedded Message, are part of the handover format.
 type InFlightMessage struct {
 	exchange.Message
-	ClassIs topazfall.Class // it may be gone from the settings
-	Of      string          // the tenant's name, if it has one
-	Relays  []InFlightRelay
-	Tries   []topazfall.Try
+	ClassIs topazfall.Class // the message's class, which may have been removed from the settings
+	Of      string          // the tenant's name, empty if the message has none
+	Relays  []InFlightRelay // all relays of the message, in the order they were made
+	Tries   []topazfall.Try // the module's record of the same relays
 }
 
-// InFlightRelay is one of its relays.
+// InFlightRelay is one relay (attempt) of an InFlightMessage. Its field names are part of the handover format. Times
+// are microseconds of the dispatcher's clock.
 type InFlightRelay struct {
-	Host, Addr       string
-	Sent, Begun, Due int64
-	Outcome          topazfall.Outcome
-	Done             bool
+	Host, Addr       string            // the host's id and address
+	Sent, Begun, Due int64             // when it was made, when the host reported the start (0 before), its deadline
+	Outcome          topazfall.Outcome // valid if Done
+	Done             bool              // the relay has ended
 }
 
-// HandOver gives a message in hand away by means of to, and tells whether it is gone. One that is over is not, nor one
-// of which a relay is still between here and its host. As to is called from the dispatch goroutine, all that is told of
-// the message comes either before it or finds it no more.
-func (c *Core) HandOver(x *exchange.Exchange, to func(InFlightMessage) error) bool {
-	gone := make(chan bool, 1)
-	c.ops <- func() { gone <- c.handOver(x, to) }
-	return <-gone
+// HandOver hands a message in flight over by calling transfer, and reports whether it did. A message that has its final
+// answer stays, and so does one with a relay that its host has not accepted yet. As transfer is called from the
+// dispatch goroutine, each report about the message is handled either before it or finds the message gone.
+func (c *Core) HandOver(x *exchange.Exchange, transfer func(InFlightMessage) error) bool {
+	done := make(chan bool, 1)
+	c.ops <- func() { done <- c.handOver(x, transfer) }
+	return <-done
 }
 
-func (c *Core) handOver(x *exchange.Exchange, to func(InFlightMessage) error) bool {
-	if x.IsFinished() || c.byNum[x.Number] != x {
+func (c *Core) handOver(x *exchange.Exchange, transfer func(InFlightMessage) error) bool {
+	if x.IsFinished() || c.byNumber[x.Number] != x {
 		return false
 	}
-	b := InFlightMessage{Message: x.Message, ClassIs: c.classes[x.Class], Tries: c.balancer.Tries(x.Number)}
+	message := InFlightMessage{Message: x.Message, ClassIs: c.classes[x.Class], Tries: c.balancer.Tries(x.Number)}
 	if x.Tenant >= 0 {
-		b.Of = c.tenants[x.Tenant].Name
+		message.Of = c.tenants[x.Tenant].Name
 	}
 	for _, r := range x.Relays {
 		if !r.Done && !r.IsAccepted() {
 			return false
 		}
-		b.Relays = append(b.Relays, InFlightRelay{r.Host.ID, r.Host.Addr, r.Sent, r.StartedAt, r.Due, r.Outcome, r.Done})
+		message.Relays = append(message.Relays,
+			InFlightRelay{r.Host.ID, r.Host.Addr, r.Sent, r.StartedAt, r.Due, r.Outcome, r.Done})
 	}
-	if len(b.Tries) != len(b.Relays) || to(b) != nil { // what is queued for the module comes first
+	// The lengths differ while events for the module are still queued: those come first.
+	if len(message.Tries) != len(message.Relays) || transfer(message) != nil {
 		return false
 	}
 	c.finish(x, exchange.Answer{Result: exchange.HandedOver})
 	for _, r := range x.Relays {
 		if !r.Done {
 			r.Done = true
-			c.inHand.Add(-1)
+			c.inFlight.Add(-1)
 		}
 	}
-	c.feed(topazfall.Event{Kind: topazfall.HandedOver, Request: x.Number})
-	c.forget(x)
+	c.queueEvent(topazfall.Event{Kind: topazfall.HandedOver, Request: x.Number})
+	c.removeIfDone(x)
 	slog.Info("moved", "id", x.ID, "to", "young")
 	return true
 }
 
-// Resume goes on with a message that another process has begun, and which a client waits for. It gets its final answer
-// here. If the client has left already, Gone is still to be told.
-func (c *Core) Resume(b InFlightMessage, client exchange.Client) *exchange.Exchange {
-	x := exchange.NewForClient(client, b.Message)
+// Resume continues a message that another process handed over and that a client waits for. The message gets its final
+// answer here. If the client has already disconnected, ClientDisconnected must still be called.
+func (c *Core) Resume(message InFlightMessage, client exchange.Client) *exchange.Exchange {
+	x := exchange.NewForClient(client, message.Message)
 	x.CheckDisconnected()
-	c.inHand.Add(1)
+	c.inFlight.Add(1)
 	c.metrics.Outstanding.Add(1)
 	c.ops <- func() {
-		named := func(k topazfall.Class) bool { return k.Name == b.ClassIs.Name }
-		if !slices.ContainsFunc(c.classes, named) {
-			c.addClasses([]topazfall.Class{b.ClassIs})
+		hasName := func(k topazfall.Class) bool { return k.Name == message.ClassIs.Name }
+		if !slices.ContainsFunc(c.classes, hasName) {
+			c.addClasses([]topazfall.Class{message.ClassIs})
 		}
-		x.Class = slices.IndexFunc(c.classes, named)
-		c.class(x)
-		if x.Tenant >= 0 { // its number was the other process's
-			x.Tenant = slices.IndexFunc(c.tenants, func(t topazfall.Tenant) bool { return t.Name == b.Of })
+		x.Class = slices.IndexFunc(c.classes, hasName)
+		c.applyClass(x)
+		if x.Tenant >= 0 { // the index is the other process's
+			x.Tenant = slices.IndexFunc(c.tenants, func(t topazfall.Tenant) bool { return t.Name == message.Of })
 		}
 		if c.byID[x.ID] != nil {
-			slog.Warn("moved", "id", x.ID, "error", "in hand already")
+			slog.Warn("moved", "id", x.ID, "error", "already in flight")
 			c.finish(x, exchange.Answer{Result: exchange.Failed})
 			return
 		}
-		c.remember(x.ID)
-		x.Number = c.number
-		c.byID[x.ID], c.byNum[x.Number] = x, x
-		for _, old := range b.Relays {
-			h := c.hosts[old.Host]
-			if h == nil || !h.MultiAddress && h.Addr != old.Addr {
-				h = &exchange.Host{ID: old.Host, Addr: old.Addr}
+		c.addKnownID(x.ID)
+		x.Number = c.lastNumber
+		c.byID[x.ID], c.byNumber[x.Number] = x, x
+		for _, saved := range message.Relays {
+			h := c.hosts[saved.Host]
+			if h == nil || !h.MultiAddress && h.Addr != saved.Addr {
+				h = &exchange.Host{ID: saved.Host, Addr: saved.Addr}
 			}
-			r := x.AddRelay(h, old.Sent, old.Due)
-			r.StartedAt, r.Outcome, r.Done = old.Begun, old.Outcome, old.Done
+			r := x.AddRelay(h, saved.Sent, saved.Due)
+			r.StartedAt, r.Outcome, r.Done = saved.Begun, saved.Outcome, saved.Done
 			r.Resume()
 			if r.Done && r.Outcome.NotRun() {
 				r.MarkNeverRan()
@@ -134,41 +140,41 @@
 				r.End()
 				continue
 			}
-			c.inHand.Add(1)
-			c.watch(r)
+			c.inFlight.Add(1)
+			c.scheduleTimeout(r)
 		}
-		c.feed(topazfall.Event{Kind: topazfall.Resumed, Request: x.Number, Class: x.Class, Tenant: x.Tenant,
-			Due: x.Due, Hint: x.Hint, Key: x.Key, Slots: x.Slots, Retry: x.Retry, Tries: b.Tries})
-		slog.Info("moved", "id", x.ID, "from", "old", "relays", len(b.Relays))
+		c.queueEvent(topazfall.Event{Kind: topazfall.Resumed, Request: x.Number, Class: x.Class, Tenant: x.Tenant,
+			Due: x.Due, Hint: x.Hint, Key: x.Key, Slots: x.Slots, Retry: x.Retry, Tries: message.Tries})
+		slog.Info("moved", "id", x.ID, "from", "old", "relays", len(message.Relays))
 	}
 	return x
 }
 
-// AddKnownIDs makes ids known that another process has had.
+// AddKnownIDs adds the known message ids of another process.
 func (c *Core) AddKnownIDs(ids []string) {
 	c.ops <- func() {
 		for _, id := range ids {
-			if !c.known[id] {
-				c.remember(id)
+			if !c.knownIDs[id] {
+				c.addKnownID(id)
 			}
 		}
 	}
 }
 
-func (c *Core) remember(id string) {
-	c.number++
-	oldest := &c.order[c.number%remembered]
-	delete(c.known, *oldest)
-	*oldest, c.known[id] = id, true
+func (c *Core) addKnownID(id string) {
+	c.lastNumber++
+	oldest := &c.recentIDs[c.lastNumber%maxKnownIDs]
+	delete(c.knownIDs, *oldest)
+	*oldest, c.knownIDs[id] = id, true
 }
 
-// SetReplaced tells whether another process takes the new messages.
-func (c *Core) SetReplaced(by bool) {
+// SetReplaced sets whether a successor accepts the new messages.
+func (c *Core) SetReplaced(replaced bool) {
 	c.ops <- func() {
-		e := topazfall.Event{Kind: topazfall.Replaced}
-		if by {
-			e.Amount = 1
+		event := topazfall.Event{Kind: topazfall.Replaced}
+		if replaced {
+			event.Amount = 1
 		}
-		c.feed(e)
+		c.queueEvent(event)
 	}
 }
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -10,42 +10,45 @@
 	"topazfall/internal/exchange"
 )
 
-const window = 10_000_000 // microseconds, of the keyed class of these tests
+const window = 10_000_000 // of the keyed class in these tests, in microseconds
 
-// keyed are settings with one class whose repeats are dropped within the window.
-func keyed() topazfall.Settings {
-	s := settings(nil)
+// keyedSettings returns settings with one class whose repeated jobs are deduplicated by the workers within the window.
+func keyedSettings() topazfall.Settings {
+	s := testSettings(nil)
 	s.Classes = []topazfall.Class{{Name: "keyed", Deadline: 60e6, Aim: 60e6, Repeat: topazfall.Keyed, Window: window}}
 	return s
 }
 
-func startKeyed(t *testing.T) (*Core, side) { return startOn(t, keyed(), "h", "i") }
+func startKeyed(t *testing.T) (*Core, fakeUpstream) {
+	return startWithSettings(t, keyedSettings(), "h", "i")
+}
 
-// Of two attempts that are out at once the one that was decided on first comes out of its dial last: the window runs
-// from the first that was written.
-func TestFirstAttemptIsWrittenAfterItsCopy(t *testing.T) {
+// Of two attempts in flight at once, the one that was decided first finishes its dial last. The window starts with the
+// attempt that was written first.
+func TestFirstAttemptIsWrittenAfterSecond(t *testing.T) {
 	c, _ := startKeyed(t)
-	x := message(c, "1", time.Minute)
+	x := newExchange(c, "1", time.Minute)
 	c.Submit(x)
 	c.Sync()
 	first, copied := x.Relays[0], x.AddRelay(&exchange.Host{ID: "i"}, c.Now(), x.Due)
 	began := c.Now()
 	require.True(t, copied.TryStart(began))
 	require.False(t, first.TryStart(began+window))
-	require.False(t, first.End(), "nothing of it was written")
+	require.False(t, first.End(), "it was written to the connection")
 }
 
-// What another process has begun and is still out counts as well, unless it never ran there.
+// An open attempt that another process started counts for the window as well, unless it never ran.
 func TestWindowOfResumedAttempts(t *testing.T) {
 	for _, neverRan := range []bool{false, true} {
 		c, _ := startKeyed(t)
-		m := message(c, "1", time.Minute)
+		m := newExchange(c, "1", time.Minute)
 		sent := c.Now() - window
 		begun := InFlightRelay{Host: "h", Sent: sent, Due: m.Due}
 		if neverRan {
 			begun.Done, begun.Outcome = true, topazfall.Saturated
 		}
-		x := c.Resume(InFlightMessage{Message: m.Message, ClassIs: keyed().Classes[0], Relays: []InFlightRelay{begun},
+		x := c.Resume(InFlightMessage{Message: m.Message, ClassIs: keyedSettings().Classes[0],
+			Relays: []InFlightRelay{begun},
 			Tries: []topazfall.Try{{Worker: "h", Sent: sent, Done: neverRan, NotRun: neverRan}}}, nil)
 		c.Sync()
 		require.False(t, x.IsFinished())
@@ -53,10 +56,10 @@
 	}
 }
 
-// What must not run twice is not written a second time even if the module asked for it.
+// A message that must not run twice is not written a second time, even if the module requests it.
 func TestSecondStartOfUnsafeRequest(t *testing.T) {
 	c, s := start(t, "h", "i")
-	x := message(c, "1", time.Minute)
+	x := newExchange(c, "1", time.Minute)
 	c.Submit(x)
 	first := <-s.sent
 	require.True(t, first.TryStart(c.Now()))
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -1,68 +1,70 @@
 package dispatch
 
-// Classes and tenants, and what changes with other settings.
+// Classes and tenants, and the change of settings.
 
 import (
 	"topazfall"
 	"topazfall/internal/exchange"
 )
 
-// class marks a message by its class as the settings of now have it, by which the module goes as well.
-func (c *Core) class(x *exchange.Exchange) {
-	k := &c.classes[x.Class]
-	x.Once = x.Once || k.Repeat == topazfall.Unsafe
-	x.FreshConnOnly = k.Repeat != topazfall.Safe || !c.settings.Allowed.HedgedRequests
-	x.SetRepeatLimit(c.repeats(k))
+// applyClass sets the fields of a message that depend on its class by the current settings, which the module uses too.
+func (c *Core) applyClass(x *exchange.Exchange) {
+	class := &c.classes[x.Class]
+	x.Once = x.Once || class.Repeat == topazfall.Unsafe
+	x.FreshConnOnly = class.Repeat != topazfall.Safe || !c.settings.Allowed.HedgedRequests
+	x.SetRepeatLimit(c.repeatLimit(class))
 }
 
-// repeats says when an attempt of a class may follow another that may have run. As in the module a repeat of a keyed
-// class must begin two ticks before its window ends.
-func (c *Core) repeats(k *topazfall.Class) exchange.RepeatLimit {
-	switch k.Repeat {
+// repeatLimit returns how long after an attempt that may have run another attempt of the class may start. As in the
+// module, a repeat of a keyed class must start at least two ticks before its window ends.
+func (c *Core) repeatLimit(class *topazfall.Class) exchange.RepeatLimit {
+	switch class.Repeat {
 	case topazfall.Unsafe:
 		return exchange.RepeatLimit{Bounded: true}
 	case topazfall.Keyed:
-		return exchange.RepeatLimit{Bounded: true, Within: k.Window - 2*c.settings.Tick}
+		return exchange.RepeatLimit{Bounded: true, Within: class.Window - 2*c.settings.Tick}
 	}
 	return exchange.RepeatLimit{}
 }
 
-// Indices say by which number classes and tenants go here, by name. A name keeps its number for as long as the process
-// runs: what is read by the settings before, and what is in hand, is still of the same class and tenant.
+// Indices maps the names of classes and tenants to their indices. A name keeps its index for as long as the process
+// runs, so that messages read with earlier settings, and messages in flight, keep their class and tenant.
 type Indices struct{ Classes, Tenants map[string]int }
 
-// NewIndices numbers the classes and tenants of a first settings.
-func NewIndices(s *topazfall.Settings) Indices { return number(s.Classes, s.Tenants) }
+// NewIndices returns the indices for the first settings of a process.
+func NewIndices(settings *topazfall.Settings) Indices {
+	return newIndices(settings.Classes, settings.Tenants)
+}
 
-func number(classes []topazfall.Class, tenants []topazfall.Tenant) Indices {
-	n := Indices{map[string]int{}, map[string]int{}}
-	for i, k := range classes {
-		n.Classes[k.Name] = i
+func newIndices(classes []topazfall.Class, tenants []topazfall.Tenant) Indices {
+	indices := Indices{map[string]int{}, map[string]int{}}
+	for i, class := range classes {
+		indices.Classes[class.Name] = i
 	}
-	for i, t := range tenants {
-		n.Tenants[t.Name] = i
+	for i, tenant := range tenants {
+		indices.Tenants[tenant.Name] = i
 	}
-	return n
+	return indices
 }
 
-// UpdateSettings goes on with other settings.
-func (c *Core) UpdateSettings(s topazfall.Settings) Indices {
+// UpdateSettings replaces the settings and returns the indices of all classes and tenants known so far.
+func (c *Core) UpdateSettings(settings topazfall.Settings) Indices {
 	done := make(chan Indices)
 	c.ops <- func() {
-		c.settings, c.tenants = s, topazfall.MergeTenants(c.tenants, s.Tenants)
-		c.addClasses(s.Classes)
-		done <- number(c.classes, c.tenants)
+		c.settings, c.tenants = settings, topazfall.MergeTenants(c.tenants, settings.Tenants)
+		c.addClasses(settings.Classes)
+		done <- newIndices(c.classes, c.tenants)
 	}
 	return <-done
 }
 
-// addClasses makes classes known, to the module as well.
-func (c *Core) addClasses(now []topazfall.Class) {
-	c.classes = topazfall.MergeClasses(c.classes, now)
-	for _, k := range now {
-		c.metrics.AddClasses(k.Name)
+// addClasses adds classes to those known, and passes the settings to the module.
+func (c *Core) addClasses(added []topazfall.Class) {
+	c.classes = topazfall.MergeClasses(c.classes, added)
+	for _, class := range added {
+		c.metrics.AddClasses(class.Name)
 	}
-	s := c.settings
-	s.Classes, s.Tenants = c.classes, c.tenants
-	c.feed(topazfall.Event{Kind: topazfall.NewSettings, Settings: &s})
+	settings := c.settings
+	settings.Classes, settings.Tenants = c.classes, c.tenants
+	c.queueEvent(topazfall.Event{Kind: topazfall.NewSettings, Settings: &settings})
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
+// timer calls fire at due, in microseconds of the core's clock.
 type timer struct {
-	at   int64
-	ring func()
+	due  int64
+	fire func()
 }
 
-// timers is a heap of what is to happen when.
-type timers []timer
+// timerHeap is a heap of timers, the earliest first.
+type timerHeap []timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
 	(*t)[last] = timer{}
@@ -26,26 +27,26 @@
 	return x
 }
 
-func (t timers) next() int64 {
+func (t timerHeap) nextDue() int64 {
 	if len(t) == 0 {
 		return math.MaxInt64
 	}
-	return t[0].at
+	return t[0].due
 }
 
-func (c *Core) after(at int64, ring func()) { heap.Push(&c.timers, timer{at, ring}) }
+func (c *Core) schedule(due int64, fire func()) { heap.Push(&c.timers, timer{due, fire}) }
 
-// alarm is a time.Timer that is set anew only when the next time changes.
-type alarm struct {
+// wakeTimer is a time.Timer that is reset only if the next due time has changed or has passed.
+type wakeTimer struct {
 	*time.Timer
-	at int64
+	due int64
 }
 
-func newAlarm() *alarm { return &alarm{time.NewTimer(time.Hour), 0} }
+func newWakeTimer() *wakeTimer { return &wakeTimer{time.NewTimer(time.Hour), 0} }
 
-func (a *alarm) set(at, now int64) {
-	if at != a.at || at <= now {
-		a.at = at
-		a.Reset(time.Duration(min(max(at-now, 0), 3600e6)) * time.Microsecond)
+func (a *wakeTimer) setDue(due, now int64) {
+	if due != a.due || due <= now {
+		a.due = due
+		a.Reset(time.Duration(min(max(due-now, 0), 3600e6)) * time.Microsecond)
 	}
 }
--- a/internal/instance/format_test.go
+++ b/internal/instance/format_test.go
@@ -50,8 +50,8 @@
 		want  string
 	}{
 		{"state", handoverState{}, handoverStateFields},
-		{"connection", keptConnection{}, keptConnectionFields},
-		{"limits", held{}, ".Conns int\n.Share float64"},
+		{"connection", handoverConnection{}, keptConnectionFields},
+		{"limits", heldLimits{}, ".Conns int\n.Share float64"},
 		{"ids", []string{}, "[] string"},
 	} {
 		t.Run(frame.name, func(t *testing.T) {
--- a/internal/instance/handover.go
+++ b/internal/instance/handover.go
@@ -18,173 +18,176 @@
 )
 
 const (
-	helloTime = 2 * time.Second // for the first word of a process that asks for our place
-	noteTime  = time.Second     // for a call-back to be taken by the other process
-	holdTime  = 100 * time.Millisecond
+	helloTimeout    = 2 * time.Second        // for the first frame of a process that wants to replace this one
+	callbackTimeout = time.Second            // for the other process to answer a forwarded callback
+	limitsInterval  = 100 * time.Millisecond // between two checks whether the number of connections has changed
 )
 
-// handover is this process's place between its predecessor, which it has replaced, and its successor.
+// handover connects this process with its predecessor, which it replaces, and with its successor.
 type handover struct {
-	config   *config.Config
-	path     string // of the socket at which successors find this process
-	listener net.Listener
-	core     *dispatch.Core
-	workers  *upstream.Transport
-	clients  *frontend.Server
-	list     *discovery.Watch
-	settings tenantSettings
+	config     *config.Config
+	socketPath string // where successors connect to this process
+	listener   net.Listener
+	core       *dispatch.Core
+	transport  *upstream.Transport
+	server     *frontend.Server
+	watch      *discovery.Watch
+	settings   tenantSettings
 
-	mu               sync.Mutex
-	predecessor      *takeover.Link // nil where there is none, or no more
-	predecessorHolds held
-	successor        *takeover.Link // nil where there is none
-	successorAccepts bool
-	links            *net.UnixListener // where successors come
-	longest          time.Duration     // a client's wait, by any settings that held
-	successorCame    time.Time         // when the successor asked
+	mu                sync.Mutex
+	predecessor       *takeover.Link // nil if there is none, or no longer
+	predecessorLimits heldLimits
+	successor         *takeover.Link    // nil if there is none
+	successorReady    bool              // the successor accepts connections
+	successorListener *net.UnixListener // at socketPath
+	maxWait           time.Duration     // the longest wait of a client under any settings so far
+	successorSince    time.Time         // when the successor connected
 }
 
-// share sets the bounds from what the others have of the limits, and tells the successor; h.mu is held.
-func (h *handover) share() {
-	out, in := bounds(h.config)
-	mine := held{Share: 1}
+// updateLimits sets the limits of this process to what its predecessor and successor leave of the configured ones, and
+// notifies the successor. The caller holds h.mu.
+func (h *handover) updateLimits() {
+	maxUpstreamConns, serverLimits := deriveLimits(h.config)
+	held := heldLimits{Share: 1}
 	if h.predecessor != nil {
-		mine = h.predecessorHolds
+		held = h.predecessorLimits
 	}
 	if h.successor != nil {
-		mine.Share /= 2
+		held.Share /= 2
 	}
-	in.MaxConns = max(in.MaxConns-mine.Conns, 1)
-	in.MaxMessages = max(in.MaxConns*2/3, 1)
-	in.MaxLargeRequests = int(float64(in.MaxLargeRequests) * mine.Share)
-	h.clients.SetLimits(in)
-	h.workers.SetMaxConns(max(int(float64(out)*mine.Share), 1))
-	within(h.config, mine.Share)
-	if h.successorAccepts {
-		h.successor.Send(frameHeld, encode(held{Conns: h.clients.OpenConns() + mine.Conns, Share: mine.Share}), nil)
+	serverLimits.MaxConns = max(serverLimits.MaxConns-held.Conns, 1)
+	serverLimits.MaxMessages = max(serverLimits.MaxConns*2/3, 1)
+	serverLimits.MaxLargeRequests = int(float64(serverLimits.MaxLargeRequests) * held.Share)
+	h.server.SetLimits(serverLimits)
+	h.transport.SetMaxConns(max(int(float64(maxUpstreamConns)*held.Share), 1))
+	setMemoryLimit(h.config, held.Share)
+	if h.successorReady {
+		h.successor.Send(frameLimits,
+			encode(heldLimits{Conns: h.server.OpenConns() + held.Conns, Share: held.Share}), nil)
 	}
 }
 
-// errAnotherSucceeds is that the predecessor has given its place to another process meanwhile.
-var errAnotherSucceeds = errors.New("another process takes the predecessor's place")
+// errReplacedByAnother means that the predecessor has been replaced by another process in the meantime.
+var errReplacedByAnother = errors.New("another process has replaced the predecessor")
 
-// succeed goes on in the predecessor's place: it says that this process accepts from now on, and returns once the
-// predecessor has said what it keeps, has gone, or has had its time for that. It is an error where the predecessor has
-// ended the link and still lives, or another process has taken its place: this one was too late, and takes nothing.
-func (h *handover) succeed(predecessor *takeover.Link) error {
+// replacePredecessor notifies the predecessor that this process accepts connections from now on. It returns when the
+// predecessor has sent its limits or closed the link, or after limitsTimeout. It is an error if the predecessor has
+// closed the link and a process still serves at the socket, the predecessor itself or another successor: then this
+// process was too late and must not accept.
+func (h *handover) replacePredecessor(predecessor *takeover.Link) error {
 	h.mu.Lock()
 	h.predecessor = predecessor
-	_, in := bounds(h.config)
-	h.predecessorHolds = held{Conns: in.MaxConns / 2, Share: 0.5}
-	h.share()
+	_, serverLimits := deriveLimits(h.config)
+	h.predecessorLimits = heldLimits{Conns: serverLimits.MaxConns / 2, Share: 0.5}
+	h.updateLimits()
 	h.mu.Unlock()
-	said, gone := make(chan struct{}), make(chan struct{})
-	first := sync.OnceFunc(func() { close(said) })
+	limitsKnown, linkClosed := make(chan struct{}), make(chan struct{})
+	setLimitsKnown := sync.OnceFunc(func() { close(limitsKnown) })
 	go func() {
-		defer close(gone)
-		err := predecessor.Run(func(f takeover.Frame) { h.fromPredecessor(f, first) },
-			func(body []byte) bool { return h.answer(body, predecessor) })
+		defer close(linkClosed)
+		err := predecessor.Run(func(f takeover.Frame) { h.handlePredecessorFrame(f, setLimitsKnown) },
+			func(body []byte) bool { return h.answerCallback(body, predecessor) })
 		slog.Info("takeover", "old", "gone", "reason", err)
 		h.mu.Lock()
-		h.predecessor, h.predecessorHolds = nil, held{}
-		h.share()
+		h.predecessor, h.predecessorLimits = nil, heldLimits{}
+		h.updateLimits()
 		h.mu.Unlock()
 	}()
 	predecessor.Send(frameReady, nil, nil)
 	select {
-	case <-said:
-	case <-time.After(heldTime):
-	case <-gone:
+	case <-limitsKnown:
+	case <-time.After(limitsTimeout):
+	case <-linkClosed:
 		select {
-		case <-said: // it has gone right after
+		case <-limitsKnown: // the limits came right before the link closed
 			return nil
 		default:
 		}
-		if lives(h.path) {
-			return errAnotherSucceeds
+		if isServing(h.socketPath) {
+			return errReplacedByAnother
 		}
 	}
 	return nil
 }
 
-// lives tells whether a process waits at path for others to replace it. One that has just ended may still seem to
-// listen, but ends the connection instead of waiting for a first word.
-func lives(path string) bool {
-	l, err := takeover.Dial(path)
+// isServing reports whether a process at path waits for successors. The socket of a process that is ending may still
+// accept a connection, but closes it instead of waiting for a first frame.
+func isServing(path string) bool {
+	link, err := takeover.Dial(path)
 	if err != nil {
 		return false
 	}
-	defer l.Abandon()
-	l.SetReadDeadline(time.Now().Add(again))
-	_, err = l.ReadFrame()
+	defer link.Abandon()
+	link.SetReadDeadline(time.Now().Add(retryInterval))
+	_, err = link.ReadFrame()
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func (h *handover) fromPredecessor(f takeover.Frame, first func()) {
-	switch f.Kind {
-	case frameState: // it did not come in time: of what it says, the ids are still of use
+func (h *handover) handlePredecessorFrame(frame takeover.Frame, setLimitsKnown func()) {
+	switch frame.Kind {
+	case frameState: // the state came too late, but its message ids are still useful
 		var state handoverState
-		if decode(f.Body, &state) == nil {
+		if decode(frame.Body, &state) == nil {
 			h.core.AddKnownIDs(state.Core.Known)
 		}
-	case frameHeld:
-		var now held
-		if decode(f.Body, &now) == nil {
+	case frameLimits:
+		var limits heldLimits
+		if decode(frame.Body, &limits) == nil {
 			h.mu.Lock()
-			h.predecessorHolds = now
-			h.share()
+			h.predecessorLimits = limits
+			h.updateLimits()
 			h.mu.Unlock()
 		}
-		first()
+		setLimitsKnown()
 	case frameKnownIDs:
 		var ids []string
-		if decode(f.Body, &ids) == nil {
+		if decode(frame.Body, &ids) == nil {
 			h.core.AddKnownIDs(ids)
 		}
 	case frameConnection:
-		var k keptConnection
-		if f.File == nil || decode(f.Body, &k) != nil {
+		var kept handoverConnection
+		if frame.File == nil || decode(frame.Body, &kept) != nil {
 			break
 		}
-		nc, err := net.FileConn(f.File)
+		conn, err := net.FileConn(frame.File)
 		if err != nil {
 			slog.Warn("takeover", "error", err)
 			break
 		}
-		h.mu.Lock() // it counts here now
-		h.predecessorHolds.Conns = max(h.predecessorHolds.Conns-1, 0)
-		h.share()
+		h.mu.Lock() // the connection now counts as this process's
+		h.predecessorLimits.Conns = max(h.predecessorLimits.Conns-1, 0)
+		h.updateLimits()
 		h.mu.Unlock()
-		if k.Begun != nil {
-			h.clients.ResumeMessage(nc, *k.Begun, k.More)
+		if kept.Begun != nil {
+			h.server.ResumeMessage(conn, *kept.Begun, kept.More)
 			break
 		}
-		go h.clients.AdoptConn(nc, k.Proven, k.Client)
+		go h.server.AdoptConn(conn, kept.Proven, kept.Client)
 	}
-	if f.File != nil {
-		f.File.Close()
+	if frame.File != nil {
+		frame.File.Close()
 	}
 }
 
-// wait lets processes replace this one, one at a time.
-func (h *handover) wait() {
-	ln, err := takeover.Listen(h.path)
-	if err != nil { // clients are served all the same; the next process will wait for this one's end
-		slog.Warn("takeover", "path", h.path, "error", err)
+// listenForSuccessors lets processes replace this one, one at a time.
+func (h *handover) listenForSuccessors() {
+	ln, err := takeover.Listen(h.socketPath)
+	if err != nil { // clients are still served, but a successor has to wait until this process ends
+		slog.Warn("takeover", "path", h.socketPath, "error", err)
 		return
 	}
 	h.mu.Lock()
-	h.links = ln
+	h.successorListener = ln
 	h.mu.Unlock()
 	h.acceptSuccessors(ln)
 }
 
-// linkListener is where processes come that want to replace this one.
+// linkListener accepts connections of processes that want to replace this one.
 type linkListener interface {
 	AcceptUnix() (*net.UnixConn, error)
 }
 
-// acceptSuccessors meets all who come until ln is closed. Any other fault is one of the moment.
+// acceptSuccessors serves all processes that connect until ln is closed. Any other error is taken as temporary.
 func (h *handover) acceptSuccessors(ln linkListener) {
 	for {
 		c, err := ln.AcceptUnix()
@@ -192,134 +195,136 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			slog.Warn("takeover", "path", h.path, "error", err)
-			time.Sleep(again)
+			slog.Warn("takeover", "path", h.socketPath, "error", err)
+			time.Sleep(retryInterval)
 		default:
-			go h.meet(takeover.NewLink(c))
+			go h.serveSuccessor(takeover.NewLink(c))
 		}
 	}
 }
 
-func (h *handover) meet(l *takeover.Link) {
-	defer l.Abandon()
-	l.SetReadDeadline(time.Now().Add(helloTime))
-	if f, err := l.ReadFrame(); err != nil || f.Kind != frameHello {
+func (h *handover) serveSuccessor(link *takeover.Link) {
+	defer link.Abandon()
+	link.SetReadDeadline(time.Now().Add(helloTimeout))
+	if f, err := link.ReadFrame(); err != nil || f.Kind != frameHello {
 		return
 	}
-	l.SetReadDeadline(time.Time{})
-	if !h.admit(l) { // it tries again, and finds whoever of us is there then
+	link.SetReadDeadline(time.Time{})
+	if !h.registerSuccessor(link) { // it will try again and find the process that is there by then
 		return
 	}
 	slog.Info("takeover", "young", "here")
-	now := handoverState{h.list.HandoverState(), h.core.HandoverState(), h.workers.HandoverState()}
-	err := l.Send(frameState, encode(now), h.listener.(syscall.Conn))
+	state := handoverState{h.watch.HandoverState(), h.core.HandoverState(), h.transport.HandoverState()}
+	err := link.Send(frameState, encode(state), h.listener.(syscall.Conn))
 	if err == nil {
-		err = l.Run(h.fromSuccessor, func(body []byte) bool { return h.answer(body, l) })
+		err = link.Run(h.handleSuccessorFrame, func(body []byte) bool { return h.answerCallback(body, link) })
 	}
 	slog.Info("takeover", "young", "gone", "reason", err)
 	h.mu.Lock()
-	accepted, links := h.successorAccepts, h.links
-	h.successor, h.successorAccepts = nil, false
-	h.share()
+	wasReady, successorListener := h.successorReady, h.successorListener
+	h.successor, h.successorReady = nil, false
+	h.updateLimits()
 	h.mu.Unlock()
-	if !accepted {
+	if !wasReady {
 		return
 	}
 	h.core.SetReplaced(false)
-	h.clients.StopHandover()
-	h.clients.ResumeAccepting()
-	links.Close() // the path was the successor's, if it came so far
-	go h.wait()
+	h.server.StopHandover()
+	h.server.ResumeAccepting()
+	successorListener.Close() // the successor may have replaced the socket at the path, so listen again
+	go h.listenForSuccessors()
 }
 
-// admit makes l the link to the successor, and tells whether it is. There is one at a time; one that does not accept
-// by its time, and may hang, has to go for the next.
-func (h *handover) admit(l *takeover.Link) bool {
+// registerSuccessor makes link the link to the successor, and reports whether it did. There is one successor at a time.
+// A successor that is not ready after acceptTimeout, and may hang, is dropped to make room for the next one.
+func (h *handover) registerSuccessor(link *takeover.Link) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.successor != nil {
-		if !h.successorAccepts && time.Since(h.successorCame) > acceptTime {
-			h.successor.Close() // its own meet makes the place free
+		if !h.successorReady && time.Since(h.successorSince) > acceptTimeout {
+			h.successor.Close() // then its serveSuccessor clears h.successor
 		}
 		return false
 	}
-	h.successor, h.successorCame = l, time.Now()
-	h.share()
+	h.successor, h.successorSince = link, time.Now()
+	h.updateLimits()
 	return true
 }
 
-func (h *handover) fromSuccessor(f takeover.Frame) {
-	if f.File != nil {
-		f.File.Close()
+func (h *handover) handleSuccessorFrame(frame takeover.Frame) {
+	if frame.File != nil {
+		frame.File.Close()
 	}
-	if f.Kind != frameReady {
+	if frame.Kind != frameReady {
 		return
 	}
 	h.mu.Lock()
-	l := h.successor
-	h.successorAccepts = true
+	link := h.successor
+	h.successorReady = true
 	h.mu.Unlock()
 	h.core.SetReplaced(true)
-	_, in := bounds(h.config)
-	h.clients.PauseAccepting(in.MaxConns / 2)
+	_, serverLimits := deriveLimits(h.config)
+	h.server.PauseAccepting(serverLimits.MaxConns / 2)
 	h.mu.Lock()
-	h.share()
+	h.updateLimits()
 	h.mu.Unlock()
-	go func() { // what this process holds becomes less
-		for last := h.clients.OpenConns(); ; time.Sleep(holdTime) {
+	go func() { // report the limits as this process's connections become fewer
+		for last := h.server.OpenConns(); ; time.Sleep(limitsInterval) {
 			h.mu.Lock()
-			if h.successor != l {
+			if h.successor != link {
 				h.mu.Unlock()
 				return
 			}
-			if now := h.clients.OpenConns(); now != last {
+			if now := h.server.OpenConns(); now != last {
 				last = now
-				h.share()
+				h.updateLimits()
 			}
 			h.mu.Unlock()
 		}
 	}()
 }
 
-// tell brings a call-back whose message is not in hand here to the other processes. That none of them has it is no
-// error: it is over.
-func (h *handover) tell(body []byte) error {
-	_, err := h.ask(body, nil)
+// forwardCallback passes a callback whose message is not in flight here to the other processes. It is no error if none
+// of them has the message: then the message has ended.
+func (h *handover) forwardCallback(body []byte) error {
+	_, err := h.askOthers(body, nil)
 	return err
 }
 
-// answer takes a call-back that came from one process, or asks the one beyond.
-func (h *handover) answer(body []byte, from *takeover.Link) bool {
-	taken, err := h.workers.HandleCallback(body)
+// answerCallback handles a callback from a linked process, or asks the process on the other side. It reports whether
+// the message was found.
+func (h *handover) answerCallback(body []byte, from *takeover.Link) bool {
+	taken, err := h.transport.HandleCallback(body)
 	if err == nil && !taken {
-		taken, _ = h.ask(body, from)
+		taken, _ = h.askOthers(body, from)
 	}
 	return taken
 }
 
-// ask brings a call-back to all others but one. If none has its message that may have been on its way here, and have
-// crossed the question: it came before the answer, and is here now.
-func (h *handover) ask(body []byte, except *takeover.Link) (taken bool, err error) {
-	if taken, err = h.askOthers(body, except); !taken && err == nil {
-		taken, _ = h.workers.HandleCallback(body)
+// askOthers passes a callback to all linked processes except one. If none has its message, the message may have been
+// handed over to this process while the question was on its way. It then arrived before the answer, so this process is
+// asked again.
+func (h *handover) askOthers(body []byte, except *takeover.Link) (taken bool, err error) {
+	if taken, err = h.askLinks(body, except); !taken && err == nil {
+		taken, _ = h.transport.HandleCallback(body)
 	}
 	return taken, err
 }
 
-func (h *handover) askOthers(body []byte, except *takeover.Link) (taken bool, err error) {
+func (h *handover) askLinks(body []byte, except *takeover.Link) (taken bool, err error) {
 	h.mu.Lock()
 	links := [...]*takeover.Link{h.predecessor, h.successor}
 	h.mu.Unlock()
-	for _, l := range links {
-		if l == nil || l == except {
+	for _, link := range links {
+		if link == nil || link == except {
 			continue
 		}
-		took, fault := l.Ask(body, noteTime)
-		if took {
+		accepted, linkErr := link.Ask(body, callbackTimeout)
+		if accepted {
 			return true, nil
 		}
-		if fault == takeover.ErrNoReply {
-			err = fault
+		if linkErr == takeover.ErrNoReply {
+			err = linkErr
 		}
 	}
 	return false, err
--- a/internal/instance/handover_test.go
+++ b/internal/instance/handover_test.go
@@ -19,71 +19,74 @@
 	"topazfall/internal/upstream"
 )
 
-// formerState, formerConnection and formerHeld are what the first version with a hand-over sends and reads.
+// firstVersionState, firstVersionConnection and firstVersionLimits are the formats of the first version with a
+// handover.
 type (
-	formerState struct {
+	firstVersionState struct {
 		List      discovery.HandoverState
 		Core      dispatch.HandoverState
 		Addresses upstream.HandoverState
 	}
-	formerConnection struct {
+	firstVersionConnection struct {
 		Proven, Client, More bool
 		Begun                *dispatch.InFlightMessage
 	}
-	formerHeld struct {
+	firstVersionLimits struct {
 		Conns int
 		Share float64
 	}
 )
 
-// carried is v as the other side has it.
-func carried[To any](t *testing.T, v any) (to To) {
+// roundTrip returns v as the other side decodes it.
+func roundTrip[To any](t *testing.T, v any) (to To) {
 	require.NoError(t, decode(encode(v), &to))
 	return to
 }
 
-// What a process says to one of the first version with a hand-over, and that to it, loses nothing on the way.
-func TestTransferWithTheFormerVersion(t *testing.T) {
+// Nothing is lost in a handover between this version and the first version with a handover, in either direction.
+func TestHandoverWithTheFirstVersion(t *testing.T) {
 	list := discovery.HandoverState{Discovery: "127.0.0.1:1", Seq: 41, Hosts: map[string]dispatch.Entry{
 		"s-a": {Worker: topazfall.Worker{ID: "s-a", Zone: "hall", Weight: 2}, Addr: "127.0.0.1:2"}}}
 	core := dispatch.HandoverState{Known: []string{"one", "tw\xffo"}}
-	require.Equal(t, formerState{List: list, Core: core},
-		carried[formerState](t, handoverState{List: list, Core: core}))
+	require.Equal(t, firstVersionState{List: list, Core: core},
+		roundTrip[firstVersionState](t, handoverState{List: list, Core: core}))
 	require.Equal(t, handoverState{List: list, Core: core},
-		carried[handoverState](t, formerState{List: list, Core: core}))
+		roundTrip[handoverState](t, firstVersionState{List: list, Core: core}))
 	begun := &dispatch.InFlightMessage{Message: exchange.Message{ID: "one", Body: []byte("x")}, Of: "acme",
 		Relays: []dispatch.InFlightRelay{{Host: "s-a", Sent: 7}}}
-	require.Equal(t, formerConnection{Proven: true, Begun: begun},
-		carried[formerConnection](t, keptConnection{Proven: true, Begun: begun}))
-	require.Equal(t, keptConnection{Client: true, More: true},
-		carried[keptConnection](t, formerConnection{Client: true, More: true}))
-	require.Equal(t, formerHeld{Conns: 3, Share: 0.5}, carried[formerHeld](t, held{Conns: 3, Share: 0.5}))
-	require.Equal(t, held{Conns: 3, Share: 0.5}, carried[held](t, formerHeld{Conns: 3, Share: 0.5}))
-	kinds := []byte{frameHello, frameState, frameReady, frameHeld, frameKnownIDs, frameConnection}
+	require.Equal(t, firstVersionConnection{Proven: true, Begun: begun},
+		roundTrip[firstVersionConnection](t, handoverConnection{Proven: true, Begun: begun}))
+	require.Equal(t, handoverConnection{Client: true, More: true},
+		roundTrip[handoverConnection](t, firstVersionConnection{Client: true, More: true}))
+	require.Equal(t, firstVersionLimits{Conns: 3, Share: 0.5},
+		roundTrip[firstVersionLimits](t, heldLimits{Conns: 3, Share: 0.5}))
+	require.Equal(t, heldLimits{Conns: 3, Share: 0.5},
+		roundTrip[heldLimits](t, firstVersionLimits{Conns: 3, Share: 0.5}))
+	kinds := []byte{frameHello, frameState, frameReady, frameLimits, frameKnownIDs, frameConnection}
 	require.Equal(t, "hsrkic", string(kinds))
 }
 
-// faultyLinks is a listener that has one fault before somebody comes.
-type faultyLinks struct {
-	faults []error
-	comes  *net.UnixConn
+// faultyListener is a listener that returns its errors before it accepts conn.
+type faultyListener struct {
+	errors []error
+	conn   *net.UnixConn
 }
 
-func (l *faultyLinks) AcceptUnix() (c *net.UnixConn, err error) {
+func (l *faultyListener) AcceptUnix() (c *net.UnixConn, err error) {
 	switch {
-	case len(l.faults) > 0:
-		err, l.faults = l.faults[0], l.faults[1:]
+	case len(l.errors) > 0:
+		err, l.errors = l.errors[0], l.errors[1:]
 		return nil, err
-	case l.comes != nil:
-		c, l.comes = l.comes, nil
+	case l.conn != nil:
+		c, l.conn = l.conn, nil
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-// A fault of the moment, such as that no descriptor is left, does not end the waiting for successors: the process could
-// never be replaced again.
-func TestSuccessorsAreMetAfterAFault(t *testing.T) {
+// A temporary error, such as a lack of descriptors, must not end the accepting of successors: the process could never
+// be replaced again.
+func TestAcceptSuccessorsAfterTemporaryErrors(t *testing.T) {
 	path := t.TempDir() + "/s"
 	ln, err := takeover.Listen(path)
 	require.NoError(t, err)
@@ -91,36 +94,37 @@
 	client, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
 	defer client.Close()
-	comes, err := ln.AcceptUnix()
+	conn, err := ln.AcceptUnix()
 	require.NoError(t, err)
-	met := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(met)
-		(&handover{path: path}).acceptSuccessors(&faultyLinks{[]error{syscall.EMFILE, syscall.ECONNABORTED}, comes})
+		defer close(done)
+		(&handover{socketPath: path}).acceptSuccessors(
+			&faultyListener{[]error{syscall.EMFILE, syscall.ECONNABORTED}, conn})
 	}()
-	_, err = client.Write([]byte("no first word"))
+	_, err = client.Write([]byte("no hello frame"))
 	require.NoError(t, err)
-	client.SetReadDeadline(time.Now().Add(patience))
+	client.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = client.Read(make([]byte, 1))
 	require.NotErrorIs(t, err, syscall.ETIMEDOUT)
-	require.False(t, isTimeout(err), "nobody has met it: %v", err)
-	<-met
+	require.False(t, isTimeout(err), "the connection was not served: %v", err)
+	<-done
 }
 
-const patience = 20 * time.Second // no verdict hangs on how fast a machine is
+const testTimeout = 20 * time.Second // long enough for a slow machine
 
 func isTimeout(err error) bool {
 	e, ok := err.(net.Error)
 	return ok && e.Timeout()
 }
 
-// Whether a process waits to be replaced is told from one that has gone, or is about to.
-func TestLives(t *testing.T) {
+// A process that waits for successors is distinguished from one that has ended or is ending.
+func TestIsServing(t *testing.T) {
 	path := t.TempDir() + "/s"
-	require.False(t, lives(path))
+	require.False(t, isServing(path))
 	ln, err := takeover.Listen(path)
 	require.NoError(t, err)
-	require.True(t, lives(path), "it waits for a first word")
+	require.True(t, isServing(path), "it waits for a first frame")
 	go func() {
 		for {
 			c, err := ln.AcceptUnix()
@@ -130,13 +134,13 @@
 			c.Close()
 		}
 	}()
-	require.False(t, lives(path))
+	require.False(t, isServing(path))
 	ln.Close()
-	require.False(t, lives(path))
+	require.False(t, isServing(path))
 }
 
-// The predecessor's last connection goes: its place is this process's then.
-func TestPredecessorHoldsNothing(t *testing.T) {
+// The predecessor's last connection closes: this process may use its place then.
+func TestPredecessorReportsNoConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -147,12 +151,12 @@
 	core, err := dispatch.New(s, counts)
 	require.NoError(t, err)
 	c := &config.Config{Sockets: 256, Settings: s}
-	out, in := bounds(c)
+	out, in := deriveLimits(c)
 	workers := upstream.New(core, upstream.Options{MaxConns: out, Metrics: counts})
 	clients := frontend.New(ln, core, workers, &s, in)
-	h := &handover{config: c, workers: workers, clients: clients, predecessor: &takeover.Link{}}
-	for _, says := range []held{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
-		h.fromPredecessor(takeover.Frame{Kind: frameHeld, Body: encode(says)}, func() {})
-		require.Equal(t, says, h.predecessorHolds)
+	h := &handover{config: c, transport: workers, server: clients, predecessor: &takeover.Link{}}
+	for _, says := range []heldLimits{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
+		h.handlePredecessorFrame(takeover.Frame{Kind: frameLimits, Body: encode(says)}, func() {})
+		require.Equal(t, says, h.predecessorLimits)
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,4 +1,4 @@
-// Package instance wires one dispatcher together and runs it from its start to its end.
+// Package instance assembles one dispatcher and runs it from its start to its end.
 package instance
 
 import (
@@ -27,75 +27,77 @@
 	"topazfall/internal/upstream"
 )
 
-const closeTime = time.Second // for what is still being written when all has its answer
+const closeTimeout = time.Second // for answers that are still being written when all messages have theirs
 
-// noDiscovery is the address of discovery where hosts come from an extension alone.
+// noDiscovery is the configured discovery address if hosts come from an extension alone.
 const noDiscovery = "none"
 
-// Dependencies are what an extension works with.
+// Dependencies are the parts of a dispatcher that an extension uses.
 type Dependencies struct {
 	Config  *config.Config
 	Core    *dispatch.Core
 	Hosts   *upstream.Transport
 	Metrics *metrics.Metrics
-	// SetTenants brings tenants into force beside those of the configuration; one that is in both is as it is here.
+	// SetTenants adds tenants to the configured ones. A tenant in both has the settings given here.
 	SetTenants func([]topazfall.Tenant)
 }
 
-// DescriptorReserver is an Extension that needs descriptors of its own, of those that the limits allow.
+// DescriptorReserver is an Extension that needs file descriptors of its own. They are taken from the configured limit.
 type DescriptorReserver interface{ Descriptors(name string) int }
 
-// Extension is what other installations add to a dispatcher. It is started before the first list comes, and takes the
-// inventory's news in the core's place; its end is asked for when the dispatcher has left.
+// Extension is what an installation may add to a dispatcher. It is started before the first list arrives, and receives
+// discovery's list updates in place of the core. It is closed when the dispatcher has left.
 type Extension interface {
 	discovery.ListReceiver
 	Start(Dependencies) error
 	Close()
 }
 
-// dispatcher is what Run puts together, phase by phase.
+// dispatcher holds the parts that Run assembles, phase by phase.
 type dispatcher struct {
 	config    config.Config
-	extension Extension // nil for the bare one
+	extension Extension // nil for none
 	metrics   *metrics.Metrics
 
 	signals chan os.Signal // SIGTERM and SIGINT
 	hangups chan os.Signal // SIGHUP
 
-	core    *dispatch.Core
-	workers *upstream.Transport
-	clients *frontend.Server
-	list    *discovery.Watch
-	peers   *peers.Peers // nil where there are none
-	place   *handover
-	serving atomic.Pointer[frontend.Server] // clients, once the operators may see them
+	core        *dispatch.Core
+	transport   *upstream.Transport
+	server      *frontend.Server
+	watch       *discovery.Watch
+	peers       *peers.Peers // nil if peer messages are off
+	handover    *handover
+	readyServer atomic.Pointer[frontend.Server] // server, once this process is ready
 
-	entrance
-	served chan error // why the accepting ended
+	listenSocket
+	serveErr chan error // why Serve ended
 }
 
-// Run runs a dispatcher until it has left. x is nil for the bare one.
+// Run runs a dispatcher until it has left. extension may be nil.
 //
-// Its phases come in this order, each for the reason given there:
+// The order of its phases has these reasons:
 //
-//  1. catchSignals: before all else, as a signal that nobody waits for ends the program.
-//  2. configure: the limits bind whatever is made after.
-//  3. build: the core and the side of the workers, which need nothing but the settings.
-//  4. serveOperators: before enter, which may wait for the address; until then the operators are told "not ready".
-//  5. enter: the listening socket, from the predecessor with its state or anew. All that follows needs it.
-//  6. assemble: the clients' side, discovery, the hand-over and the peers. None of them does anything yet.
-//  7. startCore: before any news of workers, which would wait for it. The extension takes such news in the core's
-//     place, and so is started here as well.
-//  8. takeKnown: the list known before. It must come before discovery's, which is newer and goes on from its version.
-//  9. follow: discovery and reloads, which would fall back behind what takeKnown brings.
-//  10. serve, where there is no predecessor: call-backs for an earlier life of this process are answered from here on.
-//  11. awaitList: what ready waits for, for a bounded time.
-//  12. succeed, where there is a predecessor: it accepts until it is told that this process does, and serve comes
-//     only after that.
-//  13. setReady: and only now may a successor come, which would else find a process that does not accept.
+//  1. catchSignals: before everything else, because an unhandled signal ends the program.
+//  2. configure: the limits must apply to everything created later.
+//  3. build: the core and the upstream (the workers' side), which need only the settings.
+//  4. serveOperators: before acquireSocket, which may wait for the address. Until then the operators get "not ready".
+//  5. acquireSocket: the listening socket, received from the predecessor with its state, or opened. All later phases
+//     need it.
+//  6. assemble: the frontend (the clients' side), discovery, handover and peers. None of them is active yet.
+//  7. startCore: before any list update, which would block until the core runs. The extension receives list updates in
+//     place of the core, so it is started here as well.
+//  8. restoreKnown: the known list of workers. It must come before discovery's list, which is newer and continues from
+//     its version.
+//  9. startUpdates: discovery and reloads. Run before restoreKnown, their updates would be undone by older state.
+//  10. serve, without a predecessor: from here on callbacks for an earlier process at this address are answered.
+//  11. awaitFirstList: a wait before readiness, for a limited time.
+//  12. replacePredecessor, with a predecessor: it accepts connections until it is notified that this process does, so
+//     serve follows only then.
+//  13. setReady: only now may a successor connect. Before, it would find a process that does not accept connections.
 //  14. wait for the end, and leave.
-func Run(x Extension) error {
-	d := &dispatcher{extension: x, metrics: &metrics.Metrics{}, served: make(chan error, 1)}
+func Run(extension Extension) error {
+	d := &dispatcher{extension: extension, metrics: &metrics.Metrics{}, serveErr: make(chan error, 1)}
 	d.catchSignals()
 	if err := d.configure(); err != nil {
 		return err
@@ -106,7 +108,7 @@
 	if d.config.Management != "" {
 		serveOperators(d.config.Management, d.ready, d.metrics)
 	}
-	if err := d.enter(); err != nil {
+	if err := d.acquireSocket(); err != nil {
 		return err
 	}
 	d.assemble()
@@ -115,37 +117,37 @@
 		return err
 	}
 	defer d.closeExtension()
-	known := d.takeKnown()
-	d.follow()
+	known := d.restoreKnown()
+	d.startUpdates()
 	if d.predecessor == nil {
 		go d.serve()
 	}
-	d.awaitList(known)
+	d.awaitFirstList(known)
 	if d.predecessor != nil {
-		if err := d.place.succeed(d.predecessor); err != nil {
+		if err := d.handover.replacePredecessor(d.predecessor); err != nil {
 			return err
 		}
 		go d.serve()
 	}
 	d.setReady(known)
 	select {
-	case err := <-d.served:
+	case err := <-d.serveErr:
 		return err
-	case s := <-d.signals:
-		slog.Info("main", "state", "leaving", "signal", s, "in_hand", d.core.InFlight())
+	case received := <-d.signals:
+		slog.Info("main", "state", "leaving", "signal", received, "in_hand", d.core.InFlight())
 	}
 	return d.leave()
 }
 
-// catchSignals keeps signals from ending the program. A SIGHUP that nobody waited for would, and what it has in hand
-// would be lost. One place is enough: who reads the file after the last signal reads the latest.
+// catchSignals keeps signals from ending the program. An unhandled SIGHUP would end it and lose the messages in flight.
+// Channels of capacity 1 are enough: a reload after the last signal reads the latest file.
 func (d *dispatcher) catchSignals() {
 	d.signals, d.hangups = make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(d.signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(d.hangups, syscall.SIGHUP)
 }
 
-// configure reads the configuration, and sets the limits of the runtime.
+// configure loads the configuration and sets the limits of the runtime.
 func (d *dispatcher) configure() (err error) {
 	if d.config, err = config.Load(os.Getenv); err != nil {
 		return err
@@ -153,53 +155,54 @@
 	if d.config.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(math.Ceil(d.config.Cores)), 1))
 	}
-	d.config.Sockets = withinSystem(d.config.Sockets)
+	d.config.Sockets = descriptorLimit(d.config.Sockets)
 	if r, ok := d.extension.(DescriptorReserver); ok {
 		d.config.Sockets = max(d.config.Sockets-r.Descriptors(d.config.Name), 0)
 	}
-	within(&d.config, 1)
+	setMemoryLimit(&d.config, 1)
 	return nil
 }
 
-// build makes the core and the side of the workers.
+// build creates the core and the upstream transport.
 func (d *dispatcher) build() (err error) {
 	if d.core, err = dispatch.New(d.config.Settings, d.metrics); err != nil {
 		return err
 	}
-	conns, _ := bounds(&d.config)
-	d.workers = upstream.New(d.core, upstream.Options{ConnSettings: times(&d.config), MaxConns: conns, Metrics: d.metrics,
-		Seed: d.config.Settings.Seed})
+	conns, _ := deriveLimits(&d.config)
+	d.transport = upstream.New(d.core, upstream.Options{ConnSettings: connSettings(&d.config), MaxConns: conns,
+		Metrics: d.metrics, Seed: d.config.Settings.Seed})
 	return nil
 }
 
-// enter gets the listening socket, and the predecessor's state with it if there is one.
-func (d *dispatcher) enter() (err error) {
+// acquireSocket gets the listening socket, and the predecessor's state if there is a predecessor.
+func (d *dispatcher) acquireSocket() (err error) {
 	path := takeover.SocketPath(d.config.Name, d.config.Listen)
-	d.entrance, err = enter(path, d.config.Listen, d.signals)
+	d.listenSocket, err = acquireSocket(path, d.config.Listen, d.signals)
 	return err
 }
 
-// assemble makes what needs the listening socket.
+// assemble creates the parts that need the listening socket.
 func (d *dispatcher) assemble() {
 	settings := &d.config.Settings
-	_, clients := bounds(&d.config)
-	clients.Metrics = d.metrics
-	d.clients = frontend.New(d.listener, d.core, d.workers, settings, clients)
-	var news discovery.ListReceiver = d.core
+	_, serverLimits := deriveLimits(&d.config)
+	serverLimits.Metrics = d.metrics
+	d.server = frontend.New(d.listener, d.core, d.transport, settings, serverLimits)
+	var receiver discovery.ListReceiver = d.core
 	if d.extension != nil {
-		news = d.extension
+		receiver = d.extension
 	}
-	d.list = discovery.New(d.config.Discovery, news, discoveryTerms(&d.config))
-	d.list.SetHoldReceiver(d.core)
-	d.place = &handover{config: &d.config, path: takeover.SocketPath(d.config.Name, d.config.Listen), listener: d.listener,
-		core: d.core, workers: d.workers, clients: d.clients, list: d.list}
-	d.place.settings.configured = *settings
-	d.place.holds(settings)
-	d.clients.SetCallbackForwarder(d.place.tell)
+	d.watch = discovery.New(d.config.Discovery, receiver, refreshSettings(&d.config))
+	d.watch.SetHoldReceiver(d.core)
+	d.handover = &handover{config: &d.config, socketPath: takeover.SocketPath(d.config.Name, d.config.Listen),
+		listener: d.listener, core: d.core, transport: d.transport, server: d.server, watch: d.watch}
+	d.handover.settings.configured = *settings
+	d.handover.recordDeadlines(settings)
+	d.server.SetCallbackForwarder(d.handover.forwardCallback)
 	d.joinPeers()
 }
 
-// joinPeers opens the way to other dispatchers. It is a help: that it cannot be had is no reason to serve no clients.
+// joinPeers starts the exchange of gossip messages with other dispatchers. The exchange is optional: clients are served
+// without it if it cannot start.
 func (d *dispatcher) joinPeers() {
 	if d.config.PeerListen == "" || !d.config.Settings.Allowed.PeerMessages {
 		return
@@ -221,13 +224,13 @@
 	}
 }
 
-// startCore starts the core, and the extension on it.
+// startCore starts the core and the extension.
 func (d *dispatcher) startCore() error {
-	go d.core.Run(d.workers, d.list)
+	go d.core.Run(d.transport, d.watch)
 	if d.extension == nil {
 		return nil
 	}
-	return d.extension.Start(Dependencies{&d.config, d.core, d.workers, d.metrics, d.place.setTenants})
+	return d.extension.Start(Dependencies{&d.config, d.core, d.transport, d.metrics, d.handover.setTenants})
 }
 
 func (d *dispatcher) closeExtension() {
@@ -236,57 +239,58 @@
 	}
 }
 
-// takeKnown takes what the predecessor knows, or the list that the configuration knows, and tells how many workers
-// there are then. What is known of addresses comes before the workers that have them, and those before what the core
-// says of them.
-func (d *dispatcher) takeKnown() (known int) {
+// restoreKnown restores the predecessor's state, or else loads the list of known workers from the configuration, and
+// returns the number of known workers. The state of addresses is restored before the workers that have them, and the
+// workers before the core's state about them.
+func (d *dispatcher) restoreKnown() (known int) {
 	if d.state != nil {
-		d.workers.RestoreState(d.state.Addresses)
-		known = d.list.Inherit(d.state.List)
+		d.transport.RestoreState(d.state.Addresses)
+		known = d.watch.Inherit(d.state.List)
 		d.core.RestoreState(d.state.Core)
 	}
 	if known == 0 {
-		known = d.list.LoadKnown(d.config.KnownHosts)
+		known = d.watch.LoadKnown(d.config.KnownHosts)
 	}
 	return known
 }
 
-// follow follows discovery, and takes reloads.
-func (d *dispatcher) follow() {
+// startUpdates starts the discovery watch and the reloads.
+func (d *dispatcher) startUpdates() {
 	if d.extension == nil || d.config.Discovery != noDiscovery {
-		go d.list.Run()
+		go d.watch.Run()
 	}
-	go d.place.reload(d.hangups, d.metrics)
+	go d.handover.reload(d.hangups, d.metrics)
 }
 
-func (d *dispatcher) serve() { d.served <- d.clients.Serve() }
+func (d *dispatcher) serve() { d.serveErr <- d.server.Serve() }
 
-// awaitList waits for the first call to discovery to end, where that is of use, and until the core has what is known.
-func (d *dispatcher) awaitList(known int) {
-	awaitFirst(d.list.FirstCallDone(), listPatience(&d.config.Settings, known))
+// awaitFirstList waits for the first call to discovery to end, if that is useful, and until the core has applied the
+// known list.
+func (d *dispatcher) awaitFirstList(known int) {
+	awaitFirst(d.watch.FirstCallDone(), firstListWait(&d.config.Settings, known))
 	d.core.Sync()
 }
 
-// setReady lets clients and operators know that this process takes messages, and successors come.
+// setReady reports this process as ready to clients and operators, and starts to accept successors.
 func (d *dispatcher) setReady(known int) {
-	d.clients.SetReady()
-	d.serving.Store(d.clients)
-	go d.place.wait()
+	d.server.SetReady()
+	d.readyServer.Store(d.server)
+	go d.handover.listenForSuccessors()
 	slog.Info("main", "state", "ready", "name", d.config.Name, "listen", d.config.Listen, "known", known)
 }
 
-// ready tells the operators whether clients are taken.
+// ready reports whether this process accepts clients, for the operators.
 func (d *dispatcher) ready() bool {
-	clients := d.serving.Load()
-	return clients != nil && clients.IsReady()
+	server := d.readyServer.Load()
+	return server != nil && server.IsReady()
 }
 
-// leave ends the taking in, and returns when all that was taken has its answer.
+// leave stops admitting messages and returns when all admitted ones have their answer.
 func (d *dispatcher) leave() error {
-	d.place.leave()
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	d.handover.leave()
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	err := d.clients.Close(ctx)
+	err := d.server.Close(ctx)
 	slog.Info("main", "state", "left", "in_hand", d.core.InFlight())
 	if errors.Is(err, context.DeadlineExceeded) { // a connection that never sent a whole message
 		return nil
@@ -294,52 +298,54 @@
 	return err
 }
 
-// times are the limits in time that the configuration sets for connections to hosts.
-func times(c *config.Config) upstream.ConnSettings {
+// connSettings returns the configured settings for connections to hosts (workers).
+func connSettings(c *config.Config) upstream.ConnSettings {
 	return upstream.ConnSettings{DialTimeout: time.Duration(c.Settings.Allowed.DialTimeout) * time.Microsecond,
 		IdleTimeout: c.ConnIdle, ProbeAllowed: c.Settings.Allowed.Probe}
 }
 
-// discoveryTerms are what the configuration says of discovery.
-func discoveryTerms(c *config.Config) refresh.Settings {
-	terms := discovery.RefreshSettings(&c.Settings)
-	terms.HoldOnRefusal = c.HoldOnRefusal
-	return terms
+// refreshSettings returns the configured settings for refreshing discovery's list.
+func refreshSettings(c *config.Config) refresh.Settings {
+	settings := discovery.RefreshSettings(&c.Settings)
+	settings.HoldOnRefusal = c.HoldOnRefusal
+	return settings
 }
 
-// reload takes a replaced configuration at each SIGHUP, also while the program is leaving: its settings and its
-// address of discovery, all or nothing. Addresses of our own, the name and the limits are those of the start.
-func (h *handover) reload(hangups <-chan os.Signal, counts *metrics.Metrics) {
-	now := h.config
+// reload applies the replaced configuration at each SIGHUP, even while the program is leaving: its settings and its
+// discovery address, all or nothing. This process's own addresses, its name and its limits stay as they were at the
+// start.
+func (h *handover) reload(hangups <-chan os.Signal, counters *metrics.Metrics) {
+	current := h.config
 	for range hangups {
-		c, err := now.Reload(os.Getenv)
+		next, err := current.Reload(os.Getenv)
 		if err != nil {
-			counts.ReloadsRejected.Add(1)
+			counters.ReloadsRejected.Add(1)
 			slog.Warn("reload", "state", "kept", "error", err)
 			continue
 		}
-		now = &c
-		h.holds(&c.Settings)
-		h.renewConfigured(c.Settings)
-		h.workers.SetConnSettings(times(now))
-		h.list.UpdateSettings(discoveryTerms(&c))
-		h.list.Move(c.Discovery)
-		counts.ReloadsApplied.Add(1)
-		slog.Info("reload", "state", "taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes))
+		current = &next
+		h.recordDeadlines(&next.Settings)
+		h.applyConfigured(next.Settings)
+		h.transport.SetConnSettings(connSettings(current))
+		h.watch.UpdateSettings(refreshSettings(&next))
+		h.watch.Move(next.Discovery)
+		counters.ReloadsApplied.Add(1)
+		slog.Info("reload", "state", "taken", "discovery", next.Discovery, "classes", len(next.Settings.Classes))
 	}
 }
 
-// serveOperators serves the second address. That it cannot be had now is no reason to serve no clients.
-func serveOperators(addr string, ready func() bool, counts *metrics.Metrics) {
+// serveOperators serves the management address. If the address is not available yet, it tries again in the background
+// while clients are served.
+func serveOperators(addr string, ready func() bool, counters *metrics.Metrics) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		slog.Warn("manage", "listen", addr, "error", err)
 	}
 	go func() {
 		for ; err != nil; ln, err = net.Listen("tcp", addr) {
-			time.Sleep(again)
+			time.Sleep(retryInterval)
 		}
 		slog.Info("manage", "listen", addr)
-		slog.Warn("manage", "state", "ended", "error", manage.Serve(ln, ready, counts))
+		slog.Warn("manage", "state", "ended", "error", manage.Serve(ln, ready, counters))
 	}()
 }
--- a/internal/instance/leaving.go
+++ b/internal/instance/leaving.go
@@ -8,110 +8,116 @@
 )
 
 const (
-	lateComes = 600 * time.Millisecond  // after SIGTERM connections still come for up to 0.4 s
-	settle    = 50 * time.Millisecond   // for what was being read when the taking in ended
-	passTime  = time.Second             // for idle connections to be handed over
-	hopeTime  = 3200 * time.Millisecond // for workers to answer attempts, after SIGTERM; the kill may come after 3.7 s
-	lastCall  = 500 * time.Millisecond  // beyond the longest deadline, after which a leaving process is killed
-	leaveStep = 5 * time.Millisecond    // between two looks at how far the leaving has come
+	acceptPeriod     = 600 * time.Millisecond // new connections arrive for up to 0.4 s after SIGTERM
+	settleTime       = 50 * time.Millisecond  // for requests that were being read when admission stopped
+	idleHandoverTime = time.Second            // for the handover of idle connections
+	// unansweredTimeout is the time for workers to answer attempts after SIGTERM. SIGKILL may come after 3.7 s.
+	unansweredTimeout = 3200 * time.Millisecond
+	deadlineMargin    = 500 * time.Millisecond // beyond the longest deadline; a leaving process is killed after that
+	leavePollInterval = 5 * time.Millisecond   // between two checks of the progress
 )
 
-// leaving is how far a process has come that was told to end.
+// leaving is the progress of a process that has received a signal to end.
 type leaving struct {
 	*handover
-	began    time.Time
-	passing  bool // connections go to the successor
-	shut     bool // nothing is taken any more
-	hopeless bool // attempts that no worker has answered were called off
+	startedAt   time.Time
+	handingOver bool // connections are handed over to the successor
+	stopped     bool // no messages are admitted any more
+	cancelled   bool // attempts that no worker has answered have been cancelled
 }
 
-// leave ends the taking in and returns when all that was taken has its answer.
+// leave stops admitting messages and returns when all admitted ones have their answer.
 //
-// Without a successor all that comes is served while clients can still be sent here. What came later could be cut off
-// by the kill that follows, and would be lost; so it is refused. What is in hand is finished, and as its call-backs
-// need the listener, that stays open to the last. With a successor nothing is taken that had not begun to come.
+// Without a successor, all messages are served for acceptPeriod, while clients can still be routed here. Later messages
+// are refused, because the SIGKILL that follows could cut them off and lose them. Messages in flight are finished.
+// Their callbacks need the listener, which therefore stays open to the end. With a successor, no message is admitted
+// unless its request had begun to arrive.
 func (h *handover) leave() {
-	l := &leaving{handover: h, passing: h.passOn()}
-	if !l.passing { // an answer between the two would end its connection, which the successor could go on with
-		h.clients.StartDrain()
+	l := &leaving{handover: h, handingOver: h.startHandover()}
+	// Not with a successor: in a drain each answer closes its connection, which the successor could continue.
+	if !l.handingOver {
+		h.server.StartDrain()
 	}
-	l.began = time.Now()
+	l.startedAt = time.Now()
 	for {
-		since := time.Since(l.began)
-		predecessor, successor := h.linked()
+		since := time.Since(l.startedAt)
+		predecessor, successor := h.linkState()
 		l.advance(since, successor)
-		if l.over(since, predecessor) {
+		if l.isDone(since, predecessor) {
 			return
 		}
-		time.Sleep(leaveStep)
+		time.Sleep(leavePollInterval)
 	}
 }
 
-// advance does what is due so long after the signal; successor tells whether there is one that accepts.
+// advance takes the steps that are due at this time since the signal. successor is true if a successor accepts
+// connections.
 func (l *leaving) advance(since time.Duration, successor bool) {
 	switch {
-	case !l.passing && successor:
-		l.passing = l.passOn()
-	case l.passing && !successor:
-		l.passing = false
-	case l.passing && !l.hopeless && since > hopeTime:
-		l.hopeless = true
+	case !l.handingOver && successor:
+		l.handingOver = l.startHandover()
+	case l.handingOver && !successor:
+		l.handingOver = false
+	case l.handingOver && !l.cancelled && since > unansweredTimeout:
+		l.cancelled = true
 		l.core.CancelUnanswered(time.Second.Microseconds()) // a message with such an attempt cannot be handed over
-	case !l.passing && !l.shut && since > lateComes:
-		l.clients.StopAdmitting()
-		l.shut = true
+	case !l.handingOver && !l.stopped && since > acceptPeriod:
+		l.server.StopAdmitting()
+		l.stopped = true
 	}
 }
 
-// over tells whether nothing is left that this process is needed for, or its time is over; predecessor tells whether
-// the one before it is still there.
-func (l *leaving) over(since time.Duration, predecessor bool) bool {
-	late := since > l.longestWait()+lastCall
-	// A predecessor that hangs is not waited for any longer than clients are.
-	done := l.core.InFlight() == 0 && !l.workers.HasPendingCancels() && (!predecessor || late)
-	if !l.passing {
-		return l.shut && done && since > lateComes+settle
+// isDone reports whether this process is no longer needed or its time has run out. predecessor is true if this
+// process's predecessor is still running.
+func (l *leaving) isDone(since time.Duration, predecessor bool) bool {
+	pastDeadline := since > l.longestWait()+deadlineMargin
+	// A predecessor may hang, so it is waited for no longer than clients are.
+	idle := l.core.InFlight() == 0 && !l.transport.HasPendingCancels() && (!predecessor || pastDeadline)
+	if !l.handingOver {
+		return l.stopped && idle && since > acceptPeriod+settleTime
 	}
-	// Idle connections go by themselves, but not in no time: one that is still here would be closed with the rest.
-	passed := l.clients.OpenConns() == 0 || l.clients.BusyConns() == 0 && since > passTime
-	return late || done && passed
+	// The handover of idle connections takes a moment. A connection that is still here at the end would be closed.
+	allHandedOver := l.server.OpenConns() == 0 || l.server.BusyConns() == 0 && since > idleHandoverTime
+	return pastDeadline || idle && allHandedOver
 }
 
-// passOn hands the clients over to the successor if that accepts, and tells whether it does.
-func (h *handover) passOn() bool {
+// startHandover starts to hand client connections over to the successor if it accepts connections, and reports whether
+// it does.
+func (h *handover) startHandover() bool {
 	h.mu.Lock()
-	l, takes := h.successor, h.successorAccepts
+	link, ready := h.successor, h.successorReady
 	h.mu.Unlock()
-	if !takes {
+	if !ready {
 		return false
 	}
-	l.Send(frameKnownIDs, encode(h.core.HandoverState().Known), nil)
-	h.clients.StartHandover(func(k frontend.HandoverConn) error {
-		return l.Send(frameConnection, encode(keptConnection{k.Proven, k.Client, k.More, k.Begun}), k.Conn)
+	link.Send(frameKnownIDs, encode(h.core.HandoverState().Known), nil)
+	h.server.StartHandover(func(conn frontend.HandoverConn) error {
+		return link.Send(frameConnection, encode(handoverConnection{conn.Proven, conn.Client, conn.More, conn.Begun}),
+			conn.Conn)
 	})
 	return true
 }
 
-// holds notes that settings hold: clients may wait as long as their classes' deadlines, at least as long as the kill
-// does.
-func (h *handover) holds(now *topazfall.Settings) {
+// recordDeadlines updates the longest wait of clients for new settings: the longest deadline of any class so far, and
+// at least 3 s, as a process has that time before it is killed in any case.
+func (h *handover) recordDeadlines(settings *topazfall.Settings) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.longest = max(h.longest, 3*time.Second)
-	for _, c := range now.Classes {
-		h.longest = max(h.longest, time.Duration(c.Deadline)*time.Microsecond)
+	h.maxWait = max(h.maxWait, 3*time.Second)
+	for _, c := range settings.Classes {
+		h.maxWait = max(h.maxWait, time.Duration(c.Deadline)*time.Microsecond)
 	}
 }
 
 func (h *handover) longestWait() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.longest
+	return h.maxWait
 }
 
-// linked tells whether the process before this one is still there, and whether the one after it accepts.
-func (h *handover) linked() (predecessor, successor bool) {
+// linkState reports whether the predecessor is still running, and whether the successor accepts connections.
+func (h *handover) linkState() (predecessor, successor bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.predecessor != nil, h.successorAccepts
+	return h.predecessor != nil, h.successorReady
 }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -10,56 +10,59 @@
 	"topazfall/internal/manage"
 )
 
-// What one process needs descriptors for beside its connections with clients and workers: the most of each at a moment.
+// The maximum number of file descriptors of each kind that a process needs at a time, besides its connections to
+// clients and workers.
 const (
 	standardStreams = 3 // the log is one of them
-	runtimeFiles    = 4 // the poller, its wake-up, and up to two files of the processor's quota
-	listeners       = 4 // clients', operators', the hand-over's, and the socket to other dispatchers
-	justAccepted    = 3 // one by each of the first three listeners, before it has a place or is closed
-	discoveryConns  = 8 // as many as internal/discovery opens at most
-	handoverLinks   = 3 // to the predecessor, to the successor, and to another process that asks meanwhile
-	passedOn        = 2 // a descriptor that comes over a link, and its copy
+	runtimeFiles    = 4 // the poller, its wake-up, and up to two files of the CPU quota
+	listeners       = 4 // for clients, operators and handover, and the socket to other dispatchers
+	pendingAccepts  = 3 // one for each of the first three listeners, before the connection is counted or closed
+	discoveryConns  = 8 // the maximum that internal/discovery opens
+	handoverLinks   = 3 // to the predecessor, the successor, and another process that asks meanwhile
+	transferred     = 2 // a descriptor received over a link, and its copy
 	configFile      = 1 // read at SIGHUP
 
-	ownDescriptors = standardStreams + runtimeFiles + listeners + justAccepted + discoveryConns + handoverLinks +
-		passedOn + configFile + manage.MaxConns
+	ownDescriptors = standardStreams + runtimeFiles + listeners + pendingAccepts + discoveryConns + handoverLinks +
+		transferred + configFile + manage.MaxConns
 )
 
-// reserved are the descriptors that are kept for the program itself, whatever clients do: more than ownDescriptors, so
-// that there is always one for a call to discovery, the operators, a successor and what is passed to it. Connections to
-// workers, probes among them, have a share of their own, which clients cannot take either.
+// reserved is the number of descriptors that clients cannot use. It is more than ownDescriptors, so that there is
+// always one for a call to discovery, the operators, a successor and the handover. Connections to workers, including
+// probes, have a share of their own, which clients cannot use either.
 //
-// While one process replaces another the connections of both keep within one limit (see handover.share). Of reserved,
-// each has half then: the 13 or less that are open all the time, and the places of the operators. The system's limit
-// holds for each process by itself, so that either may still have ownDescriptors for a moment.
+// While one process replaces another, the connections of both stay within one limit (see handover.updateLimits). Each
+// then has half of reserved: the up to 13 descriptors that are open all the time, and the operators' connections. The
+// system's limit applies to each process separately, so that each may still have ownDescriptors for a moment.
 const reserved = 2 * (13 + manage.MaxConns)
 
-// withinSystem is how many descriptors this process may have: as many as it is told, or as the system allows if that is
-// less. The runtime has raised the soft limit to the hard one by now.
-func withinSystem(told int) int {
+// descriptorLimit returns the number of descriptors that this process may have: the configured number, or the system's
+// limit if that is lower. The runtime has already raised the soft limit to the hard limit.
+func descriptorLimit(configured int) int {
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(told) {
-		return told
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
+		return configured
 	}
-	slog.Warn("main", "state", "fewer descriptors", "told", told, "allowed", limit.Cur)
+	slog.Warn("main", "state", "fewer descriptors", "told", configured, "allowed", limit.Cur)
 	return int(limit.Cur)
 }
 
-// bounds derives what may be open and in hand from the limits. Of the descriptors a quarter is for connections
-// to hosts, the rest for what connects to us: two thirds of that for messages in hand, which is more than the
-// third that clients need, one for call-backs. A connection that is read takes some 25 kB, so that a crowd of
-// them may have less than half of the memory; a large request takes a quarter of a MiB, all a quarter of it.
-func bounds(c *config.Config) (out int, in frontend.Options) {
+// deriveLimits derives the limits on connections and messages from the configured limits on descriptors and memory. A
+// quarter of the descriptors is for connections to hosts (workers), the rest for incoming connections: two thirds of
+// those for messages in flight, which is more than the third that clients need, and one third for callbacks. A
+// connection that is being read takes about 25 kB, so that all connections together take less than half of the memory.
+// A large request takes a quarter of a MiB, and all of them together a quarter of the memory.
+func deriveLimits(c *config.Config) (maxUpstreamConns int, serverLimits frontend.Options) {
 	sockets, memory := max(c.Sockets-reserved, 8), c.MemoryMB
 	if memory <= 0 {
-		memory = 1 << 10 // as good as unlimited
+		memory = 1 << 10 // in MB: high enough not to limit anything
 	}
 	conns := min(sockets*3/4, max(memory*16, 6))
 	return sockets / 4, frontend.Options{MaxConns: conns, MaxMessages: conns * 2 / 3, MaxLargeRequests: memory}
 }
 
-// within keeps the runtime within the limit on memory, or a share of it: it cannot see that by itself.
-func within(c *config.Config, share float64) {
+// setMemoryLimit sets the runtime's memory limit to three quarters of the configured limit, or of a share of it. The
+// runtime cannot detect the limit by itself.
+func setMemoryLimit(c *config.Config, share float64) {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(int64(c.MemoryMB)<<20) * 3 / 4 * share))
 	}
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -6,58 +6,61 @@
 	"topazfall"
 )
 
-// What /ready waits for, from the first instruction on, and for how long at most:
+// What /ready waits for after the start of the process, with the maximum time of each wait:
 //
-//   - the listening socket, for as long as another process has the address and neither hands it over nor goes. That is
-//     the only wait that is not ours to end: to take the address from a process that lives, though it may be stopped,
-//     would lose what that has in hand. It is tried again each time after `again`, and the operators are told "not
-//     ready". A process that ends, or goes on, ends it;
-//   - the predecessor's state, for stateTime: what does not come by then is done without;
-//   - another successor that has come first and hangs, for acceptTime: then the predecessor lets the next one in;
-//   - the first call to discovery, for firstList, where no worker is known. Where some are known and lists come
-//     unasked, for a quarter of the grace of a drain, and firstList at most; where they must be asked for, not at all,
-//     as the list known before will do for a moment;
-//   - what the predecessor says of the limits, for heldTime.
+//   - the listening socket, for as long as another process has the address and neither hands it over nor ends. This
+//     is the only wait without a limit: taking the address from a running process, even a stopped one, would lose the
+//     messages that it has in flight. The process tries again every retryInterval and reports "not ready" to the
+//     operators until the other process ends or continues;
+//   - the predecessor's state, for stateTimeout: after that this process starts without it;
+//   - another successor that came first and hangs, for acceptTimeout: then the predecessor admits the next one;
+//   - the first call to discovery, for firstListTimeout, if no worker is known. If workers are known and lists arrive
+//     without request, for a quarter of the drain grace, and for firstListTimeout at most. If lists arrive only on
+//     request, not at all, because the known list is good enough for a moment;
+//   - the predecessor's report on the limits, for limitsTimeout.
 //
-// Nothing in it depends on whether discovery, workers or other dispatchers answer, nor on how many are started at once.
-// Discovery that is down, slow or refusing costs firstList at most, and where workers are known less or nothing.
+// None of these waits depends on whether discovery, workers or other dispatchers answer, nor on how many processes
+// start at once. If discovery is down, slow or refuses, that costs at most firstListTimeout, and less or nothing if
+// workers are known.
 const (
-	again     = 100 * time.Millisecond  // between two tries for the address
-	stateTime = time.Second             // from asking for the predecessor's place to its whole state
-	firstList = 1500 * time.Millisecond // as long as a call waits for an answer of discovery
-	heldTime  = 500 * time.Millisecond  // from saying that we accept to what the predecessor has of the limits
-
-	// acceptTime is how long a predecessor leaves its place to a successor that does not say that it accepts: as long
-	// as one may take whose waits all last their longest, and a little.
-	acceptTime = stateTime + firstList + 250*time.Millisecond
+	retryInterval    = 100 * time.Millisecond  // between two attempts to get the address
+	stateTimeout     = time.Second             // from the request to the predecessor to its complete state
+	firstListTimeout = 1500 * time.Millisecond // the time that a call to discovery waits for an answer
+	limitsTimeout    = 500 * time.Millisecond  // from frameReady to the predecessor's report on the limits
+
+	// acceptTimeout is how long a predecessor waits for a successor to accept connections before it admits another one:
+	// the time of a successor whose waits all take their maximum, and a little more.
+	acceptTimeout = stateTimeout + firstListTimeout + 250*time.Millisecond
 )
 
-// readyBound is the sum of all waits that are ours to end: the longest that a process takes to be ready, but for its
+// readyBound is the sum of all waits with a limit: the maximum time that a process takes to be ready, besides its own
 // work, once the address is free or the process that has it answers.
-const readyBound = acceptTime + again + stateTime + firstList + heldTime
+const readyBound = acceptTimeout + retryInterval + stateTimeout + firstListTimeout + limitsTimeout
 
-// listPatience is how long a process that knows of so many workers waits for its first call to discovery to end.
-func listPatience(s *topazfall.Settings, known int) time.Duration {
+// firstListWait returns how long a process that knows this number of workers waits for its first call to discovery to
+// end.
+func firstListWait(s *topazfall.Settings, known int) time.Duration {
 	switch {
 	case known == 0:
-		return firstList
+		return firstListTimeout
 	case s.ListOnRequest:
 		return 0
 	}
-	// What the agent has counts as told already, and a worker may drain: its grace runs.
-	return min(time.Duration(s.Contract.DrainGrace)*time.Microsecond/graceParts, firstList)
+	// A change that the discovery agent has counts as delivered to this process. One of the known workers may be
+	// draining, and its grace is already running.
+	return min(time.Duration(s.Contract.DrainGrace)*time.Microsecond/drainGraceDivisor, firstListTimeout)
 }
 
-// graceParts are the parts of the grace of a drain, of which one may go by before this process is ready.
-const graceParts = 4
+// drainGraceDivisor divides the drain grace: one such part may pass before this process is ready.
+const drainGraceDivisor = 4
 
-// awaitFirst waits until the first call has ended, well or not, for so long at most.
-func awaitFirst(ended <-chan struct{}, patience time.Duration) {
-	if patience <= 0 {
+// awaitFirst waits until the first call has ended, successfully or not, or until the timeout.
+func awaitFirst(ended <-chan struct{}, timeout time.Duration) {
+	if timeout <= 0 {
 		return
 	}
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/instance/readiness_test.go
+++ b/internal/instance/readiness_test.go
@@ -10,39 +10,41 @@
 	"topazfall"
 )
 
-// A process is ready within 6 s of when it can have its address, and leaves time for its own work in that.
+// A process is ready within 6 s after its address is available, including time for its own work.
 func TestReadyBound(t *testing.T) {
 	require.Less(t, readyBound, 6*time.Second)
-	require.Less(t, stateTime+firstList, acceptTime, "a successor whose waits last their longest is not given up")
+	require.Less(t, stateTimeout+firstListTimeout, acceptTimeout,
+		"a successor whose waits take their maximum is dropped")
 }
 
-// Where no worker is known the first call to discovery is waited for, and where lists come unasked; no setting makes
-// the wait longer than its bound.
-func TestListPatience(t *testing.T) {
+// A process waits for its first call to discovery if it knows no worker, or if lists arrive without request. No setting
+// makes the wait longer than firstListTimeout.
+func TestFirstListWait(t *testing.T) {
 	for _, c := range []struct {
 		known int
 		asked bool
 		grace time.Duration
 		want  time.Duration
 	}{
-		{0, false, 500 * time.Millisecond, firstList},
-		{0, true, 500 * time.Millisecond, firstList},
+		{0, false, 500 * time.Millisecond, firstListTimeout},
+		{0, true, 500 * time.Millisecond, firstListTimeout},
 		{9, true, 500 * time.Millisecond, 0},
 		{9, false, 500 * time.Millisecond, 125 * time.Millisecond},
-		{9, false, time.Minute, firstList},
+		{9, false, time.Minute, firstListTimeout},
 		{9, false, 0, 0},
 	} {
-		s := topazfall.Settings{ListOnRequest: c.asked, Contract: topazfall.Contract{DrainGrace: c.grace.Microseconds()}}
-		require.Equal(t, c.want, listPatience(&s, c.known), "%+v", c)
+		s := topazfall.Settings{ListOnRequest: c.asked,
+			Contract: topazfall.Contract{DrainGrace: c.grace.Microseconds()}}
+		require.Equal(t, c.want, firstListWait(&s, c.known), "%+v", c)
 	}
 }
 
-// Discovery never answers three hundred that start at once, or answers each only after more than anybody waits: each
-// goes on at its bound, not later, and not before, as long as the call is under way.
-func TestAwaitFirstEnds(t *testing.T) {
+// Discovery never answers three hundred processes that start at once, or answers later than they wait: each continues
+// exactly after its timeout while the call is still open.
+func TestAwaitFirst(t *testing.T) {
 	const processes = 300
 	for name, answer := range map[string]time.Duration{
-		"never": 0, "late": 10 * firstList, "at once": 1, "slowly": firstList / 2,
+		"never": 0, "late": 10 * firstListTimeout, "at once": 1, "slowly": firstListTimeout / 2,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -53,13 +55,13 @@
 						time.AfterFunc(answer, func() { close(ended) })
 					}
 					go func() {
-						awaitFirst(ended, firstList)
+						awaitFirst(ended, firstListTimeout)
 						took <- time.Since(began)
 					}()
 				}
-				want := firstList
+				want := firstListTimeout
 				if answer > 0 {
-					want = min(answer, firstList)
+					want = min(answer, firstListTimeout)
 				}
 				for range processes {
 					require.Equal(t, want, <-took)
--- a/internal/instance/tenants.go
+++ b/internal/instance/tenants.go
@@ -7,22 +7,22 @@
 	"topazfall"
 )
 
-// tenantSettings are the settings of the configuration, and the tenants that an extension brings beside them.
+// tenantSettings holds the configured settings, and the tenants that an extension adds to them.
 type tenantSettings struct {
 	mu         sync.Mutex
 	configured topazfall.Settings
 	tenants    []topazfall.Tenant
 }
 
-// renewConfigured brings the settings of the configuration into force, with the tenants that an extension has set.
-func (h *handover) renewConfigured(configured topazfall.Settings) {
+// applyConfigured applies the configured settings, together with the tenants that an extension has set.
+func (h *handover) applyConfigured(configured topazfall.Settings) {
 	h.settings.mu.Lock()
 	defer h.settings.mu.Unlock()
 	h.settings.configured = configured
-	h.renew()
+	h.applySettings()
 }
 
-// setTenants brings an extension's tenants into force.
+// setTenants applies an extension's tenants.
 func (h *handover) setTenants(tenants []topazfall.Tenant) {
 	h.settings.mu.Lock()
 	defer h.settings.mu.Unlock()
@@ -30,21 +30,22 @@
 		return
 	}
 	h.settings.tenants = tenants
-	h.renew()
+	h.applySettings()
 }
 
-// renew brings the settings into force; h.settings.mu is held.
-func (h *handover) renew() {
-	now := h.settings.configured
-	now.Tenants = slices.Clone(now.Tenants)
+// applySettings applies the settings. A tenant of the extension replaces a configured one of the same name. The caller
+// holds h.settings.mu.
+func (h *handover) applySettings() {
+	settings := h.settings.configured
+	settings.Tenants = slices.Clone(settings.Tenants)
 	for _, t := range h.settings.tenants {
-		named := func(other topazfall.Tenant) bool { return other.Name == t.Name }
-		if i := slices.IndexFunc(now.Tenants, named); i >= 0 {
-			now.Tenants[i] = t
+		hasName := func(other topazfall.Tenant) bool { return other.Name == t.Name }
+		if i := slices.IndexFunc(settings.Tenants, hasName); i >= 0 {
+			settings.Tenants[i] = t
 		} else {
-			now.Tenants = append(now.Tenants, t)
+			settings.Tenants = append(settings.Tenants, t)
 		}
 	}
-	// The core first: no class may come that it does not know.
-	h.clients.ApplySettings(&now, h.core.UpdateSettings(now))
+	// The core comes first: no message may arrive with a class that the core does not know.
+	h.server.ApplySettings(&settings, h.core.UpdateSettings(settings))
 }
--- a/internal/instance/transfer.go
+++ b/internal/instance/transfer.go
@@ -10,47 +10,50 @@
 	"topazfall/internal/upstream"
 )
 
-// The kinds of frames between a process and its successor, in the order in which they first come.
+// The kinds of frames between a process and its successor, in the order in which they are first sent. They are part of
+// the handover format.
 const (
 	frameHello      byte = 'h' // from the successor
-	frameState      byte = 's' // a handoverState; the listening descriptor comes with it
-	frameReady      byte = 'r' // from the successor: it accepts from now on
-	frameHeld       byte = 'k' // a held: what the predecessor still has of the limits
-	frameKnownIDs   byte = 'i' // ids, once more, when the predecessor leaves
-	frameConnection byte = 'c' // a keptConnection; the connection's descriptor comes with it
+	frameState      byte = 's' // a handoverState, sent with the listening descriptor
+	frameReady      byte = 'r' // from the successor: it accepts connections from now on
+	frameLimits     byte = 'k' // a heldLimits: what the predecessor still uses of the limits
+	frameKnownIDs   byte = 'i' // the known message ids, sent again when the predecessor starts to leave
+	frameConnection byte = 'c' // a handoverConnection, sent with the connection's descriptor
 )
 
-// handoverState is what a successor starts with. Its fields' names are the format in which it travels between two
-// versions of the program: gob matches them by name, and passes over what only one side has.
+// handoverState is the state that a successor starts with. Its field names are part of the handover format between two
+// versions of the program: gob matches fields by name and ignores fields that only one side has.
 type handoverState struct {
-	List discovery.HandoverState
-	Core dispatch.HandoverState
+	List discovery.HandoverState // discovery's list of workers
+	Core dispatch.HandoverState  // known message ids and what the decision module has learned
 
-	Addresses upstream.HandoverState // of the hosts
+	Addresses upstream.HandoverState // what is known of the hosts' addresses
 }
 
-// keptConnection is what comes with a connection: its fields' names are a format too.
-type keptConnection struct {
+// handoverConnection describes a client connection that is handed over. Its field names are part of the handover
+// format.
+type handoverConnection struct {
+	// Proven: the connection has carried a message or a callback. Client: it has carried a message. More: the client
+	// has sent more before the answer to Begun.
 	Proven, Client, More bool
-	Begun                *dispatch.InFlightMessage
+	Begun                *dispatch.InFlightMessage // the message in flight on the connection, nil for none
 }
 
-// encode and decode have the form in which the two processes speak. It keeps strings as the bytes that they are, which
-// JSON would not do for what clients have sent.
+// encode returns v in the handover format, gob. Gob preserves the bytes of strings, which JSON would not do for invalid
+// UTF-8 in what clients have sent.
 func encode(v any) []byte {
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(v); err != nil { // a type that cannot be encoded: found by the tests
+	if err := gob.NewEncoder(&b).Encode(v); err != nil { // only for an unsupported type, which the tests would find
 		slog.Warn("takeover", "error", err)
 	}
 	return b.Bytes()
 }
 
-// decode reads what encode has made of a value. v has to be a zero value: what is zero is not written.
+// decode decodes the output of encode into v. v must point to a zero value, because gob does not write zero fields.
 func decode(body []byte, v any) error { return gob.NewDecoder(bytes.NewReader(body)).Decode(v) }
 
-// held is what a predecessor says of the limits: the connections that it has, with those of the ones before it, and
-// the share that it leaves of what cannot be counted so. Its fields' names are a format too.
-type held struct {
-	Conns int
-	Share float64
+// heldLimits is what a predecessor reports about the limits. Its field names are part of the handover format.
+type heldLimits struct {
+	Conns int     // connections that it and its own predecessors have
+	Share float64 // the share that it leaves to the successor of the limits that are not counted in connections
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs sets the form of the program's log: one line of key=value text for each record, with the time of
-// day in microseconds first and the part of the program that speaks under "at".
+// Package logs defines the format of the program's log: one line of key=value text per record. The time of day, in
+// microseconds, comes first, and the key "at" names the part of the program that logs.
 package logs
 
 import (
@@ -7,15 +7,15 @@
 	"log/slog"
 )
 
-const clock = "15:04:05.000000"
+const timeFormat = "15:04:05.000000"
 
-// New returns a logger that writes to w. A record's message is the name of the part, as in at=relay; what there is to
-// say stands in the attributes.
+// New returns a logger that writes to w. The message of a record is the name of the part, as in at=relay; the content
+// is in the attributes.
 func New(w io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{ReplaceAttr: replaceAttr}))
 }
 
-// replaceAttr gives the time and the message of a record the form that they have in the log.
+// replaceAttr formats the time of a record and renames its message to "at".
 func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
@@ -23,7 +23,7 @@
 	switch a.Key {
 	case slog.TimeKey:
 		if a.Value.Kind() == slog.KindTime {
-			a.Value = slog.StringValue(a.Value.Time().Format(clock))
+			a.Value = slog.StringValue(a.Value.Time().Format(timeFormat))
 		}
 	case slog.MessageKey:
 		a.Key = "at"
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestForm(t *testing.T) {
+func TestFormat(t *testing.T) {
 	var b strings.Builder
 	l := New(&b)
 	l.Warn("relay", "id", "1", "error", errors.New("no\nway = out"))
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -1,5 +1,5 @@
-// Package manage is the second address, for operators: whether this process takes clients, and its figures. It
-// must answer under any load, so it shares nothing with the north side but the counters that it reads.
+// Package manage serves the management address for operators: the readiness of this process and its metrics. It must
+// answer under any load, so the only thing it shares with the frontend is the counters that it reads.
 package manage
 
 import (
@@ -13,71 +13,73 @@
 	"topazfall/internal/metrics"
 )
 
-// MaxConns is how many connections may be open here at a time.
+// MaxConns is the maximum number of open connections at the management address.
 const MaxConns = 8
 
-const callTime = time.Second // for a call to come, and for its answer to be read
+const callTimeout = time.Second // to read a request, and to write its response
 
-// Serve answers calls on ln until it is closed.
-func Serve(ln net.Listener, ready func() bool, f *metrics.Metrics) error {
-	s := &fasthttp.Server{
-		Handler: func(ctx *fasthttp.RequestCtx) { answer(ctx, ready, f) }, Logger: quiet{},
-		DisableKeepalive: true, ReadTimeout: callTime, WriteTimeout: callTime, Concurrency: 4 * MaxConns,
+// Serve answers requests on ln until it is closed.
+func Serve(ln net.Listener, ready func() bool, counters *metrics.Metrics) error {
+	server := &fasthttp.Server{
+		Handler: func(ctx *fasthttp.RequestCtx) { handleRequest(ctx, ready, counters) }, Logger: discardLogger{},
+		DisableKeepalive: true, ReadTimeout: callTimeout, WriteTimeout: callTimeout, Concurrency: 4 * MaxConns,
 		MaxRequestBodySize: 4 << 10, ReduceMemoryUsage: true, NoDefaultServerHeader: true, NoDefaultDate: true,
 	}
-	return s.Serve(&places{Listener: ln, open: list.New()})
+	return server.Serve(&limitedListener{Listener: ln, open: list.New()})
 }
 
-func answer(ctx *fasthttp.RequestCtx, ready func() bool, f *metrics.Metrics) {
+func handleRequest(ctx *fasthttp.RequestCtx, ready func() bool, counters *metrics.Metrics) {
 	path := string(ctx.Request.URI().PathOriginal())
 	switch {
 	case path != "/-/ready" && path != "/-/metrics":
-		say(ctx, fasthttp.StatusNotFound, "no such path")
+		respond(ctx, fasthttp.StatusNotFound, "no such path")
 	case !ctx.IsGet() && !ctx.IsHead():
 		ctx.Response.Header.Set("Allow", "GET, HEAD")
-		say(ctx, fasthttp.StatusMethodNotAllowed, "only GET here")
+		respond(ctx, fasthttp.StatusMethodNotAllowed, "only GET here")
 	case path == "/-/metrics":
 		ctx.SetContentType("text/plain; version=0.0.4; charset=utf-8")
-		f.Write(ctx)
+		counters.Write(ctx)
 	case ready():
-		say(ctx, fasthttp.StatusOK, "ready")
+		respond(ctx, fasthttp.StatusOK, "ready")
 	default:
-		say(ctx, fasthttp.StatusServiceUnavailable, "not ready")
+		respond(ctx, fasthttp.StatusServiceUnavailable, "not ready")
 	}
 }
 
-func say(ctx *fasthttp.RequestCtx, status int, text string) {
+func respond(ctx *fasthttp.RequestCtx, status int, text string) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.SetBodyString(text + "\n")
 }
 
-// quiet keeps what callers do out of the log: a scanner could fill it.
-type quiet struct{}
+// discardLogger keeps the errors of clients out of the log, which a port scanner could fill.
+type discardLogger struct{}
 
-// Printf drops a line of the server.
-func (quiet) Printf(string, ...any) {}
+// Printf discards a log line of the server.
+func (discardLogger) Printf(string, ...any) {}
 
-// places bounds the connections. Who says nothing, or half a call, may stay for the time of a call; when more
-// come the oldest goes, so that none of them keeps out one who asks at once.
-type places struct {
+// limitedListener limits the number of open connections. A connection that sends no request, or half of one, may stay
+// for callTimeout. If there are too many, the oldest is closed, so that idle connections cannot block a client that
+// sends its request at once.
+type limitedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open *list.List // of *caller, the oldest first
+	open *list.List // of *limitedConn, the oldest first
 }
 
-type caller struct {
+type limitedConn struct {
 	net.Conn
-	l     *places
-	place *list.Element
+	listener *limitedListener
+	element  *list.Element
 }
 
-// Accept goes on after a fault of one connection or a lack of descriptors; only a closed listener ends it.
-func (l *places) Accept() (net.Conn, error) {
+// Accept continues after temporary errors, such as an aborted connection or a lack of file descriptors. Only other
+// errors, such as a closed listener, are returned.
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
-		nc, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil {
-			return l.admit(nc), nil
+			return l.admit(conn), nil
 		}
 		if ne, ok := err.(interface{ Temporary() bool }); !ok || !ne.Temporary() {
 			return nil, err
@@ -86,29 +88,29 @@
 	}
 }
 
-func (l *places) admit(nc net.Conn) *caller {
+func (l *limitedListener) admit(conn net.Conn) *limitedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open.Len() >= MaxConns {
-		l.drop(l.open.Front().Value.(*caller))
+		l.closeConn(l.open.Front().Value.(*limitedConn))
 	}
-	c := &caller{Conn: nc, l: l}
-	c.place = l.open.PushBack(c)
+	c := &limitedConn{Conn: conn, listener: l}
+	c.element = l.open.PushBack(c)
 	return c
 }
 
-// drop closes a connection; l.mu is held.
-func (l *places) drop(c *caller) error {
-	if c.place != nil {
-		l.open.Remove(c.place)
-		c.place = nil
+// closeConn closes a connection. The caller holds l.mu.
+func (l *limitedListener) closeConn(c *limitedConn) error {
+	if c.element != nil {
+		l.open.Remove(c.element)
+		c.element = nil
 	}
 	return c.Conn.Close()
 }
 
-// Close closes the connection; it may be called more than once.
-func (c *caller) Close() error {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	return c.l.drop(c)
+// Close closes the connection. It may be called more than once.
+func (c *limitedConn) Close() error {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.listener.closeConn(c)
 }
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-// call makes one call and reads until the program closes the connection.
+// call sends one request and reads until the server closes the connection.
 func call(t *testing.T, addr, line string) string {
 	c := open(t, addr, line+" HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -37,7 +37,7 @@
 	return string(text)
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	addr := serve(t, true)
 	require.Contains(t, call(t, addr, "GET /-/ready"), "HTTP/1.1 200 OK")
 	require.Contains(t, call(t, serve(t, false), "GET /-/ready"), "HTTP/1.1 503 ")
@@ -46,8 +46,8 @@
 	require.Contains(t, call(t, addr, "POST /-/metrics"), "HTTP/1.1 405 ")
 }
 
-// More silent and half-spoken callers than there are places keep nobody out, and are not kept for long either.
-func TestSilentCallers(t *testing.T) {
+// More idle connections and incomplete requests than MaxConns do not block other clients, and are closed after a while.
+func TestIdleConnectionsDoNotBlockOthers(t *testing.T) {
 	addr := serve(t, true)
 	var silent []net.Conn
 	for range MaxConns {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the counters and gauges of the process. The other packages write them and the management
-// address reads them: all are atomics, so that a reader never waits for the load it asks about.
+// Package metrics holds the counters and gauges of the process. Other packages update them and the management address
+// reads them. All are atomics, so that a reader is never blocked by the load that it measures.
 package metrics
 
 import (
@@ -14,44 +14,46 @@
 // JobResult is how a job ended for its client.
 type JobResult int
 
-// The endings.
+// The results of jobs.
 const (
 	Succeeded JobResult = iota
 	Declined
 	Aborted
-	endings
+	numResults
 )
 
-var names = [endings]string{"succeeded", "declined", "aborted"}
+var resultNames = [numResults]string{"succeeded", "declined", "aborted"}
 
-// Metrics are the counts of one process. The zero value counts no class yet.
+// Metrics holds the counters and gauges of one process. The zero value has no classes.
 type Metrics struct {
-	Outstanding, Discovered, Ejected          atomic.Int64 // as they are now
-	Forwards, ReloadsApplied, ReloadsRejected atomic.Int64 // since the start; the latter are files read at SIGHUP
+	Outstanding, Discovered, Ejected          atomic.Int64 // gauges
+	Forwards, ReloadsApplied, ReloadsRejected atomic.Int64 // counters; the reloads are those at SIGHUP
 
-	PeerMessages, PeerMessagesDropped atomic.Int64 // of other dispatchers: heard, and of these dropped; shown once there was one
+	// Gossip messages received from other dispatchers, and how many of them were dropped. They are written once there
+	// is one.
+	PeerMessages, PeerMessagesDropped atomic.Int64
 
-	// Of hosts with several addresses, since the start; they are shown once there was one.
+	// Counters for hosts with several addresses. They are written once there has been such a host.
 	HasMultiAddress                                                          atomic.Bool
 	AddressOpened, AddressFailed, AddressMoves, AddressResets, AddressTrials atomic.Int64
 
-	mu      sync.Mutex // of those who add classes or parts
-	parts   []func(io.Writer)
+	mu      sync.Mutex // held while classes or writers are added
+	writers []func(io.Writer)
 	classes atomic.Pointer[[]*class]
 }
 
 type class struct {
-	name  string
-	ended [endings]atomic.Int64
+	name string
+	jobs [numResults]atomic.Int64
 }
 
-// AddClasses makes classes count from now on, each by the place in which it was first named. A class that is known
-// keeps its place and its counts; one that is no longer used keeps its line.
-func (f *Metrics) AddClasses(names ...string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// AddClasses adds classes to be counted. A class is identified by its position in the order in which classes were first
+// added. A known class keeps its position and counts, and a class that is no longer used keeps its line.
+func (m *Metrics) AddClasses(names ...string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var all []*class
-	if old := f.classes.Load(); old != nil {
+	if old := m.classes.Load(); old != nil {
 		all = slices.Clone(*old)
 	}
 	for _, name := range names {
@@ -59,76 +61,79 @@
 			all = append(all, &class{name: name})
 		}
 	}
-	f.classes.Store(&all)
+	m.classes.Store(&all)
 }
 
-// AddWriter has another part of the program write its figures behind these.
-func (f *Metrics) AddWriter(write func(io.Writer)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.parts = append(f.parts, write)
+// AddWriter adds a function that writes the metrics of another part of the program after these.
+func (m *Metrics) AddWriter(write func(io.Writer)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.writers = append(m.writers, write)
 }
 
-// CountJob counts a job of the class at that place.
-func (f *Metrics) CountJob(class int, e JobResult) {
-	if all := f.classes.Load(); all != nil && class >= 0 && class < len(*all) {
-		(*all)[class].ended[e].Add(1)
+// CountJob counts a job of the class at the given position.
+func (m *Metrics) CountJob(class int, result JobResult) {
+	if all := m.classes.Load(); all != nil && class >= 0 && class < len(*all) {
+		(*all)[class].jobs[result].Add(1)
 	}
 }
 
-// escape does what the format asks of a label's value, and no more.
-var escape = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelEscaper escapes exactly what the text format requires in a label's value.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// Write writes all figures in the text exposition format.
-func (f *Metrics) Write(w io.Writer) {
+// Write writes all metrics in the Prometheus text exposition format.
+func (m *Metrics) Write(w io.Writer) {
 	var all []*class
-	if p := f.classes.Load(); p != nil {
+	if p := m.classes.Load(); p != nil {
 		all = *p
 	}
-	for e, name := range names {
+	for result, name := range resultNames {
 		fmt.Fprintf(w, "# TYPE app_%s_total counter\n", name)
 		for _, c := range all {
-			fmt.Fprintf(w, "app_%s_total{service=\"%s\"} %d\n", name, escape.Replace(c.name), c.ended[e].Load())
+			fmt.Fprintf(w, "app_%s_total{service=\"%s\"} %d\n", name, labelEscaper.Replace(c.name),
+				c.jobs[result].Load())
 		}
 	}
-	for _, v := range []figure{
-		{"forwards_total", "counter", &f.Forwards}, {"outstanding", "gauge", &f.Outstanding},
-		{"discovered", "gauge", &f.Discovered}, {"ejected", "gauge", &f.Ejected},
-		{"sighup_applied_total", "counter", &f.ReloadsApplied}, {"sighup_rejected_total", "counter", &f.ReloadsRejected},
+	for _, v := range []metric{
+		{"forwards_total", "counter", &m.Forwards}, {"outstanding", "gauge", &m.Outstanding},
+		{"discovered", "gauge", &m.Discovered}, {"ejected", "gauge", &m.Ejected},
+		{"sighup_applied_total", "counter", &m.ReloadsApplied},
+		{"sighup_rejected_total", "counter", &m.ReloadsRejected},
 	} {
 		v.write(w)
 	}
-	if f.PeerMessages.Load() > 0 {
-		figure{"peer_words_total", "counter", &f.PeerMessages}.write(w)
-		figure{"peer_words_dropped_total", "counter", &f.PeerMessagesDropped}.write(w)
+	if m.PeerMessages.Load() > 0 {
+		metric{"peer_words_total", "counter", &m.PeerMessages}.write(w)
+		metric{"peer_words_dropped_total", "counter", &m.PeerMessagesDropped}.write(w)
 	}
-	f.writeAddresses(w)
-	f.mu.Lock()
-	parts := f.parts
-	f.mu.Unlock()
-	for _, write := range parts {
+	m.writeAddresses(w)
+	m.mu.Lock()
+	writers := m.writers
+	m.mu.Unlock()
+	for _, write := range writers {
 		write(w)
 	}
 }
 
-func (f *Metrics) writeAddresses(w io.Writer) {
-	if !f.HasMultiAddress.Load() {
+func (m *Metrics) writeAddresses(w io.Writer) {
+	if !m.HasMultiAddress.Load() {
 		return
 	}
-	for _, v := range []figure{
-		{"address_opened_total", "counter", &f.AddressOpened}, {"address_failed_total", "counter", &f.AddressFailed},
-		{"address_moves_total", "counter", &f.AddressMoves}, {"address_resets_total", "counter", &f.AddressResets},
-		{"address_trials_total", "counter", &f.AddressTrials},
+	for _, v := range []metric{
+		{"address_opened_total", "counter", &m.AddressOpened}, {"address_failed_total", "counter", &m.AddressFailed},
+		{"address_moves_total", "counter", &m.AddressMoves}, {"address_resets_total", "counter", &m.AddressResets},
+		{"address_trials_total", "counter", &m.AddressTrials},
 	} {
 		v.write(w)
 	}
 }
 
-type figure struct {
+// metric is one line of output with its type.
+type metric struct {
 	name, kind string
 	value      *atomic.Int64
 }
 
-func (v figure) write(w io.Writer) {
-	fmt.Fprintf(w, "# TYPE app_%s %s\napp_%s %d\n", v.name, v.kind, v.name, v.value.Load())
+func (m metric) write(w io.Writer) {
+	fmt.Fprintf(w, "# TYPE app_%s %s\napp_%s %d\n", m.name, m.kind, m.name, m.value.Load())
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All classes show 0 from the start. A class that went keeps its line and its place, one that came has its own.
+// All classes start at 0. A removed class keeps its line and position, and a new class gets its own.
 func TestClassesKeepTheirLines(t *testing.T) {
 	f := &Metrics{}
-	f.CountJob(0, Declined) // nobody's
+	f.CountJob(0, Declined) // of no class
 	f.AddClasses("lookup", "report")
 	f.CountJob(1, Succeeded)
 	f.CountJob(1, Succeeded)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers carries the module's words between dispatchers: short UDP datagrams, which may be lost, doubled or
-// late.
+// Package peers sends the decision module's gossip messages between dispatchers, as short UDP datagrams. A datagram may
+// be lost, duplicated or late.
 package peers
 
 import (
@@ -15,37 +15,37 @@
 )
 
 const (
-	largest = 256                    // bytes of a datagram that the platform lets pass
-	again   = 100 * time.Millisecond // between tries for an address that is taken
+	maxDatagramSize = 256                    // bytes: the platform drops larger datagrams
+	retryInterval   = 100 * time.Millisecond // between attempts to bind an address in use, and after a read error
 )
 
-// Receiver is told what a peer says, and of what comes from somebody else with a number below 0: that counts as
-// dropped. The bytes are its own, and one more than the largest of what was too long.
+// Receiver receives the messages of peers. A negative number marks a sender that is not a peer, whose message counts as
+// dropped. The receiver owns data. A datagram that was too long is cut to one byte more than the maximum.
 type Receiver interface {
 	ReceivePeerMessage(from int, data []byte)
 }
 
-// Addresses are where the dispatchers of a tier hear each other.
+// Addresses are the UDP addresses at which the dispatchers of a tier receive each other's messages.
 type Addresses struct {
-	Listen string   // this one's own
-	Peers  []string // of each dispatcher by its number, this one included
-	All    string   // of all together
+	Listen string   // of this dispatcher
+	Peers  []string // of each dispatcher by its number, including this one
+	All    string   // of all dispatchers together
 }
 
-// Peers sends to the other dispatchers and listens to them.
+// Peers sends messages to the other dispatchers and receives theirs.
 type Peers struct {
-	core  Receiver
-	own   netip.AddrPort
-	to    []netip.AddrPort
-	all   netip.AddrPort
-	from  map[netip.AddrPort]int
-	conn  atomic.Pointer[net.UDPConn]
-	ended atomic.Bool
+	receiver      Receiver
+	listenAddr    netip.AddrPort
+	peerAddrs     []netip.AddrPort
+	broadcastAddr netip.AddrPort
+	peerNumbers   map[netip.AddrPort]int
+	conn          atomic.Pointer[net.UDPConn]
+	closed        atomic.Bool
 }
 
-// New reads the addresses. The error names the one that is none.
-func New(a Addresses, core Receiver) (*Peers, error) {
-	p := &Peers{core: core, from: map[netip.AddrPort]int{}}
+// New parses the addresses. The error names the invalid one.
+func New(addresses Addresses, receiver Receiver) (*Peers, error) {
+	p := &Peers{receiver: receiver, peerNumbers: map[netip.AddrPort]int{}}
 	parse := func(name, text string) (addr netip.AddrPort, err error) {
 		if addr, err = netip.ParseAddrPort(text); err != nil {
 			err = fmt.Errorf("%s %q: %v", name, text, err)
@@ -53,78 +53,78 @@
 		return addr, err
 	}
 	var err error
-	if p.own, err = parse("peer_listen", a.Listen); err != nil {
+	if p.listenAddr, err = parse("peer_listen", addresses.Listen); err != nil {
 		return nil, err
 	}
-	if p.all, err = parse("peers_all", a.All); err != nil {
+	if p.broadcastAddr, err = parse("peers_all", addresses.All); err != nil {
 		return nil, err
 	}
-	for i, text := range a.Peers {
+	for i, text := range addresses.Peers {
 		addr, err := parse(fmt.Sprintf("peers[%d]", i), text)
 		if err != nil {
 			return nil, err
 		}
-		p.to = append(p.to, addr)
-		p.from[addr] = i
+		p.peerAddrs = append(p.peerAddrs, addr)
+		p.peerNumbers[addr] = i
 	}
 	return p, nil
 }
 
-// Run listens until Close. The address may still be another process's, which this one replaces: until it is had,
-// nothing is sent either, as a word counts by the address that it comes from.
+// Run receives messages until Close. The address may still be in use by the predecessor of this process. Until it is
+// bound, nothing is sent either, because the receivers identify a sender by its address.
 func (p *Peers) Run() {
-	for !p.ended.Load() {
-		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(p.own))
+	for !p.closed.Load() {
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(p.listenAddr))
 		if err != nil {
-			time.Sleep(again)
+			time.Sleep(retryInterval)
 			continue
 		}
 		p.conn.Store(conn)
-		if p.ended.Load() { // Close came between
+		if p.closed.Load() { // Close was called before the Store
 			conn.Close()
 		}
-		p.listen(conn)
+		p.receive(conn)
 	}
 }
 
-func (p *Peers) listen(conn *net.UDPConn) {
+func (p *Peers) receive(conn *net.UDPConn) {
 	defer conn.Close()
-	buf := make([]byte, largest+1)
+	buf := make([]byte, maxDatagramSize+1)
 	for {
 		n, addr, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
 				slog.Warn("peers", "error", err)
-				time.Sleep(again)
+				time.Sleep(retryInterval)
 			}
 			return
 		}
-		from, known := p.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+		from, known := p.peerNumbers[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !known {
 			from = -1
 		}
-		p.core.ReceivePeerMessage(from, append([]byte(nil), buf[:n]...))
+		p.receiver.ReceivePeerMessage(from, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// Send sends a word to a dispatcher, or to all of them. It may be lost.
+// Send sends a message to one dispatcher, or to all of them. It may be lost.
 func (p *Peers) Send(peer int, data []byte) {
-	conn, to := p.conn.Load(), p.all
+	conn, to := p.conn.Load(), p.broadcastAddr
 	if peer != topazfall.AllPeers {
-		if peer < 0 || peer >= len(p.to) {
+		if peer < 0 || peer >= len(p.peerAddrs) {
 			return
 		}
-		to = p.to[peer]
+		to = p.peerAddrs[peer]
 	}
-	if conn == nil || len(data) > largest {
+	if conn == nil || len(data) > maxDatagramSize {
 		return
 	}
-	conn.WriteToUDPAddrPort(data, to) // that it fails is as if it were lost
+	conn.WriteToUDPAddrPort(data, to) // a failed write is treated like a lost datagram
 }
 
-// Close ends the listening, and frees the address for the next process.
+// Close stops Run and frees the address for the successor.
 func (p *Peers) Close() {
-	p.ended.Store(true)
+	p.closed.Store(true)
 	if conn := p.conn.Load(); conn != nil {
 		conn.Close()
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,16 +10,16 @@
 	"topazfall"
 )
 
-type heard struct {
+type received struct {
 	from int
 	data string
 }
 
-type ear chan heard
+type fakeReceiver chan received
 
-func (e ear) ReceivePeerMessage(from int, data []byte) { e <- heard{from, string(data)} }
+func (e fakeReceiver) ReceivePeerMessage(from int, data []byte) { e <- received{from, string(data)} }
 
-func free(t *testing.T) string {
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -27,9 +27,9 @@
 	return c.LocalAddr().String()
 }
 
-func start(t *testing.T, a Addresses) (*Peers, ear) {
+func start(t *testing.T, a Addresses) (*Peers, fakeReceiver) {
 	t.Helper()
-	e := make(ear, 16)
+	e := make(fakeReceiver, 16)
 	p, err := New(a, e)
 	require.NoError(t, err)
 	done := make(chan struct{})
@@ -39,55 +39,55 @@
 	return p, e
 }
 
-func (e ear) next(t *testing.T) heard {
+func (e fakeReceiver) next(t *testing.T) received {
 	t.Helper()
 	select {
 	case h := <-e:
 		return h
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing was heard")
-		return heard{}
+		t.Fatal("no message was received")
+		return received{}
 	}
 }
 
-func TestWordsReachPeers(t *testing.T) {
-	addrs := []string{free(t), free(t)}
-	a, _ := start(t, Addresses{addrs[0], addrs, addrs[1]}) // all: here, the other
+func TestMessagesReachPeers(t *testing.T) {
+	addrs := []string{freeAddr(t), freeAddr(t)}
+	a, _ := start(t, Addresses{addrs[0], addrs, addrs[1]}) // All is only the other dispatcher here
 	b, heardB := start(t, Addresses{addrs[1], addrs, addrs[0]})
 
 	a.Send(1, []byte("one"))
-	require.Equal(t, heard{0, "one"}, heardB.next(t))
+	require.Equal(t, received{0, "one"}, heardB.next(t))
 	a.Send(topazfall.AllPeers, []byte("all"))
-	require.Equal(t, heard{0, "all"}, heardB.next(t))
+	require.Equal(t, received{0, "all"}, heardB.next(t))
 
 	stranger, err := net.Dial("udp4", addrs[1])
 	require.NoError(t, err)
 	defer stranger.Close()
 	stranger.Write([]byte("from nobody"))
-	require.Equal(t, heard{-1, "from nobody"}, heardB.next(t))
+	require.Equal(t, received{-1, "from nobody"}, heardB.next(t))
 	a.Send(7, []byte("to nobody"))
-	a.Send(1, make([]byte, largest+1)) // the platform forbids it
-	a.Send(1, make([]byte, largest))
-	require.Len(t, heardB.next(t).data, largest)
+	a.Send(1, make([]byte, maxDatagramSize+1)) // larger than the platform allows
+	a.Send(1, make([]byte, maxDatagramSize))
+	require.Len(t, heardB.next(t).data, maxDatagramSize)
 	require.Empty(t, heardB)
 
 	b.Close()
-	a.Send(1, []byte("lost")) // to nobody who listens: no more than lost
+	a.Send(1, []byte("lost")) // without a listener the message is just lost
 	a.Send(1, []byte("lost"))
 }
 
-// The process that is replaced still has the address.
-func TestTakenAddressIsHadLater(t *testing.T) {
-	addrs := []string{free(t), free(t)}
+// The predecessor still has the address: it is bound once the predecessor frees it.
+func TestBusyAddressIsBoundLater(t *testing.T) {
+	addrs := []string{freeAddr(t), freeAddr(t)}
 	old, err := net.ListenPacket("udp4", addrs[1])
 	require.NoError(t, err)
-	e := make(ear, 16)
+	e := make(fakeReceiver, 16)
 	p, err := New(Addresses{addrs[1], addrs, addrs[0]}, e)
 	require.NoError(t, err)
 	done := make(chan struct{})
 	go func() { p.Run(); close(done) }()
 	p.Send(0, []byte("not from the address that counts"))
-	time.Sleep(again / 2)
+	time.Sleep(retryInterval / 2)
 	require.Nil(t, p.conn.Load())
 	old.Close()
 	require.Eventually(t, func() bool { return p.conn.Load() != nil }, 5*time.Second, time.Millisecond)
@@ -95,13 +95,13 @@
 	<-done
 }
 
-func TestOddAddressesAreNamed(t *testing.T) {
+func TestInvalidAddressIsNamedInError(t *testing.T) {
 	for name, a := range map[string]Addresses{
 		`peer_listen "x"`:            {"x", nil, "127.0.0.1:1"},
 		`peers_all ""`:               {"127.0.0.1:1", nil, ""},
 		`peers[1] "127.0.0.1:99999"`: {"127.0.0.1:1", []string{"127.0.0.1:1", "127.0.0.1:99999"}, "127.0.0.1:2"},
 	} {
-		_, err := New(a, make(ear))
+		_, err := New(a, make(fakeReceiver))
 		require.ErrorContains(t, err, name)
 	}
 }
