--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -1,5 +1,6 @@
-// Package takeover is the link between a running process and the one that replaces it: a Unix socket that carries
-// frames, descriptors with them, and questions that want an answer. What is said over it is the program's affair.
+// Package takeover implements the link between a running process and its successor: a Unix socket that carries frames,
+// file descriptors with them, and questions that get a yes or no. The caller defines the content of frames and
+// questions.
 package takeover
 
 import (
@@ -17,28 +18,28 @@
 	"time"
 )
 
-// Frame is one thing said over a link, with the descriptor that came along if there was one.
+// Frame is one message over a link, with the file descriptor that was sent with it, if any.
 type Frame struct {
 	Kind byte
 	Body []byte
-	File *os.File // the handler's to close; nil where none came
+	File *os.File // nil if none was sent; the handler must close it
 }
 
-// The kinds of frames that a link keeps for itself; the others are the program's.
+// The kinds of frames that a link uses itself. All other kinds are free for the caller.
 const (
-	question byte = '?'
-	yes      byte = '+'
-	no       byte = '-'
+	frameQuestion byte = '?'
+	frameYes      byte = '+'
+	frameNo       byte = '-'
 )
 
 const (
-	largest   = 16 << 20        // of a frame
-	writeTime = 2 * time.Second // a process that reads nothing for so long is as good as gone
-	headSize  = 5
+	maxFrameSize = 16 << 20        // bytes in the body of a frame
+	writeTimeout = 2 * time.Second // a process that reads nothing for this long is considered dead
+	headerSize   = 5               // bytes: the kind, and the length of the body
 )
 
-// SocketPath names the socket of the dispatcher of that name at that address. The name may hold anything, and a socket's
-// path must be short.
+// SocketPath returns the path of the socket of the dispatcher with the given name and listen address. A name may
+// contain any characters, and the path of a socket must be short, so the path has a shortened name and a hash.
 func SocketPath(name, listen string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
@@ -51,112 +52,115 @@
 	return filepath.Join(os.TempDir(), fmt.Sprintf("%.16s-%08x", safe, h.Sum32()))
 }
 
-// Listen takes the socket at path over, from a process that is gone as well as from one that lives: that one has been
-// found by then, and goes on with the link it has.
+// Listen listens at path and replaces the socket of any earlier process there, running or not. A running predecessor
+// has been contacted before, and continues on the link it has.
 func Listen(path string) (*net.UnixListener, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary)
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then the path may be another process's
-	err = os.Chmod(fresh, 0o600)
+	ln.SetUnlinkOnClose(false) // at close the path may belong to another process
+	err = os.Chmod(temporary, 0o600)
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
 		ln.Close()
-		os.Remove(fresh)
+		os.Remove(temporary)
 		return nil, err
 	}
 	return ln, nil
 }
 
-// Dial finds the process at path. A file that nobody listens at, as a killed process leaves, is an error like none.
+// Dial connects to the process at path. It is an error if there is no file, or a file without a listener, as a killed
+// process leaves behind.
 func Dial(path string) (*Link, error) {
-	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	return NewLink(c), nil
+	return NewLink(conn), nil
 }
 
 // Link is one end of the connection between two processes.
 type Link struct {
-	c     *net.UnixConn
-	write sync.Mutex
+	conn    *net.UnixConn
+	writeMu sync.Mutex
 
-	mu    sync.Mutex
-	ended bool
-	last  uint32
-	wait  map[uint32]chan bool // questions without an answer
+	mu      sync.Mutex
+	closed  bool
+	lastID  uint32
+	pending map[uint32]chan bool // questions without an answer
 
-	read  []byte
-	files []*os.File // that came and belong to frames not read yet
+	buffer       []byte
+	pendingFiles []*os.File // received descriptors of frames that have not been returned yet
 }
 
-// NewLink makes a link of a connection.
-func NewLink(c *net.UnixConn) *Link { return &Link{c: c, wait: map[uint32]chan bool{}} }
+// NewLink returns a link over conn.
+func NewLink(conn *net.UnixConn) *Link { return &Link{conn: conn, pending: map[uint32]chan bool{}} }
 
-// Close ends the link.
-func (l *Link) Close() error { return l.c.Close() }
+// Close closes the link.
+func (l *Link) Close() error { return l.conn.Close() }
 
-// Send says something, and hands the descriptor of with over if that is not nil. An error ends the link: the other
-// side could not tell where the next frame begins.
-func (l *Link) Send(kind byte, body []byte, with syscall.Conn) error {
-	head := append(make([]byte, 0, headSize+len(body)), kind)
-	head = append(binary.BigEndian.AppendUint32(head, uint32(len(body))), body...)
-	l.write.Lock()
-	defer l.write.Unlock()
-	l.c.SetWriteDeadline(time.Now().Add(writeTime))
+// Send sends a frame, and with it the file descriptor of descriptor if that is not nil. A write error closes the link,
+// because the other side could not tell where the next frame begins.
+func (l *Link) Send(kind byte, body []byte, descriptor syscall.Conn) error {
+	frame := append(make([]byte, 0, headerSize+len(body)), kind)
+	frame = append(binary.BigEndian.AppendUint32(frame, uint32(len(body))), body...)
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := 0, error(nil)
-	if with != nil {
+	if descriptor != nil {
 		var raw syscall.RawConn
-		if raw, err = with.SyscallConn(); err != nil {
+		if raw, err = descriptor.SyscallConn(); err != nil {
 			return err // nothing was written
 		}
-		var sent error
+		var sendErr error
 		err = raw.Control(
-			func(fd uintptr) { n, _, sent = l.c.WriteMsgUnix(head[:headSize], syscall.UnixRights(int(fd)), nil) })
+			func(fd uintptr) {
+				n, _, sendErr = l.conn.WriteMsgUnix(frame[:headerSize], syscall.UnixRights(int(fd)), nil)
+			})
 		if err != nil {
 			return err
 		}
-		err = sent
+		err = sendErr
 	}
 	if err == nil {
-		_, err = l.c.Write(head[n:])
+		_, err = l.conn.Write(frame[n:])
 	}
 	if err != nil {
-		l.c.Close()
+		l.conn.Close()
 	}
 	return err
 }
 
-// What comes of a question without an answer.
+// The errors of a question that gets no answer.
 var (
-	ErrLinkClosed = errors.New("the other process has gone")
+	ErrLinkClosed = errors.New("the other process closed the link")
 	ErrNoReply    = errors.New("the other process does not answer")
 )
 
-// Ask puts a question and waits for its answer.
-func (l *Link) Ask(body []byte, limit time.Duration) (bool, error) {
+// Ask sends a question and waits for its answer, yes or no.
+func (l *Link) Ask(body []byte, timeout time.Duration) (bool, error) {
 	answer := make(chan bool, 1)
 	l.mu.Lock()
-	if l.ended {
+	if l.closed {
 		l.mu.Unlock()
 		return false, ErrLinkClosed
 	}
-	l.last++
-	id := l.last
-	l.wait[id] = answer
+	l.lastID++
+	id := l.lastID
+	l.pending[id] = answer
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.wait, id)
+		delete(l.pending, id)
 		l.mu.Unlock()
 	}()
-	if err := l.Send(question, append(binary.BigEndian.AppendUint32(nil, id), body...), nil); err != nil {
+	if err := l.Send(frameQuestion, append(binary.BigEndian.AppendUint32(nil, id), body...), nil); err != nil {
 		return false, err
 	}
 	select {
@@ -165,112 +169,113 @@
 			return false, ErrLinkClosed
 		}
 		return a, nil
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		return false, ErrNoReply
 	}
 }
 
-// Run hands all frames to handle, in order, and questions to answer, each in a goroutine of its own, until the link
-// ends.
+// Run reads from the link until it is closed. It passes frames to handle, in order, and each question to answer, in a
+// goroutine of its own.
 func (l *Link) Run(handle func(Frame), answer func(body []byte) bool) error {
-	defer l.end()
+	defer l.shutDown()
 	for {
-		f, err := l.ReadFrame()
+		frame, err := l.ReadFrame()
 		if err != nil {
 			return err
 		}
 		switch {
-		case f.Kind != question && f.Kind != yes && f.Kind != no:
-			handle(f)
-		case len(f.Body) < 4:
-			return errors.New("a question without its number")
-		case f.Kind == question:
+		case frame.Kind != frameQuestion && frame.Kind != frameYes && frame.Kind != frameNo:
+			handle(frame)
+		case len(frame.Body) < 4:
+			return errors.New("a question or answer has no id")
+		case frame.Kind == frameQuestion:
 			go func() {
-				kind := no
-				if answer(f.Body[4:]) {
-					kind = yes
+				kind := frameNo
+				if answer(frame.Body[4:]) {
+					kind = frameYes
 				}
-				l.Send(kind, f.Body[:4], nil)
+				l.Send(kind, frame.Body[:4], nil)
 			}()
 		default:
 			l.mu.Lock()
-			if c := l.wait[binary.BigEndian.Uint32(f.Body)]; c != nil {
-				delete(l.wait, binary.BigEndian.Uint32(f.Body))
-				c <- f.Kind == yes
+			if reply := l.pending[binary.BigEndian.Uint32(frame.Body)]; reply != nil {
+				delete(l.pending, binary.BigEndian.Uint32(frame.Body))
+				reply <- frame.Kind == frameYes
 			}
 			l.mu.Unlock()
 		}
 	}
 }
 
-func (l *Link) end() {
-	l.c.Close()
+func (l *Link) shutDown() {
+	l.conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
-	for id, c := range l.wait {
-		close(c)
-		delete(l.wait, id)
+	l.closed = true
+	for id, reply := range l.pending {
+		close(reply)
+		delete(l.pending, id)
 	}
-	for _, f := range l.files {
-		f.Close()
+	for _, file := range l.pendingFiles {
+		file.Close()
 	}
-	l.files = nil
+	l.pendingFiles = nil
 }
 
-// ErrFrameTooLarge is a frame of more bytes than any has.
+// ErrFrameTooLarge is the error for a frame that exceeds the maximum size.
 var ErrFrameTooLarge = errors.New("a frame is too large")
 
-// ReadFrame reads one frame. It is for the first words of two processes, before Run. After a deadline that is over it may be
-// called again, and goes on where it was.
+// ReadFrame reads one frame. It is for the first frames between two processes, before Run. After a deadline has passed
+// it may be called again and continues where it stopped.
 func (l *Link) ReadFrame() (Frame, error) {
-	if err := l.fill(headSize); err != nil {
+	if err := l.readUntil(headerSize); err != nil {
 		return Frame{}, err
 	}
-	f, size := Frame{Kind: l.read[0]}, int(binary.BigEndian.Uint32(l.read[1:]))
-	if size > largest {
+	frame, size := Frame{Kind: l.buffer[0]}, int(binary.BigEndian.Uint32(l.buffer[1:]))
+	if size > maxFrameSize {
 		return Frame{}, ErrFrameTooLarge
 	}
-	if err := l.fill(headSize + size); err != nil {
+	if err := l.readUntil(headerSize + size); err != nil {
 		return Frame{}, err
 	}
-	f.File = l.TakeFile()
-	f.Body = append([]byte(nil), l.read[headSize:headSize+size]...)
-	l.read = append(l.read[:0], l.read[headSize+size:]...)
-	return f, nil
+	frame.File = l.TakeFile()
+	frame.Body = append([]byte(nil), l.buffer[headerSize:headerSize+size]...)
+	l.buffer = append(l.buffer[:0], l.buffer[headerSize+size:]...)
+	return frame, nil
 }
 
-// TakeFile is the descriptor of the frame that is being read, which comes with its first byte: it may be had before the
-// frame is whole. It is nil where there is none, or where it was taken before. It is for whoever calls Next.
-func (l *Link) TakeFile() (f *os.File) {
-	if len(l.files) > 0 {
-		f, l.files = l.files[0], l.files[1:]
+// TakeFile returns the descriptor of the frame that is being read. The descriptor arrives with the frame's first byte,
+// so it is available before the frame is complete. TakeFile returns nil if there is none or it was taken before. Only
+// the goroutine that calls ReadFrame may call it.
+func (l *Link) TakeFile() (file *os.File) {
+	if len(l.pendingFiles) > 0 {
+		file, l.pendingFiles = l.pendingFiles[0], l.pendingFiles[1:]
 	}
-	return f
+	return file
 }
 
-// Abandon ends a link that nobody reads any more, and closes what came over it and was not taken.
+// Abandon closes a link that is no longer read, and the received descriptors that were not taken.
 func (l *Link) Abandon() {
-	l.c.Close()
-	for f := l.TakeFile(); f != nil; f = l.TakeFile() {
-		f.Close()
+	l.conn.Close()
+	for file := l.TakeFile(); file != nil; file = l.TakeFile() {
+		file.Close()
 	}
 }
 
-// SetReadDeadline bounds Next.
-func (l *Link) SetReadDeadline(t time.Time) { l.c.SetReadDeadline(t) }
+// SetReadDeadline sets the deadline of ReadFrame.
+func (l *Link) SetReadDeadline(t time.Time) { l.conn.SetReadDeadline(t) }
 
-// fill reads until so many bytes are there, and no more than one frame's: a descriptor that came with later bytes
-// could not be told from one that came with these.
-func (l *Link) fill(size int) error {
+// readUntil reads until the buffer has size bytes. It never reads beyond one frame, because a descriptor received with
+// the bytes of a later frame could not be told from one of this frame.
+func (l *Link) readUntil(size int) error {
 	oob := make([]byte, syscall.CmsgSpace(4))
-	for len(l.read) < size {
-		part := make([]byte, min(size-len(l.read), 64<<10))
-		n, oobn, _, _, err := l.c.ReadMsgUnix(part, oob)
+	for len(l.buffer) < size {
+		chunk := make([]byte, min(size-len(l.buffer), 64<<10))
+		n, oobn, _, _, err := l.conn.ReadMsgUnix(chunk, oob)
 		if oobn > 0 {
-			l.take(oob[:oobn])
+			l.collectFiles(oob[:oobn])
 		}
-		l.read = append(l.read, part[:max(n, 0)]...) // n is -1 with an error
+		l.buffer = append(l.buffer, chunk[:max(n, 0)]...) // n may be -1 with an error
 		if err == nil && n == 0 {
 			err = io.EOF
 		}
@@ -281,7 +286,7 @@
 	return nil
 }
 
-func (l *Link) take(oob []byte) {
+func (l *Link) collectFiles(oob []byte) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return
@@ -292,7 +297,7 @@
 			continue
 		}
 		for _, fd := range fds {
-			l.files = append(l.files, os.NewFile(uintptr(fd), "handed over"))
+			l.pendingFiles = append(l.pendingFiles, os.NewFile(uintptr(fd), "handed over"))
 		}
 	}
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func ends(t *testing.T) (a, b *Link) {
+func linkPair(t *testing.T) (a, b *Link) {
 	path := t.TempDir() + "/s"
 	ln, err := Listen(path)
 	require.NoError(t, err)
@@ -26,10 +26,10 @@
 	return a, b
 }
 
-// A descriptor belongs to the frame that it was sent with, whatever was said before and after; the bytes of its
-// connection, and the connection itself, outlive the sender's end of it.
-func TestDescriptorsComeWithTheirFrames(t *testing.T) {
-	a, b := ends(t)
+// A descriptor arrives with the frame that it was sent with, whatever frames come before and after. Its connection and
+// the unread bytes on it survive when the sender closes its own descriptor.
+func TestDescriptorsArriveWithTheirFrames(t *testing.T) {
+	a, b := linkPair(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -66,20 +66,20 @@
 		}
 	}
 	_, err = io.ReadAll(client)
-	require.NoError(t, err, "closed in order")
+	require.NoError(t, err, "the connection was reset")
 }
 
-// A frame stops in the middle: its descriptor may be had already, and the rest is read as it comes, with nothing lost
-// of what follows.
+// A frame is interrupted in the middle: its descriptor is available already, the rest is read when it arrives, and
+// nothing of the next frame is lost.
 func TestFrameInParts(t *testing.T) {
-	a, b := ends(t)
+	a, b := linkPair(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) {
-		_, _, err = a.c.WriteMsgUnix([]byte{'1', 0, 0, 0, 4, 'h'}, syscall.UnixRights(int(fd)), nil)
+		_, _, err = a.conn.WriteMsgUnix([]byte{'1', 0, 0, 0, 4, 'h'}, syscall.UnixRights(int(fd)), nil)
 	}))
 	require.NoError(t, err)
 	b.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -90,7 +90,7 @@
 	f.Close()
 	require.Nil(t, b.TakeFile())
 	b.SetReadDeadline(time.Time{})
-	_, err = a.c.Write([]byte("alf"))
+	_, err = a.conn.Write([]byte("alf"))
 	require.NoError(t, err)
 	require.NoError(t, a.Send('2', []byte("next"), ln.(*net.TCPListener)))
 	for _, want := range []struct {
@@ -108,7 +108,7 @@
 }
 
 func TestQuestions(t *testing.T) {
-	a, b := ends(t)
+	a, b := linkPair(t)
 	go a.Run(func(Frame) {}, func([]byte) bool { return false })
 	go b.Run(func(Frame) {}, func(body []byte) bool { return string(body) == "mine" })
 	for text, want := range map[string]bool{"mine": true, "other": false} {
@@ -118,9 +118,9 @@
 	}
 }
 
-// Who asks a process that ends is told so, and not left waiting.
-func TestTheEndAnswersQuestions(t *testing.T) {
-	a, b := ends(t)
+// A question to a process that ends fails at once and does not wait.
+func TestAskFailsWhenTheLinkCloses(t *testing.T) {
+	a, b := linkPair(t)
 	go a.Run(func(Frame) {}, nil)
 	go b.Run(func(Frame) {}, func([]byte) bool { b.Close(); return true })
 	_, err := a.Ask([]byte("x"), time.Minute)
@@ -129,9 +129,9 @@
 	require.Error(t, err)
 }
 
-// A file that a killed process has left is no process, and does not stand in the way; a living one's place is taken,
-// and its own listener's end leaves the newcomer's file alone.
-func TestStaleFile(t *testing.T) {
+// A socket file left by a killed process does not accept connections and does not prevent listening. The socket of a
+// running process is replaced, and closing that process's listener leaves the new socket file in place.
+func TestStaleSocketFile(t *testing.T) {
 	path := t.TempDir() + "/s"
 	old, err := Listen(path)
 	require.NoError(t, err)
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,9 +1,10 @@
-// Package version tells which build of the project a program is.
+// Package version identifies the build of the running program.
 package version
 
 import "runtime/debug"
 
-// String is the revision that the program was built from, "-dirty" added where files had been changed, or "unknown".
+// String returns the revision that the program was built from, with "-dirty" if there were uncommitted changes, or
+// "unknown".
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
