--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -87,12 +87,12 @@
 // A host starts to drain while a connection to it is dialled: the relay does not start, and the job goes to another
 // host.
 func TestDialOutlastsDrainNotice(t *testing.T) {
-	for _, how := range []string{"draining", "gone", "not listed"} {
+	for _, change := range []string{"draining", "gone", "not listed"} {
 		c, s := start(t, "h", "i")
 		c.Submit(newExchange(c, "1", time.Minute))
 		r := <-s.sent
 		other := map[string]string{"h": "i", "i": "h"}[r.Host.ID]
-		switch how {
+		switch change {
 		case "draining":
 			c.ApplyList(topazfall.ListPatch, []Entry{entry(r.Host.ID, topazfall.Draining)})
 		case "gone":
@@ -101,11 +101,11 @@
 			c.ApplyList(topazfall.ListSnapshot, []Entry{entry(other, topazfall.Ready)})
 		}
 		c.Sync()
-		require.False(t, r.TryStart(c.Now()), how)
+		require.False(t, r.TryStart(c.Now()), change)
 		c.RelayEnded(r, topazfall.NeverSent, topazfall.NoLoad)
 		r = <-s.sent
-		require.Equal(t, other, r.Host.ID, how)
-		require.True(t, r.TryStart(c.Now()), how)
+		require.Equal(t, other, r.Host.ID, change)
+		require.True(t, r.TryStart(c.Now()), change)
 	}
 }
 
@@ -126,9 +126,9 @@
 // further one.
 func TestNoRelayAfterClientDisconnects(t *testing.T) {
 	block := func(c *Core) (gate chan struct{}) {
-		begun, gate := make(chan struct{}), make(chan struct{})
-		c.ops <- func() { close(begun); <-gate }
-		<-begun
+		entered, gate := make(chan struct{}), make(chan struct{})
+		c.ops <- func() { close(entered); <-gate }
+		<-entered
 		return gate
 	}
 	fill := func(c *Core) { // until the channel of operations is full
@@ -190,21 +190,21 @@
 		s := testSettings(nil)
 		s.ReportsStart, s.Allowed.HedgedRequests = true, true
 		s.Classes[0].Repeat, s.Classes[0].Deadline, s.Classes[0].Aim = topazfall.Safe, 400e3, 400e3
-		c, side := startWithSettings(t, s, "h", "i")
+		c, upstream := startWithSettings(t, s, "h", "i")
 		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
-		first := <-side.sent
+		first := <-upstream.sent
 		require.True(t, first.TryStart(c.Now()))
 		if !leaves {
-			require.NotEqual(t, first.Host.ID, (<-side.sent).Host.ID, "a client that stays gets a hedged request")
+			require.NotEqual(t, first.Host.ID, (<-upstream.sent).Host.ID, "a client that stays gets a hedged request")
 			continue
 		}
 		x.MarkDisconnected() // without a ClientDisconnected
 		require.Equal(t, exchange.Failed, awaitAnswer(t, x).Result)
-		require.Same(t, first, <-side.cancelled)
+		require.Same(t, first, <-upstream.cancelled)
 		c.Sync()
 		c.Sync()
-		require.Empty(t, side.sent)
+		require.Empty(t, upstream.sent)
 		require.Zero(t, c.InFlight())
 	}
 }
@@ -259,13 +259,13 @@
 		t.Run(name, func(t *testing.T) {
 			s := testSettings(nil)
 			s.Classes[0].Repeat, s.Classes[0].Window, s.Classes[0].Group = c.repeat, window, topazfall.GroupAll
-			core, side := startWithSettings(t, s, "h", "i")
+			core, upstream := startWithSettings(t, s, "h", "i")
 			core.Submit(newExchange(core, "1", time.Minute))
-			first := <-side.sent
+			first := <-upstream.sent
 			require.True(t, first.TryStart(first.Sent))
 			core.RelayEnded(first, c.first, topazfall.NoLoad)
-			again := <-side.sent
-			require.Equal(t, c.permitted, again.TryStart(first.Sent+c.later))
+			repeat := <-upstream.sent
+			require.Equal(t, c.permitted, repeat.TryStart(first.Sent+c.later))
 		})
 	}
 }
@@ -285,8 +285,8 @@
 // not run twice fails then. A relay that the host has accepted stays, and so does a recent one.
 func TestCancelUnanswered(t *testing.T) {
 	c, s := start(t, "h")
-	taken, unanswered := newExchange(c, "1", time.Minute), newExchange(c, "2", time.Minute)
-	c.Submit(taken)
+	accepted, unanswered := newExchange(c, "1", time.Minute), newExchange(c, "2", time.Minute)
+	c.Submit(accepted)
 	r := <-s.sent
 	require.True(t, r.TryStart(c.Now()))
 	r.MarkAccepted()
@@ -300,7 +300,7 @@
 	require.Equal(t, r, <-s.cancelled)
 	require.Equal(t, exchange.Failed, (<-unanswered.Answer()).Result)
 	c.Sync()
-	require.False(t, taken.IsFinished())
+	require.False(t, accepted.IsFinished())
 	require.Empty(t, s.sent)
 }
 
@@ -313,30 +313,30 @@
 	c.Submit(x)
 	r := <-s.sent
 	require.True(t, r.TryStart(c.Now()))
-	var begun InFlightMessage
-	over := func(b InFlightMessage) error { begun = b; return nil }
-	require.False(t, c.HandOver(x, over))
+	var state InFlightMessage
+	transfer := func(b InFlightMessage) error { state = b; return nil }
+	require.False(t, c.HandOver(x, transfer))
 	r.MarkAccepted()
 	require.False(t, c.HandOver(x, func(InFlightMessage) error { return errors.New("no") }))
 	require.Equal(t, int64(2), c.InFlight())
-	require.True(t, c.HandOver(x, over))
+	require.True(t, c.HandOver(x, transfer))
 	require.Equal(t, exchange.HandedOver, (<-x.Answer()).Result)
-	require.False(t, c.HandOver(x, over), "it is handed over already")
+	require.False(t, c.HandOver(x, transfer), "it is handed over already")
 	require.Zero(t, c.InFlight())
 	require.False(t, c.HandleCallback(Callback{ID: "1", From: "h", State: Started}))
 	require.Empty(t, s.cancelled, "nothing is cancelled")
 
-	to, t2 := start(t, "h")
-	y := to.Resume(begun, nil)
+	successor, successorUpstream := start(t, "h")
+	resumed := successor.Resume(state, nil)
 	require.True(t,
-		to.HandleCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed,
+		successor.HandleCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed,
 			Result: []byte("r"), Load: topazfall.NoLoad}))
-	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("r")}, <-y.Answer())
-	require.Equal(t, x.Path, y.Path)
-	require.Equal(t, x.Body, y.Body)
-	to.Sync()
-	require.Zero(t, to.InFlight())
-	require.Empty(t, t2.sent, "it is not sent again")
+	require.Equal(t, exchange.Answer{Result: exchange.Served, Body: []byte("r")}, <-resumed.Answer())
+	require.Equal(t, x.Path, resumed.Path)
+	require.Equal(t, x.Body, resumed.Body)
+	successor.Sync()
+	require.Zero(t, successor.InFlight())
+	require.Empty(t, successorUpstream.sent, "it is not sent again")
 }
 
 // A second message with a known id is rejected and does not affect the first, however either of them ends: a callback
@@ -346,18 +346,18 @@
 	first := newExchange(c, "1", time.Minute)
 	c.Submit(first)
 	<-s.sent
-	again := func() {
+	submitDuplicate := func() {
 		x := newExchange(c, "1", time.Minute)
 		c.Submit(x)
 		require.Equal(t, exchange.Duplicate, (<-x.Answer()).Result)
 		c.ClientDisconnected(x)
 		c.Sync()
 	}
-	again()
+	submitDuplicate()
 	require.Equal(t, int64(2), c.InFlight(), "the first and its relay")
 	c.PostCallback(Callback{ID: "1", From: "h", State: Finished, Outcome: topazfall.Completed, Load: topazfall.NoLoad})
 	require.Equal(t, exchange.Served, (<-first.Answer()).Result)
-	again()
+	submitDuplicate()
 	for i := range maxKnownIDs {
 		c.Submit(newExchange(c, strconv.Itoa(2+i), 0))
 	}
@@ -398,9 +398,9 @@
 // draining host, however many operations were queued before the drain.
 func TestListUpdatesGoFirst(t *testing.T) {
 	c, s := start(t, "h", "i")
-	begun, gate := make(chan struct{}), make(chan struct{})
-	c.ops <- func() { close(begun); <-gate }
-	<-begun
+	entered, gate := make(chan struct{}), make(chan struct{})
+	c.ops <- func() { close(entered); <-gate }
+	<-entered
 	for i := range 8 {
 		c.Submit(newExchange(c, strconv.Itoa(i), time.Minute))
 	}
@@ -416,8 +416,8 @@
 func TestHold(t *testing.T) {
 	c, s := start(t, "h", "i")
 	c.Submit(newExchange(c, "begun", time.Minute))
-	begun := <-s.sent
-	require.True(t, begun.TryStart(c.Now()))
+	started := <-s.sent
+	require.True(t, started.TryStart(c.Now()))
 	c.Submit(newExchange(c, "dialling", time.Minute))
 	dialling := <-s.sent
 	c.SetHold(true)
@@ -426,9 +426,9 @@
 	c.Sync()
 	require.False(t, dialling.TryStart(c.Now()), "a relay started during the hold")
 	c.RelayEnded(dialling, topazfall.NeverSent, topazfall.NoLoad)
-	c.PostCallback(Callback{ID: "begun", From: begun.Host.ID, State: Finished, Outcome: topazfall.Completed,
+	c.PostCallback(Callback{ID: "begun", From: started.Host.ID, State: Finished, Outcome: topazfall.Completed,
 		Result: []byte("ok"), Load: topazfall.NoLoad})
-	require.Equal(t, exchange.Served, (<-begun.Exchange.Answer()).Result)
+	require.Equal(t, exchange.Served, (<-started.Exchange.Answer()).Result)
 	c.ApplyList(topazfall.ListSnapshot,
 		[]Entry{entry("h", topazfall.Ready), entry("i", topazfall.Ready), entry("j", topazfall.Ready)})
 	time.Sleep(100 * time.Millisecond) // time for the module's next checks of waiting jobs
@@ -453,10 +453,10 @@
 	c.SetHold(true)
 	x := newExchange(c, "1", 300*time.Millisecond)
 	x.Hint = 50_000
-	came := time.Now()
+	submitted := time.Now()
 	c.Submit(x)
 	require.Equal(t, exchange.Refused, (<-x.Answer()).Result)
-	require.Greater(t, time.Since(came), 100*time.Millisecond, "refused although the hold could still end in time")
+	require.Greater(t, time.Since(submitted), 100*time.Millisecond, "refused although the hold could still end in time")
 	require.Empty(t, s.sent)
 	c.Sync()
 	require.Zero(t, c.InFlight())
@@ -481,35 +481,35 @@
 	require.Equal(t, map[string]int{"a": 0, "b": 1, "c": 2, "d": 3}, now.Tenants)
 	require.Equal(t, []topazfall.Tenant{{Name: "a", Quota: 'a'}, {Name: "b"}, {Name: "c", Quota: 'c'},
 		{Name: "d", Quota: 'd'}}, c.tenants)
-	for name, number := range now.Tenants {
+	for name, index := range now.Tenants {
 		x := newExchange(c, name, time.Minute)
-		x.Tenant = number
+		x.Tenant = index
 		c.Submit(x)
 		r := <-s.sent
 		require.True(t, r.TryStart(c.Now()))
 		r.MarkAccepted()
-		var begun InFlightMessage
-		require.True(t, c.HandOver(x, func(b InFlightMessage) error { begun = b; return nil }))
-		to, _ := startWithTenants(t, namedTenants("xcda"), "h")
-		y := to.Resume(begun, nil)
-		to.Sync()
-		require.Equal(t, map[string]int{"a": 3, "b": -1, "c": 1, "d": 2}[name], y.Tenant)
+		var state InFlightMessage
+		require.True(t, c.HandOver(x, func(b InFlightMessage) error { state = b; return nil }))
+		successor, _ := startWithTenants(t, namedTenants("xcda"), "h")
+		resumed := successor.Resume(state, nil)
+		successor.Sync()
+		require.Equal(t, map[string]int{"a": 3, "b": -1, "c": 1, "d": 2}[name], resumed.Tenant)
 	}
 }
 
 // A message that was read while its class could be repeated arrives after settings by which it must not run twice.
 func TestClassBecomesUnsafe(t *testing.T) {
-	for _, now := range []topazfall.RepeatRule{topazfall.Safe, topazfall.Unsafe} {
+	for _, repeat := range []topazfall.RepeatRule{topazfall.Safe, topazfall.Unsafe} {
 		c, s := start(t, "h")
 		x := newExchange(c, "1", time.Minute) // with the previous settings
 		next := testSettings(nil)
-		next.Classes[0].Repeat = now
+		next.Classes[0].Repeat = repeat
 		next.Allowed.HedgedRequests = true
 		c.UpdateSettings(next)
 		c.Submit(x)
 		<-s.sent
-		require.Equal(t, now == topazfall.Unsafe, x.Once)
-		require.Equal(t, now == topazfall.Unsafe, x.FreshConnOnly)
+		require.Equal(t, repeat == topazfall.Unsafe, x.Once)
+		require.Equal(t, repeat == topazfall.Unsafe, x.FreshConnOnly)
 	}
 }
 
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -43,13 +43,13 @@
 		c, _ := startKeyed(t)
 		m := newExchange(c, "1", time.Minute)
 		sent := c.Now() - window
-		begun := InFlightRelay{Host: "h", Sent: sent, Due: m.Due}
+		relay := InFlightRelay{Host: "h", Sent: sent, Due: m.Due}
 		if neverRan {
-			begun.Done, begun.Outcome = true, topazfall.Saturated
+			relay.Done, relay.Outcome = true, topazfall.Saturated
 		}
 		x := c.Resume(InFlightMessage{Message: m.Message, ClassIs: keyedSettings().Classes[0],
-			Relays: []InFlightRelay{begun},
-			Tries: []topazfall.Try{{Worker: "h", Sent: sent, Done: neverRan, NotRun: neverRan}}}, nil)
+			Relays: []InFlightRelay{relay},
+			Tries:  []topazfall.Try{{Worker: "h", Sent: sent, Done: neverRan, NotRun: neverRan}}}, nil)
 		c.Sync()
 		require.False(t, x.IsFinished())
 		require.Equal(t, neverRan, x.AddRelay(&exchange.Host{ID: "i"}, c.Now(), x.Due).TryStart(c.Now()))
--- a/internal/instance/handover_test.go
+++ b/internal/instance/handover_test.go
@@ -52,10 +52,10 @@
 		roundTrip[firstVersionState](t, handoverState{List: list, Core: core}))
 	require.Equal(t, handoverState{List: list, Core: core},
 		roundTrip[handoverState](t, firstVersionState{List: list, Core: core}))
-	begun := &dispatch.InFlightMessage{Message: exchange.Message{ID: "one", Body: []byte("x")}, Of: "acme",
+	message := &dispatch.InFlightMessage{Message: exchange.Message{ID: "one", Body: []byte("x")}, Of: "acme",
 		Relays: []dispatch.InFlightRelay{{Host: "s-a", Sent: 7}}}
-	require.Equal(t, firstVersionConnection{Proven: true, Begun: begun},
-		roundTrip[firstVersionConnection](t, handoverConnection{Proven: true, Begun: begun}))
+	require.Equal(t, firstVersionConnection{Proven: true, Begun: message},
+		roundTrip[firstVersionConnection](t, handoverConnection{Proven: true, Begun: message}))
 	require.Equal(t, handoverConnection{Client: true, More: true},
 		roundTrip[handoverConnection](t, firstVersionConnection{Client: true, More: true}))
 	require.Equal(t, firstVersionLimits{Conns: 3, Share: 0.5},
@@ -147,16 +147,16 @@
 	s := topazfall.Settings{Dispatchers: 1, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "job", Deadline: 1e6, Aim: 1e6}},
 		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}
-	counts := &metrics.Metrics{}
-	core, err := dispatch.New(s, counts)
+	counters := &metrics.Metrics{}
+	core, err := dispatch.New(s, counters)
 	require.NoError(t, err)
 	c := &config.Config{Sockets: 256, Settings: s}
 	out, in := deriveLimits(c)
-	workers := upstream.New(core, upstream.Options{MaxConns: out, Metrics: counts})
+	workers := upstream.New(core, upstream.Options{MaxConns: out, Metrics: counters})
 	clients := frontend.New(ln, core, workers, &s, in)
 	h := &handover{config: c, transport: workers, server: clients, predecessor: &takeover.Link{}}
-	for _, says := range []heldLimits{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
-		h.handlePredecessorFrame(takeover.Frame{Kind: frameLimits, Body: encode(says)}, func() {})
-		require.Equal(t, says, h.predecessorLimits)
+	for _, limits := range []heldLimits{{Conns: 3, Share: 0.5}, {Share: 0.5}} {
+		h.handlePredecessorFrame(takeover.Frame{Kind: frameLimits, Body: encode(limits)}, func() {})
+		require.Equal(t, limits, h.predecessorLimits)
 	}
 }
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -19,7 +19,7 @@
 //     request, not at all, because the known list is good enough for a moment;
 //   - the predecessor's report on the limits, for limitsTimeout.
 //
-// None of these waits depends on whether discovery, workers or other dispatchers answer, nor on how many processes
+// None of these limits depends on whether discovery, workers or other dispatchers answer, nor on how many processes
 // start at once. If discovery is down, slow or refuses, that costs at most firstListTimeout, and less or nothing if
 // workers are known.
 const (
