--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -10,250 +10,250 @@
 	"topazfall/internal/decide/refresh"
 )
 
-// Hold notes in line with the lists whether they may be relied on.
-func (c told) SetHold(held bool) { c <- map[bool]string{true: "held", false: "released"}[held] }
+// SetHold records a hold in order with the lists.
+func (r recorder) SetHold(held bool) { r <- map[bool]string{true: "held", false: "released"}[held] }
 
-// refused is the answer to a call that is turned away.
-const refused = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n"
+// refusalFormat is the answer to a refused call, with the value of its Retry-After field left open.
+const refusalFormat = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: %s\r\nContent-Length: 0\r\n\r\n"
 
-// turn is how long a call waits for its turn before it is turned away, as by a discovery that is at work and has no
-// room.
-const turn = 550 * time.Millisecond
+// queueWait is how long a call waits in the queue before it is refused, as by a discovery that works but has no free
+// capacity.
+const queueWait = 550 * time.Millisecond
 
-// refuse turns a call away after a wait for its turn.
-func (a asked) refuse(t *testing.T, retryAfter string) {
+// refuseAfterWait refuses a call after a wait in the queue.
+func (c pendingCall) refuseAfterWait(t *testing.T, retryAfter string) {
 	t.Helper()
-	time.Sleep(turn)
-	a.refuseAtOnce(t, retryAfter)
+	time.Sleep(queueWait)
+	c.refuseAtOnce(t, retryAfter)
 }
 
-// refuseAtOnce turns a call away as a discovery does that is down.
-func (a asked) refuseAtOnce(t *testing.T, retryAfter string) {
+// refuseAtOnce refuses a call as a discovery that is down does.
+func (c pendingCall) refuseAtOnce(t *testing.T, retryAfter string) {
 	t.Helper()
-	_, err := fmt.Fprintf(a, refused, retryAfter)
+	_, err := fmt.Fprintf(c, refusalFormat, retryAfter)
 	require.NoError(t, err)
 }
 
-// askedTerms are terms of 300 dispatchers that must ask, with this bound on the age of the list. Short bounds
-// spare time.
-func askedTerms(bound time.Duration) refresh.Settings {
+// polledSettings returns the settings of 300 dispatchers that poll, with this staleness bound. Short bounds keep the
+// tests short.
+func polledSettings(bound time.Duration) refresh.Settings {
 	return refresh.Settings{Dispatchers: 300, Polled: true, DrainGrace: 250 * time.Millisecond, AskEvery: bound / 4,
 		HoldOnRefusal: true}
 }
 
-// bounded is a watch whose lists and holds come to one channel.
-func bounded(t *testing.T, terms refresh.Settings) (*discovery, *Watch, told) {
-	d, c := newDiscovery(t), make(told, 99)
-	w := New(d.Addr().String(), c, terms)
-	w.SetHoldReceiver(c)
-	require.Equal(t, 1, w.LoadKnown([]byte(listed(41, true, "a", "up"))))
-	require.Equal(t, "a0", c.next(t))
+// startBoundedWatch starts a watch whose lists and holds go to one channel.
+func startBoundedWatch(t *testing.T, settings refresh.Settings) (*fakeServer, *Watch, recorder) {
+	server, events := newFakeServer(t), make(recorder, 99)
+	w := New(server.Addr().String(), events, settings)
+	w.SetHoldReceiver(events)
+	require.Equal(t, 1, w.LoadKnown([]byte(listJSON(41, true, "a", "up"))))
+	require.Equal(t, "a0", events.next(t))
 	go w.Run()
-	return d, w, c
+	return server, w, events
 }
 
-// refuseFor refuses all calls for so long, and returns how many there were.
-func (d *discovery) refuseFor(long time.Duration, retryAfter string) (calls int) {
-	for over := time.After(long); ; calls++ {
+// refuseAllFor refuses all calls for a duration and returns their number.
+func (s *fakeServer) refuseAllFor(duration time.Duration, retryAfter string) (calls int) {
+	for deadline := time.After(duration); ; calls++ {
 		select {
-		case a := <-d.calls: // the last may be turned away after this returns
+		case call := <-s.calls: // the last may be refused after this returns
 			go func() {
-				time.Sleep(turn)
-				fmt.Fprintf(a, refused, retryAfter)
+				time.Sleep(queueWait)
+				fmt.Fprintf(call, refusalFormat, retryAfter)
 			}()
-		case <-over:
+		case <-deadline:
 			return calls
 		}
 	}
 }
 
-// Every call is refused, and asks to stay away for longer than the bound: the watch calls again in time, the
-// list is held to be good up to the bound and no longer, and the news that comes then is told before anything
-// may be sent again. A refusal after that is a hiccup.
+// Every call is refused with a Retry-After beyond the bound. The watch retries in time, the list is relied on up to the
+// bound and no longer, and the changes that come then are delivered before the hold ends. A single refusal after that
+// causes no hold.
 func TestRefusedBeyondTheBound(t *testing.T) {
 	t.Parallel()
 	bound := 2 * time.Second
-	d, w, c := bounded(t, askedTerms(bound))
-	require.GreaterOrEqual(t, d.refuseFor(bound-100*time.Millisecond-w.now(), "60"), 2)
-	require.Empty(t, c, "held back before the bound")
-	require.Positive(t, d.refuseFor(time.Second, "60"), "no call while the list may not be relied on")
-	require.Equal(t, "held", c.next(t))
-	require.Empty(t, c)
+	server, w, events := startBoundedWatch(t, polledSettings(bound))
+	require.GreaterOrEqual(t, server.refuseAllFor(bound-100*time.Millisecond-w.now(), "60"), 2)
+	require.Empty(t, events, "held before the bound")
+	require.Positive(t, server.refuseAllFor(time.Second, "60"), "no call during the hold")
+	require.Equal(t, "held", events.next(t))
+	require.Empty(t, events)
 
-	a := d.next(t)
-	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", a.query)
-	a.answer(t, listed(43, false, "a", "draining"))
-	require.Equal(t, "a1", c.next(t))
-	require.Equal(t, "released", c.next(t))
-	a = d.next(t)
-	require.Equal(t, fmt.Sprintf("/v1/endpoints?after=43&wait_ms=%d", askedTerms(bound).WatchWait().Milliseconds()),
-		a.query)
-	a.refuse(t, "")
-	a = d.next(t)
-	require.Equal(t, "/v1/endpoints?after=43&wait_ms=0", a.query)
-	a.answer(t, listed(43, false, "a", "draining"))
-	require.Equal(t, "a1", c.next(t))
-	require.Empty(t, c)
+	call := server.next(t)
+	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", call.query)
+	call.answer(t, listJSON(43, false, "a", "draining"))
+	require.Equal(t, "a1", events.next(t))
+	require.Equal(t, "released", events.next(t))
+	call = server.next(t)
+	require.Equal(t, fmt.Sprintf("/v1/endpoints?after=43&wait_ms=%d", polledSettings(bound).WatchWait().Milliseconds()),
+		call.query)
+	call.refuseAfterWait(t, "")
+	call = server.next(t)
+	require.Equal(t, "/v1/endpoints?after=43&wait_ms=0", call.query)
+	call.answer(t, listJSON(43, false, "a", "draining"))
+	require.Equal(t, "a1", events.next(t))
+	require.Empty(t, events)
 }
 
-// The version changes, twice, while a retry waits: the retry brings both changes, well before the bound.
+// The version changes twice while a retry waits: the retry brings both changes, well before the bound.
 func TestVersionChangesWhileARetryWaits(t *testing.T) {
 	t.Parallel()
-	d, w, c := bounded(t, askedTerms(refresh.NotifiedAfter))
-	d.next(t).refuse(t, "0.5")
-	a := d.next(t)
+	server, w, events := startBoundedWatch(t, polledSettings(refresh.NotifiedAfter))
+	server.next(t).refuseAfterWait(t, "0.5")
+	call := server.next(t)
 	require.Less(t, w.now(), refresh.NotifiedAfter)
-	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", a.query)
-	a.answer(t, `{"seq":43,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"draining"},
+	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", call.query)
+	call.answer(t, `{"seq":43,"whole":false,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"draining"},
 		{"host":"b","dial":"127.0.0.1:2","health":"up"}]}`)
-	require.Equal(t, "a1b0", c.next(t))
-	require.Equal(t, "/v1/endpoints?after=43&wait_ms=1000", d.next(t).query)
-	require.Empty(t, c)
+	require.Equal(t, "a1b0", events.next(t))
+	require.Equal(t, "/v1/endpoints?after=43&wait_ms=1000", server.next(t).query)
+	require.Empty(t, events)
 }
 
-// Discovery that is silent cannot be reached, and the old list serves on for as long as that lasts. With its
-// first word, a refusal, the bound begins, at the last call that it did not answer.
+// While discovery does not answer, it counts as unreachable and the old list stays in use. With its first answer, a
+// refusal, the bound begins; it counts from the start of the last unanswered call.
 func TestSilentThenRefusing(t *testing.T) {
 	t.Parallel()
 	bound := 4 * time.Second
-	d, w, c := bounded(t, askedTerms(bound))
-	var begun time.Duration
+	server, w, events := startBoundedWatch(t, polledSettings(bound))
+	var lastCallStart time.Duration
 	for w.now() < 2*bound {
-		a := d.next(t)
-		begun = w.now()
+		call := server.next(t)
+		lastCallStart = w.now()
 		select {
-		case <-a.ended:
-		case <-time.After(patience):
-			require.Fail(t, "it is not given up")
+		case <-call.abandoned:
+		case <-time.After(testTimeout):
+			require.Fail(t, "the call does not time out")
 		}
 	}
-	require.Empty(t, c, "held back while discovery cannot be reached")
-	d.refuseFor(begun+bound-200*time.Millisecond-w.now(), "")
-	require.Empty(t, c, "held back before the bound")
-	d.refuseFor(time.Second, "")
-	require.Equal(t, "held", c.next(t))
+	require.Empty(t, events, "held while discovery cannot be reached")
+	server.refuseAllFor(lastCallStart+bound-200*time.Millisecond-w.now(), "")
+	require.Empty(t, events, "held before the bound")
+	server.refuseAllFor(time.Second, "")
+	require.Equal(t, "held", events.next(t))
 }
 
-// A discovery that is down and refuses all at once is no reason to hold back; once it lets a call wait for its turn and
-// turns it away, the bound begins.
-func TestRefusedAtOnceThenAfterATurn(t *testing.T) {
+// A discovery that refuses every call at once is down and causes no hold. Once it refuses a call after a wait in its
+// queue, the bound begins.
+func TestRefusedAtOnceThenAfterAWait(t *testing.T) {
 	t.Parallel()
 	bound := 3 * time.Second
-	d, w, c := bounded(t, askedTerms(bound))
+	server, w, events := startBoundedWatch(t, polledSettings(bound))
 	for w.now() < 2*bound {
-		d.next(t).refuseAtOnce(t, "60")
+		server.next(t).refuseAtOnce(t, "60")
 	}
-	require.Empty(t, c, "held back while discovery is down")
-	d.refuseFor(bound+time.Second, "60")
-	require.Equal(t, "held", c.next(t))
+	require.Empty(t, events, "held while discovery is down")
+	server.refuseAllFor(bound+time.Second, "60")
+	require.Equal(t, "held", events.next(t))
 }
 
-// Where refusals may come from a discovery that is down they hold nothing back, also after a wait.
+// Without HoldOnRefusal a refusal may come from a discovery that is down: it causes no hold, even after a wait.
 func TestRefusedByDefault(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(2 * time.Second)
-	terms.HoldOnRefusal = false
-	d, _, c := bounded(t, terms)
-	require.Greater(t, d.refuseFor(6*time.Second, "60"), 2)
-	require.Empty(t, c)
+	settings := polledSettings(2 * time.Second)
+	settings.HoldOnRefusal = false
+	server, _, events := startBoundedWatch(t, settings)
+	require.Greater(t, server.refuseAllFor(6*time.Second, "60"), 2)
+	require.Empty(t, events)
 }
 
-// Where lists are pushed nothing is held back, however the agent fails.
+// Where lists are pushed there is no hold, however the agent fails.
 func TestPushedListsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(time.Second)
-	terms.Polled = false
-	d, _, c := bounded(t, terms)
-	d.refuseFor(3*time.Second, "60")
-	require.Empty(t, c)
+	settings := polledSettings(time.Second)
+	settings.Polled = false
+	server, _, events := startBoundedWatch(t, settings)
+	server.refuseAllFor(3*time.Second, "60")
+	require.Empty(t, events)
 }
 
-// A watch that is answered after its wait holds nothing back.
+// A watch whose calls are answered after their full wait causes no hold.
 func TestWaitingWatchIsNotHeldBack(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(3 * time.Second)
-	d, _, c := bounded(t, terms)
-	d.next(t).answer(t, `{"seq":41,"whole":false,"hosts":[]}`)
-	require.Empty(t, c.next(t))
+	settings := polledSettings(3 * time.Second)
+	server, _, events := startBoundedWatch(t, settings)
+	server.next(t).answer(t, `{"seq":41,"whole":false,"hosts":[]}`)
+	require.Empty(t, events.next(t))
 	for range 12 {
-		a := d.next(t)
-		require.Equal(t, "/v1/endpoints?after=41&wait_ms=500", a.query)
-		time.Sleep(terms.WatchWait())
-		a.answer(t, `{"seq":41,"whole":false,"hosts":[]}`)
-		require.Empty(t, c.next(t))
+		call := server.next(t)
+		require.Equal(t, "/v1/endpoints?after=41&wait_ms=500", call.query)
+		time.Sleep(settings.WatchWait())
+		call.answer(t, `{"seq":41,"whole":false,"hosts":[]}`)
+		require.Empty(t, events.next(t))
 	}
-	require.Empty(t, c)
+	require.Empty(t, events)
 }
 
-// A move ends no hold, as nothing has been read by it; the first list from the new address does. Nor does it
-// begin another time: what was refused at the old address counts on.
+// A move does not end a hold, as it brings no list; the first list from the new address does. Nor does a move restart
+// the bound: the time without a list at the old address counts.
 func TestMoveWhileHeld(t *testing.T) {
 	t.Parallel()
 	for _, before := range []time.Duration{2 * time.Second, 6 * time.Second} {
-		d, w, c := bounded(t, askedTerms(4*time.Second))
-		d.refuseFor(before, "")
-		other := newDiscovery(t)
+		server, w, events := startBoundedWatch(t, polledSettings(4*time.Second))
+		server.refuseAllFor(before, "")
+		other := newFakeServer(t)
 		w.Move(other.Addr().String())
-		a := other.next(t)
-		require.Equal(t, "/v1/endpoints", a.query)
-		require.Equal(t, "held", c.next(t))
-		if before < 4*time.Second { // the first call was given up meanwhile
-			a = other.next(t)
+		call := other.next(t)
+		require.Equal(t, "/v1/endpoints", call.query)
+		require.Equal(t, "held", events.next(t))
+		if before < 4*time.Second { // the first call has timed out meanwhile
+			call = other.next(t)
 		}
-		a.answer(t, listed(2, true, "b", "up"))
-		require.Equal(t, "b0", c.next(t))
-		require.Equal(t, "released", c.next(t))
+		call.answer(t, listJSON(2, true, "b", "up"))
+		require.Equal(t, "b0", events.next(t))
+		require.Equal(t, "released", events.next(t))
 	}
 }
 
-// Settings by which lists are pushed end a hold at once, and such by which they are asked for begin one.
-func TestTermsChangeWhileHeld(t *testing.T) {
+// A change to settings with pushed lists ends a hold at once, and a change back to polling begins it again.
+func TestSettingsChangeWhileHeld(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(3 * time.Second)
-	d, w, c := bounded(t, terms)
-	d.refuseFor(4*time.Second, "")
-	require.Equal(t, "held", c.next(t))
-	other := terms
+	settings := polledSettings(3 * time.Second)
+	server, w, events := startBoundedWatch(t, settings)
+	server.refuseAllFor(4*time.Second, "")
+	require.Equal(t, "held", events.next(t))
+	other := settings
 	other.Polled = false
 	w.UpdateSettings(other)
-	require.Equal(t, "released", c.next(t))
-	w.UpdateSettings(terms)
-	require.Equal(t, "held", c.next(t))
+	require.Equal(t, "released", events.next(t))
+	w.UpdateSettings(settings)
+	require.Equal(t, "held", events.next(t))
 }
 
-// A process that takes another's place takes over its bound as well.
+// A successor process inherits the staleness bound of its predecessor.
 func TestHoldIsInherited(t *testing.T) {
 	t.Parallel()
-	terms := askedTerms(refresh.NotifiedAfter)
-	d, w, c := bounded(t, terms)
+	settings := polledSettings(refresh.NotifiedAfter)
+	server, w, events := startBoundedWatch(t, settings)
 	require.False(t, w.HandoverState().Unread.Reachable)
-	d.refuseFor(4500*time.Millisecond, "")
-	require.Empty(t, c)
-	old := w.HandoverState()
-	require.True(t, old.Unread.Reachable)
-	require.GreaterOrEqual(t, old.Unread.For, 4*time.Second)
+	server.refuseAllFor(4500*time.Millisecond, "")
+	require.Empty(t, events)
+	state := w.HandoverState()
+	require.True(t, state.Unread.Reachable)
+	require.GreaterOrEqual(t, state.Unread.For, 4*time.Second)
 
-	heard := make(told, 99)
-	heir := New(d.Addr().String(), heard, terms)
-	heir.SetHoldReceiver(heard)
-	require.Equal(t, 1, heir.Inherit(old))
-	require.Equal(t, "a0", heard.next(t))
-	go heir.Run()
-	d.refuseFor(2*time.Second, "")
-	require.Equal(t, "held", heard.next(t))
-	require.Less(t, heir.now(), 4500*time.Millisecond, "it took another whole bound")
+	successorRecorder := make(recorder, 99)
+	successor := New(server.Addr().String(), successorRecorder, settings)
+	successor.SetHoldReceiver(successorRecorder)
+	require.Equal(t, 1, successor.Inherit(state))
+	require.Equal(t, "a0", successorRecorder.next(t))
+	go successor.Run()
+	server.refuseAllFor(2*time.Second, "")
+	require.Equal(t, "held", successorRecorder.next(t))
+	require.Less(t, successor.now(), 4500*time.Millisecond, "the bound was restarted")
 }
 
-// Without a holder the watch goes on as well, and waits for its calls.
+// A watch without a hold receiver goes on after the bound, and its calls keep their pauses.
 func TestNoHolder(t *testing.T) {
 	t.Parallel()
-	d, c := newDiscovery(t), make(told, 99)
-	w := New(d.Addr().String(), c, askedTerms(3*time.Second))
-	require.Equal(t, 1, w.LoadKnown([]byte(listed(41, true, "a", "up"))))
-	require.Equal(t, "a0", c.next(t))
+	server, events := newFakeServer(t), make(recorder, 99)
+	w := New(server.Addr().String(), events, polledSettings(3*time.Second))
+	require.Equal(t, 1, w.LoadKnown([]byte(listJSON(41, true, "a", "up"))))
+	require.Equal(t, "a0", events.next(t))
 	go w.Run()
-	d.refuseFor(4*time.Second, "")
-	require.Empty(t, c)
-	d.next(t).answer(t, listed(42, false, "a", "up"))
-	require.Equal(t, "a0", c.next(t))
+	server.refuseAllFor(4*time.Second, "")
+	require.Empty(t, events)
+	server.next(t).answer(t, listJSON(42, false, "a", "up"))
+	require.Equal(t, "a0", events.next(t))
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,28 +14,28 @@
 	"topazfall/internal/decide/refresh"
 )
 
-// client calls discovery at one address.
+// client calls the discovery service at one address.
 type client struct {
 	fasthttp.HostClient
 	mu     sync.Mutex
-	conns  map[*conn]bool // that are open
+	open   map[*conn]bool // the open connections
 	closed bool
 }
 
-// conn is a connection to discovery.
+// conn is a connection to the discovery service.
 type conn struct {
 	net.Conn
-	owner *client
+	client *client
 }
 
 func newClient(addr string) *client {
 	c := &client{HostClient: fasthttp.HostClient{Addr: addr, MaxConns: 8, NoDefaultUserAgentHeader: true,
-		MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 8 << 20}, conns: map[*conn]bool{}}
+		MaxIdemponentCallAttempts: 1, MaxResponseBodySize: 8 << 20}, open: map[*conn]bool{}}
 	c.DialTimeout = c.dial
 	return c
 }
 
-// dial opens a connection that close ends.
+// dial opens a connection and registers it, so that close can end it.
 func (c *client) dial(addr string, limit time.Duration) (net.Conn, error) {
 	nc, err := fasthttp.DialTimeout(addr, min(limit, refresh.AnswerGrace))
 	if err != nil {
@@ -47,65 +47,65 @@
 	if c.closed {
 		nc.Close()
 	} else {
-		c.conns[opened] = true
+		c.open[opened] = true
 	}
 	return opened, nil
 }
 
-// Close closes the connection; it may be called more than once.
+// Close closes the connection. It may be called more than once.
 func (c *conn) Close() error {
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.client.mu.Lock()
+	delete(c.client.open, c)
+	c.client.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// close ends the calls under way and the connections.
+// close closes all connections, which aborts the open calls.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for opened := range c.conns {
+	for opened := range c.open {
 		opened.Conn.Close()
 	}
 }
 
+// answer is the list that a call brought, or its error.
 type answer struct {
 	list list
 	err  error
 }
 
-// unreadable is an answer that came and is no list.
-type unreadable struct{ error }
+// unreadableError wraps the error of an answer that could not be parsed as a list.
+type unreadableError struct{ error }
 
-// refusal is an answer other than 200.
-type refusal struct {
+// refusedError is an answer with a status other than 200.
+type refusedError struct {
 	status     int
-	retryAfter time.Duration // that it asks for, 0 if it names none
+	retryAfter time.Duration // value of the Retry-After field; 0 if absent
 }
 
-func (r refusal) Error() string {
+func (r refusedError) Error() string {
 	return fmt.Sprintf("status %d, retry after %v", r.status, r.retryAfter)
 }
 
-// longestRetryAfter bounds what a refusal may name: no list may be relied on for so long.
-const longestRetryAfter = time.Hour
+// maxRetryAfter limits the Retry-After of a refusal. It is longer than any list may be relied on.
+const maxRetryAfter = time.Hour
 
-// retryAfter reads the seconds of Retry-After, whole or decimal. What is none, a date as well, is as if it
-// were not there.
-func retryAfter(text []byte) time.Duration {
+// parseRetryAfter parses a Retry-After field in whole or decimal seconds. Any other value, also a date, counts as 0.
+func parseRetryAfter(text []byte) time.Duration {
 	seconds, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, longestRetryAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// resultOf is what the schedule goes by. What is neither silence nor a broken connection is an answer,
-// however spoilt.
-func resultOf(err error) refresh.Result {
-	var network net.Error
-	var refused refusal
+// classifyError returns the result of a call for the schedule. Any error but a refusal, a timeout and a failed
+// connection means that an answer came, though an unusable one.
+func classifyError(err error) refresh.Result {
+	var netErr net.Error
+	var refused refusedError
 	switch {
 	case err == nil:
 		return refresh.Read
@@ -113,13 +113,14 @@
 		return refresh.Refused
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrDialTimeout):
 		return refresh.TimedOut
-	case errors.As(err, &network), errors.Is(err, io.EOF), errors.Is(err, fasthttp.ErrConnectionClosed),
+	case errors.As(err, &netErr), errors.Is(err, io.EOF), errors.Is(err, fasthttp.ErrConnectionClosed),
 		errors.Is(err, fasthttp.ErrNoFreeConns):
 		return refresh.ConnectionFailed
 	}
 	return refresh.UnusableAnswer
 }
 
+// get fetches the list or its changes; limit is the timeout of the call.
 func (c *client) get(path string, limit time.Duration) answer {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -129,11 +130,12 @@
 		return answer{err: err}
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return answer{err: refusal{resp.StatusCode(), retryAfter(resp.Header.Peek(fasthttp.HeaderRetryAfter))}}
+		return answer{err: refusedError{resp.StatusCode(),
+			parseRetryAfter(resp.Header.Peek(fasthttp.HeaderRetryAfter))}}
 	}
-	l, err := parse(resp.Body())
+	l, err := parseList(resp.Body())
 	if err != nil {
-		err = unreadable{err}
+		err = unreadableError{err}
 	}
 	return answer{l, err}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery follows the worker list of the discovery service: it starts from the copy known before a restart,
-// then keeps a watch open whose next call follows at once on each answer. Package decide/refresh decides when to call
-// and how long the list may be relied on.
+// Package discovery follows the list of workers at the discovery service. It starts from the list known before a
+// restart and then watches for changes by long polls: each answer is followed by the next call at once. Package
+// decide/refresh decides when to call and for how long the list may be relied on.
 package discovery
 
 import (
@@ -19,247 +19,248 @@
 	"topazfall/internal/dispatch"
 )
 
-// ListReceiver is told of the list; for ListBroken there are no entries.
+// ListReceiver receives the list of workers and its changes. There are no entries with ListFailed.
 type ListReceiver interface {
 	ApplyList(kind topazfall.EventKind, entries []dispatch.Entry)
 }
 
-// HoldReceiver is told whether the list may not be relied on, so that nothing new may go to any host. The news of a
-// list that ends this comes first.
+// HoldReceiver is notified when the list passes its staleness bound, after which nothing new may be sent to any worker,
+// and when the list is up to date again. The list that ends a hold is delivered before SetHold(false).
 type HoldReceiver interface {
 	SetHold(held bool)
 }
 
-// Watch follows the list at one discovery address, which may move.
+// Watch follows the list at one discovery address, which Move may change.
 type Watch struct {
-	core    ListReceiver
-	holder  HoldReceiver // nil for none
-	client  *client
-	seq     int64
-	known   bool // there is a list that changes can be applied to
-	kick    chan bool
-	moves   chan string
-	renewed chan struct{}
-	heard   *client // whose list this is; nil for one that was known before
-	behind  bool    // the last whole list was older than the one held
-	broken  bool    // the last call failed
-	held    bool    // as the holder was told
-	target  string  // of the last move; the mover's
-	tried   chan struct{}
-	start   time.Time // from which the schedule's times count
+	receiver        ListReceiver
+	holdReceiver    HoldReceiver // may be nil
+	client          *client
+	seq             int64
+	hasList         bool      // there is a list that changes can be applied to
+	callRequests    chan bool // true asks for the whole list
+	addressChanges  chan string
+	settingsChanged chan struct{}
+	listSource      *client // the client that fetched the list; nil for a restored list
+	receivedOlder   bool    // the last answer was a whole list older than the current one
+	failing         bool    // the last call failed
+	held            bool    // as last reported to holdReceiver
+	requestedAddr   string  // address of the last Move; used by its caller's goroutine only
+	firstCallDone   chan struct{}
+	started         time.Time // zero point of the schedule's times
 
 	mu       sync.Mutex
-	last     HandoverState
+	state    HandoverState
 	schedule *refresh.Schedule
 }
 
-// HandoverState is the list as it was last had, and where.
+// HandoverState is the list as last received, for a successor process. Its field names are part of the handover format.
 type HandoverState struct {
-	Discovery string
-	Seq       int64
-	Hosts     map[string]dispatch.Entry
+	Discovery string                    // address of the discovery service that the list came from
+	Seq       int64                     // version of the list
+	Hosts     map[string]dispatch.Entry // by worker id
 	Unread    refresh.Unread
 }
 
-// RefreshSettings takes what the contract says of discovery from the settings.
+// RefreshSettings extracts the settings of the refresh schedule.
 func RefreshSettings(s *topazfall.Settings) refresh.Settings {
 	return refresh.Settings{Dispatchers: s.Dispatchers, Polled: s.ListOnRequest,
 		DrainGrace: time.Duration(s.Contract.DrainGrace) * time.Microsecond,
 		AskEvery:   time.Duration(s.Contract.AskEvery) * time.Microsecond}
 }
 
-// New returns a watch that tells core of the list, under these terms.
-func New(addr string, core ListReceiver, terms refresh.Settings) *Watch {
+// New returns a watch of the discovery service at addr that passes the list on to receiver.
+func New(addr string, receiver ListReceiver, settings refresh.Settings) *Watch {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &Watch{core: core, client: newClient(addr), kick: make(chan bool, 1), moves: make(chan string, 1),
-		renewed: make(chan struct{}, 1), target: addr, tried: make(chan struct{}), start: time.Now(),
-		schedule: refresh.New(0, terms, random)}
+	return &Watch{receiver: receiver, client: newClient(addr), callRequests: make(chan bool, 1),
+		addressChanges: make(chan string, 1), settingsChanged: make(chan struct{}, 1), requestedAddr: addr,
+		firstCallDone: make(chan struct{}), started: time.Now(), schedule: refresh.New(0, settings, random)}
 }
 
-// SetHoldReceiver names who is told whether the list may be relied on. It comes before Run.
-func (w *Watch) SetHoldReceiver(h HoldReceiver) { w.holder = h }
+// SetHoldReceiver sets the receiver of holds. It must be called before Run.
+func (w *Watch) SetHoldReceiver(receiver HoldReceiver) { w.holdReceiver = receiver }
 
-// UpdateSettings makes other terms hold from the next call on; whether the list may be relied on, from now on.
-func (w *Watch) UpdateSettings(terms refresh.Settings) {
+// UpdateSettings changes the settings. Calls follow them from the next call on, the staleness bound at once.
+func (w *Watch) UpdateSettings(settings refresh.Settings) {
 	w.mu.Lock()
-	w.schedule.Configure(terms)
+	w.schedule.Configure(settings)
 	w.mu.Unlock()
 	select {
-	case w.renewed <- struct{}{}:
+	case w.settingsChanged <- struct{}{}:
 	default:
 	}
 }
 
-// now is the time of the schedule.
-func (w *Watch) now() time.Duration { return time.Since(w.start) }
+// now returns the current time on the schedule's clock.
+func (w *Watch) now() time.Duration { return time.Since(w.started) }
 
-// Follow asks for changes from now on, which the watch brings anyway. It ends no back-off: many dispatchers that
-// are unheard for the same cause would only feed it.
+// Follow asks for changes, which the watch brings anyway. It cuts no backoff short: when calls of many dispatchers
+// fail for the same cause, earlier retries would only add to the load.
 func (w *Watch) Follow() {}
 
-// Fetch asks for the whole list.
-func (w *Watch) Fetch() { w.push(true) }
+// Fetch requests a call for the whole list.
+func (w *Watch) Fetch() { w.requestCall(true) }
 
-func (w *Watch) push(whole bool) {
+func (w *Watch) requestCall(whole bool) {
 	select {
-	case w.kick <- whole:
+	case w.callRequests <- whole:
 	default:
 	}
 }
 
-// Move makes the watch go on at another address, as a first call would; of several the last counts. It is called
-// from one goroutine at a time.
+// Move continues the watch at another address, beginning with a first call. Of several moves the last counts. It must
+// not be called concurrently.
 func (w *Watch) Move(addr string) {
-	if w.target == addr { // a watch that goes on misses nothing
+	if w.requestedAddr == addr { // the open watch misses no change
 		return
 	}
-	w.target = addr
+	w.requestedAddr = addr
 	select {
-	case <-w.moves: // an earlier move that nobody has begun
+	case <-w.addressChanges: // drop an earlier move that Run has not taken up
 	default:
 	}
-	w.moves <- addr
+	w.addressChanges <- addr
 }
 
-// FirstCallDone is closed once a first call has ended, well or not.
-func (w *Watch) FirstCallDone() <-chan struct{} { return w.tried }
+// FirstCallDone returns a channel that is closed once the first call has ended, whether it succeeded or not.
+func (w *Watch) FirstCallDone() <-chan struct{} { return w.firstCallDone }
 
-// LoadKnown takes the list as it was had before a restart and tells how many hosts it names.
+// LoadKnown restores the list known before a restart and returns its number of workers.
 func (w *Watch) LoadKnown(text []byte) int {
 	if len(text) == 0 {
 		return 0
 	}
-	l, err := parse(text)
+	l, err := parseList(text)
 	if err != nil {
 		slog.Warn("inventory", "known", "unreadable", "error", err)
 		return 0
 	}
-	w.tell(topazfall.ListRestored, l)
+	w.deliver(topazfall.ListRestored, l)
 	return len(l.entries)
 }
 
-// HandoverState returns the list for another process to go on with.
+// HandoverState returns the state that a successor process passes to Inherit.
 func (w *Watch) HandoverState() HandoverState {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.last
-	l.Hosts, l.Unread = maps.Clone(l.Hosts), w.schedule.Unread(w.now())
-	return l
+	state := w.state
+	state.Hosts, state.Unread = maps.Clone(state.Hosts), w.schedule.Unread(w.now())
+	return state
 }
 
-// Inherit starts from another process's list. Where that had it from another address, the versions need not be the
-// same, and the whole list is asked for. It comes before Run.
-func (w *Watch) Inherit(l HandoverState) int {
-	if len(l.Hosts) == 0 {
+// Inherit restores the list of the predecessor process and returns its number of workers. If the predecessor had it
+// from another address, versions are not comparable and the first call asks for the whole list. It must be called
+// before Run.
+func (w *Watch) Inherit(state HandoverState) int {
+	if len(state.Hosts) == 0 {
 		return 0
 	}
-	w.tell(topazfall.ListRestored, list{seq: l.Seq, entries: slices.Collect(maps.Values(l.Hosts))})
-	w.known = l.Discovery == w.client.Addr
-	w.schedule.Inherit(l.Unread)
-	return len(l.Hosts)
+	w.deliver(topazfall.ListRestored, list{seq: state.Seq, entries: slices.Collect(maps.Values(state.Hosts))})
+	w.hasList = state.Discovery == w.client.Addr
+	w.schedule.Inherit(state.Unread)
+	return len(state.Hosts)
 }
 
-// tell hands the list, or changes to it, on, and keeps them.
-func (w *Watch) tell(kind topazfall.EventKind, l list) {
-	w.core.ApplyList(kind, l.entries)
-	w.seq, w.known = l.seq, true
+// deliver passes the list or changes to it on to the receiver, and keeps them for a handover.
+func (w *Watch) deliver(kind topazfall.EventKind, l list) {
+	w.receiver.ApplyList(kind, l.entries)
+	w.seq, w.hasList = l.seq, true
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if kind != topazfall.ListPatch || w.last.Hosts == nil {
-		w.last.Hosts = map[string]dispatch.Entry{}
+	if kind != topazfall.ListPatch || w.state.Hosts == nil {
+		w.state.Hosts = map[string]dispatch.Entry{}
 	}
 	for _, e := range l.entries {
-		if w.last.Hosts[e.ID] = e; e.State == topazfall.Gone {
-			delete(w.last.Hosts, e.ID)
+		if w.state.Hosts[e.ID] = e; e.State == topazfall.Gone {
+			delete(w.state.Hosts, e.ID)
 		}
 	}
-	w.last.Discovery, w.last.Seq = w.client.Addr, l.seq
+	w.state.Discovery, w.state.Seq = w.client.Addr, l.seq
 }
 
-// Run watches until the program ends.
+// Run watches the list until the program ends.
 func (w *Watch) Run() {
-	w.hold()
-	w.wait(w.first())
+	w.updateHold()
+	w.pauseBeforeCall(w.firstCallDelay())
 	for first := true; ; first = false {
 		err := w.call()
 		if first {
-			close(w.tried)
+			close(w.firstCallDone)
 		}
-		if err == errMoved {
-			w.wait(w.first())
+		if err == errAddressChanged {
+			w.pauseBeforeCall(w.firstCallDelay())
 			continue
 		}
-		w.report(err)
-		pause := w.end(err)
-		w.hold()
+		w.logState(err)
+		pause := w.endCall(err)
+		w.updateHold()
 		if err != nil {
-			w.wait(pause)
+			w.pauseBeforeCall(pause)
 		}
 	}
 }
 
-// first is how long to wait with a first call.
-func (w *Watch) first() time.Duration {
+// firstCallDelay returns the pause before the first call to an address.
+func (w *Watch) firstCallDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.schedule.FirstDelay(len(w.last.Hosts) > 0)
+	return w.schedule.FirstDelay(len(w.state.Hosts) > 0)
 }
 
-// report tells that the watch is broken, or well again.
-func (w *Watch) report(err error) {
+// logState logs when calls begin to fail and when they succeed again. It reports the former to the receiver too.
+func (w *Watch) logState(err error) {
 	switch {
-	case err == nil && w.broken:
+	case err == nil && w.failing:
 		slog.Info("inventory", "state", "back", "seq", w.seq)
-	case err != nil && !w.broken:
+	case err != nil && !w.failing:
 		slog.Warn("inventory", "state", "broken", "seq", w.seq, "error", err)
-		w.core.ApplyList(topazfall.ListFailed, nil)
+		w.receiver.ApplyList(topazfall.ListFailed, nil)
 	}
-	w.broken = err != nil
+	w.failing = err != nil
 }
 
-// end notes how a call has ended, and returns the pause before the next one. Where discovery must be asked,
-// the log tells of each call that failed: by how long it took, a discovery without room is told from one that
-// is down.
-func (w *Watch) end(err error) time.Duration {
-	var r refusal
-	errors.As(err, &r)
+// endCall records the result of a call and returns the pause before the next one. Where discovery is polled, each
+// failed call is logged: its duration distinguishes a service without free capacity from one that is down.
+func (w *Watch) endCall(err error) time.Duration {
+	var refused refusedError
+	errors.As(err, &refused)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
 	took := now - w.schedule.CallStart()
-	pause := w.schedule.End(now, resultOf(err), r.retryAfter)
+	pause := w.schedule.End(now, classifyError(err), refused.retryAfter)
 	if err != nil && w.schedule.Settings().Polled {
 		slog.Info("inventory", "call", "failed", "took", took, "next", pause, "error", err)
 	}
 	return pause
 }
 
-// wait waits with the next call. A move ends what is left of it: who has moved waits as with a first call.
-func (w *Watch) wait(pause time.Duration) {
+// pauseBeforeCall waits until the next call is due or requested. A move replaces the rest of the pause by the delay of
+// a first call.
+func (w *Watch) pauseBeforeCall(pause time.Duration) {
 	if pause <= 0 {
 		return
 	}
-	over := time.After(pause)
+	due := time.After(pause)
 	for {
 		select {
-		case whole := <-w.kick:
-			w.known = w.known && !whole
+		case whole := <-w.callRequests:
+			w.hasList = w.hasList && !whole
 			return
-		case addr := <-w.moves:
-			w.move(addr)
-			over = time.After(w.first())
-		case <-w.holdAlarm():
-			w.hold()
-		case <-w.renewed:
-			w.hold()
-		case <-over:
+		case addr := <-w.addressChanges:
+			w.switchAddress(addr)
+			due = time.After(w.firstCallDelay())
+		case <-w.holdTimer():
+			w.updateHold()
+		case <-w.settingsChanged:
+			w.updateHold()
+		case <-due:
 			return
 		}
 	}
 }
 
-// holdAlarm rings when the list may not be relied on any more.
-func (w *Watch) holdAlarm() <-chan time.Time {
+// holdTimer returns a channel that fires at the staleness bound, or nil if there is none or a hold is in force.
+func (w *Watch) holdTimer() <-chan time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at, bounded := w.schedule.StaleAt()
@@ -269,8 +270,8 @@
 	return time.After(at - w.now())
 }
 
-// hold tells the holder where it has changed whether the list may be relied on.
-func (w *Watch) hold() {
+// updateHold notifies the hold receiver if the list has become stale, or is no longer stale.
+func (w *Watch) updateHold() {
 	w.mu.Lock()
 	held := w.schedule.IsStale(w.now())
 	w.mu.Unlock()
@@ -279,105 +280,108 @@
 	}
 	w.held = held
 	slog.Warn("inventory", "state", map[bool]string{true: "held", false: "released"}[held], "seq", w.seq)
-	if w.holder != nil {
-		w.holder.SetHold(held)
+	if w.holdReceiver != nil {
+		w.holdReceiver.SetHold(held)
 	}
 }
 
-var errMoved = errors.New("discovery has moved")
+var errAddressChanged = errors.New("the address of discovery has changed")
 
-// move drops the call under way: the old address may keep it waiting, and what it says is no news any more.
-// The list stays until the new address has sent a whole one: its versions need not go on from ours.
-func (w *Watch) move(addr string) {
+// switchAddress continues at another address. It aborts the open call, because the old address may leave it unanswered
+// and its answer is of no use any more. The list stays in use until the new address has sent a whole one, as its
+// versions need not continue those of the old address.
+func (w *Watch) switchAddress(addr string) {
 	slog.Info("inventory", "state", "moved", "from", w.client.Addr, "to", addr, "seq", w.seq)
 	w.client.close()
-	w.client, w.known = newClient(addr), false
+	w.client, w.hasList = newClient(addr), false
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.schedule.AddressChanged()
 }
 
-// begin notes that a call begins, and returns how long it may wait for news.
-func (w *Watch) begin() (terms refresh.Settings, wait time.Duration) {
+// beginCall records the start of a call. It returns the settings, and for how long discovery may wait for changes
+// before it answers.
+func (w *Watch) beginCall() (settings refresh.Settings, wait time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.schedule.Settings(), w.schedule.Begin(w.now(), w.known)
+	return w.schedule.Settings(), w.schedule.Begin(w.now(), w.hasList)
 }
 
-// call makes one call: a watch, or a fetch of the whole list where there is none yet or one was asked for.
+// call makes one call: a long poll for changes, or a fetch of the whole list if there is none yet or one was requested.
 //
-// Where lists come unasked a call whose answer is late stays open, for an agent that is only slow, and others
-// are made beside it, one at a time. The first that brings a list counts.
+// Where lists are pushed by a local agent, a call whose answer is late stays open in case the agent is only slow, and
+// extra calls are made beside it, one at a time. The first answer with a list is used.
 func (w *Watch) call() error {
 	select {
-	case whole := <-w.kick:
-		w.known = w.known && !whole
+	case whole := <-w.callRequests:
+		w.hasList = w.hasList && !whole
 	default:
 	}
-	discovery := w.client
-	terms, wait := w.begin()
-	path, limit := "/v1/endpoints", terms.CallTimeout()
-	beside := path
-	if w.known {
+	client := w.client
+	settings, wait := w.beginCall()
+	path, limit := "/v1/endpoints", settings.CallTimeout()
+	extraPath := path
+	if w.hasList {
 		path += "?after=" + strconv.FormatInt(w.seq, 10) + "&wait_ms="
-		beside = path + "0"
+		extraPath = path + "0"
 		path += strconv.FormatInt(wait.Milliseconds(), 10)
-	} else if !terms.Polled { // an agent has no line in which the call may wait
+	} else if !settings.Polled { // an agent does not queue calls
 		limit = refresh.AnswerGrace
 	}
-	answers, second := make(chan answer, 1), make(chan answer, 1) // what comes after a move is dropped with them
-	go func() { answers <- discovery.get(path, limit) }()
-	late, asking := (<-chan time.Time)(nil), false
-	if !terms.Polled {
-		late = time.After(wait + terms.AgentRetryInterval())
+	// Answers after a move are dropped with these channels.
+	mainAnswer, extraAnswer := make(chan answer, 1), make(chan answer, 1)
+	go func() { mainAnswer <- client.get(path, limit) }()
+	extraCallDue, extraCallOpen := (<-chan time.Time)(nil), false
+	if !settings.Polled {
+		extraCallDue = time.After(wait + settings.AgentRetryInterval())
 	}
 	for {
 		select {
-		case addr := <-w.moves:
-			w.move(addr)
-			return errMoved
-		case a := <-answers:
-			return w.take(a)
-		case a := <-second:
-			if asking = false; a.err == nil || errors.As(a.err, &unreadable{}) {
-				return w.take(a)
+		case addr := <-w.addressChanges:
+			w.switchAddress(addr)
+			return errAddressChanged
+		case a := <-mainAnswer:
+			return w.applyAnswer(a)
+		case a := <-extraAnswer:
+			if extraCallOpen = false; a.err == nil || errors.As(a.err, &unreadableError{}) {
+				return w.applyAnswer(a)
 			}
-		case <-late:
-			if late = time.After(terms.AgentRetryInterval()); !asking {
-				asking = true
-				go func() { second <- discovery.get(beside, terms.AgentRetryInterval()) }()
+		case <-extraCallDue:
+			if extraCallDue = time.After(settings.AgentRetryInterval()); !extraCallOpen {
+				extraCallOpen = true
+				go func() { extraAnswer <- client.get(extraPath, settings.AgentRetryInterval()) }()
 			}
-		case <-w.holdAlarm():
-			w.hold()
-		case <-w.renewed:
-			w.hold()
+		case <-w.holdTimer():
+			w.updateHold()
+		case <-w.settingsChanged:
+			w.updateHold()
 		}
 	}
 }
 
-// take applies what discovery has answered.
-func (w *Watch) take(a answer) error {
+// applyAnswer applies an answer to the list.
+func (w *Watch) applyAnswer(a answer) error {
 	l, err := a.list, a.err
-	if errors.As(err, &unreadable{}) {
-		w.known = false // what changed is lost; the whole list makes up for it
+	if errors.As(err, &unreadableError{}) {
+		w.hasList = false // the changes are lost, so the next call asks for the whole list
 	}
 	switch {
 	case err != nil:
 		return err
-	case l.whole && w.heard == w.client && l.seq < w.seq && !w.behind:
-		// An old list may bring hosts back that drain. One that is asked for after it and is older as well
-		// comes from a service that has begun anew.
-		w.known, w.behind = false, true
-		return fmt.Errorf("a list of %d after one of %d", l.seq, w.seq)
+	case l.whole && w.listSource == w.client && l.seq < w.seq && !w.receivedOlder:
+		// An older list may show draining workers as up. If the list fetched next is older too, the service has
+		// restarted its versions, and that list is accepted.
+		w.hasList, w.receivedOlder = false, true
+		return fmt.Errorf("received version %d of the whole list after version %d", l.seq, w.seq)
 	case l.whole:
-		w.tell(topazfall.ListSnapshot, l)
-	case !w.known || l.seq < w.seq: // changes to a list that is not ours
-		w.known = false
-		return fmt.Errorf("changes up to %d do not follow %d", l.seq, w.seq)
+		w.deliver(topazfall.ListSnapshot, l)
+	case !w.hasList || l.seq < w.seq: // changes to a different list
+		w.hasList = false
+		return fmt.Errorf("changes up to version %d do not apply to version %d", l.seq, w.seq)
 	default:
-		w.tell(topazfall.ListPatch, l)
+		w.deliver(topazfall.ListPatch, l)
 	}
-	w.heard, w.behind = w.client, false
+	w.listSource, w.receivedOlder = w.client, false
 	if len(l.entries) > 0 {
 		slog.Info("inventory", "seq", l.seq, "whole", l.whole, "entries", len(l.entries))
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,16 +11,16 @@
 	"topazfall/internal/decide/addresses"
 )
 
-// What a refusal asks for is read where it is a number of seconds, and bounded; it is an answer all the same.
+// Retry-After is used if it is a number of seconds, and is limited; any other value counts as 0.
 func TestRetryAfter(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "7": 7 * time.Second, "0.25": 250 * time.Millisecond,
 		"-3":  0,
 		"NaN": 0, "Inf": time.Hour, "1e99": time.Hour, "0": 0, "Wed, 21 Oct 2015 07:28:00 GMT": 0} {
-		require.Equal(t, want, retryAfter([]byte(text)), text)
+		require.Equal(t, want, parseRetryAfter([]byte(text)), text)
 	}
 }
 
-// FuzzParse: no list, however odd, does more than cost what is odd in it.
+// FuzzParse checks that whatever a list holds, each parsed entry has an id, and an address if it is ready.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"1.2.3.4:5","health":"up"}]}`,
 		`{"seq":2,"hosts":[{"host":"a","addresses":["[::1]:1","unix:/a","[::1]:1",7,null,"x"],"health":"draining"}]}`,
@@ -30,7 +30,7 @@
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := parse(text)
+		l, err := parseList(text)
 		if err != nil {
 			return
 		}
@@ -38,7 +38,7 @@
 			require.NotEmpty(t, e.ID)
 			require.LessOrEqual(t, len(e.Addrs), addresses.MaxAddresses)
 			require.True(t, e.State != topazfall.Ready || e.Addr != "" || len(e.Addrs) > 0,
-				"ready, and not to be reached")
+				"a ready worker without an address")
 		}
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,19 +11,21 @@
 	"topazfall/internal/dispatch"
 )
 
+// list is an answer of discovery: the whole list of workers, or the changes since the version asked after.
 type list struct {
 	seq     int64
 	whole   bool
 	entries []dispatch.Entry
 }
 
-var states = map[string]topazfall.WorkerState{
+var workerStates = map[string]topazfall.WorkerState{
 	"up": topazfall.Ready, "draining": topazfall.Draining, "removed": topazfall.Gone}
 
-// parse reads a list and translates it into the module's terms. One odd entry must not hold up the news of
-// all the others: a host of which the list says something unknown, or no address, gets nothing new.
-func parse(text []byte) (list, error) {
-	var f struct {
+// parseList parses a list of workers, which discovery calls hosts. An invalid entry must not prevent the others from
+// taking effect: a worker with an unknown state, or one that is up without an address, counts as draining and gets
+// nothing new. An entry without a host name is skipped.
+func parseList(text []byte) (list, error) {
+	var document struct {
 		Seq   *int64 `json:"seq"`
 		Whole bool   `json:"whole"`
 		Hosts []struct {
@@ -38,49 +40,49 @@
 			Born   int64               `json:"born_ms"`
 		} `json:"hosts"`
 	}
-	if err := jsoniter.Unmarshal(text, &f); err != nil {
+	if err := jsoniter.Unmarshal(text, &document); err != nil {
 		return list{}, err
 	}
-	if f.Seq == nil {
-		return list{}, fmt.Errorf("no seq")
+	if document.Seq == nil {
+		return list{}, fmt.Errorf("the list has no seq")
 	}
-	l := list{seq: *f.Seq, whole: f.Whole}
-	for _, h := range f.Hosts {
-		state, ok := states[h.Health]
-		addrs := several(h.Host, h.Addrs)
-		if !ok || h.Host == "" || h.Dial == "" && len(addrs) == 0 && state == topazfall.Ready {
-			slog.Warn("inventory", "odd", "entry", "host", h.Host, "dial", h.Dial, "health", h.Health)
+	l := list{seq: *document.Seq, whole: document.Whole}
+	for _, host := range document.Hosts {
+		state, ok := workerStates[host.Health]
+		addrs := parseAddresses(host.Host, host.Addrs)
+		if !ok || host.Host == "" || host.Dial == "" && len(addrs) == 0 && state == topazfall.Ready {
+			slog.Warn("inventory", "odd", "entry", "host", host.Host, "dial", host.Dial, "health", host.Health)
 			state = topazfall.Draining
 		}
-		if h.Host != "" {
+		if host.Host != "" {
 			l.entries = append(l.entries,
-				dispatch.Entry{Addr: h.Dial, Addrs: addrs, Worker: topazfall.Worker{ID: h.Host, Zone: h.Site,
-					Kind: h.Class, Cell: h.Block, State: state, Weight: h.Share, StartedAt: h.Born * 1000}})
+				dispatch.Entry{Addr: host.Dial, Addrs: addrs, Worker: topazfall.Worker{ID: host.Host, Zone: host.Site,
+					Kind: host.Class, Cell: host.Block, State: state, Weight: host.Share, StartedAt: host.Born * 1000}})
 		}
 	}
 	return l, nil
 }
 
-// several reads the addresses of a host. What cannot be read costs no more than itself; where nothing is
-// left, the host is as one that lists none.
-func several(host string, text []byte) []addresses.Address {
+// parseAddresses parses the list of a worker's addresses and skips invalid ones. A worker whose addresses are all
+// invalid counts as one without a list.
+func parseAddresses(host string, text []byte) []addresses.Address {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
 	var entries []jsoniter.RawMessage
 	if err := jsoniter.Unmarshal(text, &entries); err != nil {
-		slog.Warn("inventory", "odd", "addresses", "host", host, "error", "no list")
+		slog.Warn("inventory", "odd", "addresses", "host", host, "error", "not a list")
 		return nil
 	}
 	texts := make([]string, len(entries))
-	for i, e := range entries {
-		if jsoniter.Unmarshal(e, &texts[i]) != nil {
-			texts[i] = string(e) // no string, and so no address: the error shows it
+	for i, entry := range entries {
+		if jsoniter.Unmarshal(entry, &texts[i]) != nil {
+			texts[i] = string(entry) // not a string, so not an address: it is logged as a fault
 		}
 	}
-	list, faults := addresses.ParseList(texts)
-	for _, f := range faults {
-		slog.Warn("inventory", "odd", "address", "host", host, "address", f.Text, "error", f.Err)
+	valid, faults := addresses.ParseList(texts)
+	for _, fault := range faults {
+		slog.Warn("inventory", "odd", "address", "host", host, "address", fault.Text, "error", fault.Err)
 	}
-	return list
+	return valid
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,12 +16,12 @@
 	"topazfall/internal/dispatch"
 )
 
-const patience = 20 * time.Second // no verdict hangs on how fast a machine is
+const testTimeout = 20 * time.Second // long, so that no result depends on the machine's speed
 
-// told takes the core's place.
-type told chan string
+// recorder is a ListReceiver that sends each list as text: the id and state of each entry.
+type recorder chan string
 
-func (c told) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+func (r recorder) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	if kind == topazfall.ListFailed {
 		return
 	}
@@ -29,43 +29,43 @@
 	for _, e := range entries {
 		text += fmt.Sprint(e.ID, e.State)
 	}
-	c <- text
+	r <- text
 }
 
-func (c told) next(t *testing.T) string {
+func (r recorder) next(t *testing.T) string {
 	t.Helper()
 	select {
-	case text := <-c:
+	case text := <-r:
 		return text
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "no list")
 		return ""
 	}
 }
 
-// asked is a call that has come to discovery and waits for the test.
-type asked struct {
+// pendingCall is a call that the fake server has received and the test has yet to answer.
+type pendingCall struct {
 	net.Conn
-	query string
-	ended chan struct{} // closed when the caller has given the call up
+	query     string
+	abandoned chan struct{} // closed when the caller has closed the connection
 }
 
-func (a asked) answer(t *testing.T, text string) {
+func (c pendingCall) answer(t *testing.T, text string) {
 	t.Helper()
-	_, err := fmt.Fprintf(a, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	require.NoError(t, err)
 }
 
-// discovery stands in for the service on loopback: each call is the test's to answer, or not.
-type discovery struct {
+// fakeServer is a discovery service on loopback. The test answers each call, or leaves it unanswered.
+type fakeServer struct {
 	net.Listener
-	calls chan asked
+	calls chan pendingCall
 }
 
-func newDiscovery(t *testing.T) *discovery {
+func newFakeServer(t *testing.T) *fakeServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &discovery{ln, make(chan asked, 99)}
+	s := &fakeServer{ln, make(chan pendingCall, 99)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -75,207 +75,207 @@
 			}
 			t.Cleanup(func() { nc.Close() })
 			go func() {
-				in, ended := bufio.NewReader(nc), make(chan struct{})
-				defer close(ended)
+				reader, abandoned := bufio.NewReader(nc), make(chan struct{})
+				defer close(abandoned)
 				for {
-					req, err := http.ReadRequest(in)
+					req, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					d.calls <- asked{Conn: nc, query: req.URL.RequestURI(), ended: ended}
+					s.calls <- pendingCall{Conn: nc, query: req.URL.RequestURI(), abandoned: abandoned}
 				}
 			}()
 		}
 	}()
-	return d
+	return s
 }
 
-func (d *discovery) next(t *testing.T) asked {
+func (s *fakeServer) next(t *testing.T) pendingCall {
 	t.Helper()
 	select {
-	case a := <-d.calls:
-		return a
-	case <-time.After(patience):
+	case call := <-s.calls:
+		return call
+	case <-time.After(testTimeout):
 		require.Fail(t, "no call")
-		return asked{}
+		return pendingCall{}
 	}
 }
 
-func over(a asked) bool {
+func isAbandoned(call pendingCall) bool {
 	select {
-	case <-a.ended:
+	case <-call.abandoned:
 		return true
 	default:
 		return false
 	}
 }
 
-func listed(seq int, whole bool, host, health string) string {
+func listJSON(seq int, whole bool, host, health string) string {
 	return fmt.Sprintf("{\n \"seq\": %d,\n \"whole\": %v,\n \"hosts\": [\n"+
 		"  {\"host\": %q, \"dial\": \"127.0.0.1:1\", \"health\": %q}\n ]\n}", seq, whole, host, health)
 }
 
-// pushed are terms under which lists come unasked. The grace is long, lest a slow machine mistakes itself for
-// the agent.
-var pushed = refresh.Settings{Dispatchers: 300, DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second}
+// pushedSettings are settings with pushed lists. The drain grace is long so that a slow machine is not taken for a
+// silent agent.
+var pushedSettings = refresh.Settings{Dispatchers: 300, DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second}
 
-func watching(t *testing.T, terms refresh.Settings, seq int) (*discovery, *Watch, told) {
-	d, c := newDiscovery(t), make(told, 99)
-	w := New(d.Addr().String(), c, terms)
-	require.Equal(t, 1, w.LoadKnown([]byte(listed(seq, true, "a", "up"))))
-	require.Equal(t, "a0", c.next(t))
+func startWatch(t *testing.T, settings refresh.Settings, seq int) (*fakeServer, *Watch, recorder) {
+	server, events := newFakeServer(t), make(recorder, 99)
+	w := New(server.Addr().String(), events, settings)
+	require.Equal(t, 1, w.LoadKnown([]byte(listJSON(seq, true, "a", "up"))))
+	require.Equal(t, "a0", events.next(t))
 	go w.Run()
-	return d, w, c
+	return server, w, events
 }
 
-// The first call of a process does not wait for news, where what the agent has counts as told from then on:
-// it is answered at once, and shows at once where the list that was known is another service's.
+// The first call of a process does not wait for changes, because what the agent has counts as received from then on. It
+// is answered at once, and so shows at once that the restored list came from another service.
 func TestFirstCallDoesNotWait(t *testing.T) {
 	t.Parallel()
-	d, _, c := watching(t, pushed, 41)
-	a := d.next(t)
-	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", a.query)
-	a.answer(t, listed(7, false, "a", "draining"))
-	a = d.next(t)
-	require.Equal(t, "/v1/endpoints", a.query)
-	a.answer(t, listed(7, true, "a", "draining"))
-	require.Equal(t, "a1", c.next(t))
-	require.Equal(t, "/v1/endpoints?after=7&wait_ms=1000", d.next(t).query)
+	server, _, events := startWatch(t, pushedSettings, 41)
+	call := server.next(t)
+	require.Equal(t, "/v1/endpoints?after=41&wait_ms=0", call.query)
+	call.answer(t, listJSON(7, false, "a", "draining"))
+	call = server.next(t)
+	require.Equal(t, "/v1/endpoints", call.query)
+	call.answer(t, listJSON(7, true, "a", "draining"))
+	require.Equal(t, "a1", events.next(t))
+	require.Equal(t, "/v1/endpoints?after=7&wait_ms=1000", server.next(t).query)
 }
 
-// An agent falls silent under an open watch, and returns to new calls alone: these are made while the old one
-// still waits, so that what it has at its return is here within the grace of a drain. Were it only slow, the
-// old call would do.
+// An agent stops answering an open call, and after its return answers only new calls. Extra calls are made while the
+// open one still waits, so that changes are received within the drain grace. If the agent was only slow, the answer to
+// the open call is used.
 func TestAgentReturnsWhileACallIsHeld(t *testing.T) {
 	t.Parallel()
-	for _, which := range []string{"a new call is answered", "the old one is"} {
+	for _, which := range []string{"extra call answered", "open call answered"} {
 		t.Run(which, func(t *testing.T) {
 			t.Parallel()
-			d, _, c := watching(t, pushed, 41)
-			a := d.next(t)
-			a.answer(t, listed(42, false, "a", "up"))
-			require.Equal(t, "a0", c.next(t))
-			held := d.next(t)
+			server, _, events := startWatch(t, pushedSettings, 41)
+			call := server.next(t)
+			call.answer(t, listJSON(42, false, "a", "up"))
+			require.Equal(t, "a0", events.next(t))
+			held := server.next(t)
 			require.Equal(t, "/v1/endpoints?after=42&wait_ms=1000", held.query)
-			beside := d.next(t)
-			require.Equal(t, "/v1/endpoints?after=42&wait_ms=0", beside.query)
-			require.False(t, over(held), "the call that was open is given up before another is made")
-			if which == "the old one is" {
-				beside = held
+			extra := server.next(t)
+			require.Equal(t, "/v1/endpoints?after=42&wait_ms=0", extra.query)
+			require.False(t, isAbandoned(held), "the open call is abandoned before an extra call is made")
+			if which == "open call answered" {
+				extra = held
 			}
-			beside.answer(t, listed(43, false, "a", "draining"))
-			require.Equal(t, "a1", c.next(t))
-			for { // the watch goes on from there
-				if a = d.next(t); a.query == "/v1/endpoints?after=43&wait_ms=1000" {
+			extra.answer(t, listJSON(43, false, "a", "draining"))
+			require.Equal(t, "a1", events.next(t))
+			for { // the watch goes on from version 43
+				if call = server.next(t); call.query == "/v1/endpoints?after=43&wait_ms=1000" {
 					break
 				}
 			}
-			require.Empty(t, c)
+			require.Empty(t, events)
 		})
 	}
 }
 
-// Calls beside a silent one end one after the other, and only one is open at a time.
-func TestCallsBesideASilentOneAreFew(t *testing.T) {
+// Extra calls beside an unanswered one time out one after the other, and only one is open at a time.
+func TestExtraCallsAreSequential(t *testing.T) {
 	t.Parallel()
-	terms := pushed
-	terms.DrainGrace = 400 * time.Millisecond
-	d, _, _ := watching(t, terms, 41)
-	held := d.next(t)
+	settings := pushedSettings
+	settings.DrainGrace = 400 * time.Millisecond
+	server, _, _ := startWatch(t, settings, 41)
+	held := server.next(t)
 	for range 5 {
-		a := d.next(t)
+		call := server.next(t)
 		select {
-		case <-a.ended:
-		case <-time.After(patience):
-			require.Fail(t, "it stays open")
+		case <-call.abandoned:
+		case <-time.After(testTimeout):
+			require.Fail(t, "the call stays open")
 		}
 	}
-	require.False(t, over(held))
+	require.False(t, isAbandoned(held))
 }
 
-// Where discovery must be asked, a call is made only when the one before has ended: calls are its work.
-func TestAskedDiscoveryGetsOneCall(t *testing.T) {
+// A polled discovery gets a call only after the previous one has ended, as each call costs it work.
+func TestPolledDiscoveryGetsOneCall(t *testing.T) {
 	t.Parallel()
-	terms := pushed
-	terms.Polled, terms.Dispatchers = true, 1
-	d, _, _ := watching(t, terms, 41)
+	settings := pushedSettings
+	settings.Polled, settings.Dispatchers = true, 1
+	server, _, _ := startWatch(t, settings, 41)
 	for range 2 {
-		a := d.next(t)
+		call := server.next(t)
 		select {
-		case <-a.ended:
-		case <-time.After(patience):
-			require.Fail(t, "it stays open")
+		case <-call.abandoned:
+		case <-time.After(testTimeout):
+			require.Fail(t, "the call stays open")
 		}
-		require.Empty(t, d.calls)
+		require.Empty(t, server.calls)
 	}
 }
 
-// A whole list that is older than the one held, from the same service, brings back nobody who drains. The
-// next call is for the whole list again; who answers that with an older one as well has begun anew.
+// An older whole list from the same service is not applied, as it may show draining workers as up. The next call is
+// for the whole list again; if its answer is older too, the service has restarted its versions and the list is applied.
 func TestOldWholeList(t *testing.T) {
 	t.Parallel()
-	for _, anew := range []bool{false, true} {
-		d, w, c := watching(t, pushed, 41)
-		d.next(t).answer(t, listed(43, false, "a", "draining"))
-		require.Equal(t, "a1", c.next(t))
-		a := d.next(t)
+	for _, restarted := range []bool{false, true} {
+		server, w, events := startWatch(t, pushedSettings, 41)
+		server.next(t).answer(t, listJSON(43, false, "a", "draining"))
+		require.Equal(t, "a1", events.next(t))
+		call := server.next(t)
 		w.Fetch()
-		a.answer(t, `{"seq":43,"whole":false,"hosts":[]}`)
-		require.Empty(t, c.next(t))
-		a = d.next(t)
-		require.Equal(t, "/v1/endpoints", a.query)
-		a.answer(t, listed(42, true, "a", "up"))
-		a = d.next(t)
-		require.Equal(t, "/v1/endpoints", a.query)
-		require.Empty(t, c, "the old list was taken")
-		if anew {
-			a.answer(t, listed(3, true, "a", "up"))
-			require.Equal(t, "a0", c.next(t))
+		call.answer(t, `{"seq":43,"whole":false,"hosts":[]}`)
+		require.Empty(t, events.next(t))
+		call = server.next(t)
+		require.Equal(t, "/v1/endpoints", call.query)
+		call.answer(t, listJSON(42, true, "a", "up"))
+		call = server.next(t)
+		require.Equal(t, "/v1/endpoints", call.query)
+		require.Empty(t, events, "the older list was applied")
+		if restarted {
+			call.answer(t, listJSON(3, true, "a", "up"))
+			require.Equal(t, "a0", events.next(t))
 			continue
 		}
-		a.answer(t, listed(43, true, "a", "draining"))
-		require.Equal(t, "a1", c.next(t))
-		require.Equal(t, "/v1/endpoints?after=43&wait_ms=1000", d.next(t).query)
+		call.answer(t, listJSON(43, true, "a", "draining"))
+		require.Equal(t, "a1", events.next(t))
+		require.Equal(t, "/v1/endpoints?after=43&wait_ms=1000", server.next(t).query)
 	}
 }
 
-// After a move the versions are another service's, and a lower one is no old list. What the old one still has
-// to say is dropped, and its calls are ended.
+// After a move the versions are those of another service, so a lower one does not mean an older list. Calls to the old
+// address are aborted, and answers that still come are dropped.
 func TestMoveWhileACallIsHeld(t *testing.T) {
 	t.Parallel()
-	d, w, c := watching(t, pushed, 41)
-	d.next(t).answer(t, listed(43, false, "a", "up"))
-	require.Equal(t, "a0", c.next(t))
-	held := d.next(t)
-	beside := d.next(t)
-	other := newDiscovery(t)
+	server, w, events := startWatch(t, pushedSettings, 41)
+	server.next(t).answer(t, listJSON(43, false, "a", "up"))
+	require.Equal(t, "a0", events.next(t))
+	held := server.next(t)
+	extra := server.next(t)
+	other := newFakeServer(t)
 	w.Move(other.Addr().String())
-	a := other.next(t)
-	require.Equal(t, "/v1/endpoints", a.query)
-	for _, old := range []asked{held, beside} {
+	call := other.next(t)
+	require.Equal(t, "/v1/endpoints", call.query)
+	for _, old := range []pendingCall{held, extra} {
 		select {
-		case <-old.ended:
-		case <-time.After(patience):
+		case <-old.abandoned:
+		case <-time.After(testTimeout):
 			require.Fail(t, "a call to the old address stays open")
 		}
 		io.WriteString(old, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 	}
-	a.answer(t, listed(2, true, "b", "up"))
-	require.Equal(t, "b0", c.next(t))
+	call.answer(t, listJSON(2, true, "b", "up"))
+	require.Equal(t, "b0", events.next(t))
 }
 
-// Other settings hold for the watch as well: the agent that is called beside a silent call was asked for its
-// list before.
-func TestTermsChange(t *testing.T) {
+// New settings apply to the running watch: after a change from polling to pushed lists, an extra call is made beside an
+// unanswered one.
+func TestSettingsChange(t *testing.T) {
 	t.Parallel()
-	terms := pushed
-	terms.Polled, terms.Dispatchers = true, 1
-	d, w, _ := watching(t, terms, 41)
-	a := d.next(t)
-	w.UpdateSettings(pushed)
-	a.answer(t, listed(42, false, "a", "up"))
-	held := d.next(t)
+	settings := pushedSettings
+	settings.Polled, settings.Dispatchers = true, 1
+	server, w, _ := startWatch(t, settings, 41)
+	call := server.next(t)
+	w.UpdateSettings(pushedSettings)
+	call.answer(t, listJSON(42, false, "a", "up"))
+	held := server.next(t)
 	require.Equal(t, "/v1/endpoints?after=42&wait_ms=1000", held.query)
-	require.Equal(t, "/v1/endpoints?after=42&wait_ms=0", d.next(t).query)
-	require.False(t, over(held))
+	require.Equal(t, "/v1/endpoints?after=42&wait_ms=0", server.next(t).query)
+	require.False(t, isAbandoned(held))
 }
