--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,23 +14,23 @@
 	"topazfall"
 )
 
-// Config is what one dispatcher is told at its start.
+// Config is the configuration of one dispatcher.
 type Config struct {
 	Name, Listen, Discovery string
-	Management              string // the second address; empty for none
+	Management              string // listen address of the management endpoint; empty for none
 	Cores                   float64
 	MemoryMB, Sockets       int
-	PeerListen, PeersAll    string   // where dispatchers tell each other of hosts; empty where they may not
-	Peers                   []string // of each dispatcher by its number
-	KnownHosts              []byte   // the list of hosts as last had, in discovery's form; may be empty
+	PeerListen, PeersAll    string   // addresses of gossip messages between dispatchers; empty if they are not allowed
+	Peers                   []string // gossip address of each dispatcher, by its number
+	KnownHosts              []byte   // last known list of workers (hosts), in the format of discovery; may be empty
 	Settings                topazfall.Settings
-	ConnIdle                time.Duration // a host closes a connection once it has been idle for so long
-	HoldOnRefusal           bool          // a refusal of discovery shows that it could be reached; see package refresh
+	ConnIdle                time.Duration // idle time after which a worker closes a connection
+	HoldOnRefusal           bool          // refusals show that discovery could be reached; see package refresh
 
-	keys any // the file as it came, for those of the next one
+	keys any // the decoded file, whose keys the next one must have
 }
 
-// Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT overrule what it says.
+// Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT override its values.
 func Load(env func(string) string) (Config, error) {
 	path := env("LB_CONFIG")
 	if path == "" {
@@ -47,11 +47,11 @@
 	return c, nil
 }
 
-// Reload reads the file again, which may be used in c's place if there is no error. Its address of discovery wins now:
-// the environment is that of the start, and cannot have followed a move.
+// Reload reads the file again and returns the configuration to use in place of c. LB_DISCOVERY is ignored now: the
+// environment is that of the start, so it does not follow a move of discovery.
 //
-// A file that lacks a key of the one before is more likely a broken one than a wish for a default: the error names the
-// key. That it cannot be decided by what the program needs is why the file in force is the measure.
+// A file without a key of the previous file is an error that names the key: it is more likely broken than meant to ask
+// for a default. The previous file decides which keys are required because the program itself needs only a few.
 func (c *Config) Reload(env func(string) string) (Config, error) {
 	next, err := Load(func(name string) string {
 		if name == "LB_DISCOVERY" {
@@ -60,7 +60,7 @@
 		return env(name)
 	})
 	if err == nil {
-		err = lacks(c.keys, next.keys, "")
+		err = checkKeys(c.keys, next.keys, "")
 	}
 	if err == nil {
 		err = next.Settings.Check()
@@ -68,48 +68,48 @@
 	return next, err
 }
 
-// lacks names a key of was that is missing in is, or is of another kind there. In a list each entry must have the keys
-// that all the entries had.
-func lacks(was, is any, path string) error {
-	switch was := was.(type) {
+// checkKeys returns an error if a key of previous is missing in next or its value there is of another type. In a list,
+// each entry must have the keys that all previous entries have.
+func checkKeys(previous, next any, path string) error {
+	switch previous := previous.(type) {
 	case map[string]any:
-		is, ok := is.(map[string]any)
+		next, ok := next.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object", path)
+			return fmt.Errorf("%s is not an object", path)
 		}
-		for key, v := range was {
-			if key == "known" && path == "" { // the list of hosts is no setting
+		for key, v := range previous {
+			if key == "known" && path == "" { // the list of workers is not a setting
 				continue
 			}
-			if is[key] == nil {
+			if next[key] == nil {
 				return fmt.Errorf("%s is missing", strings.TrimPrefix(path+"."+key, "."))
 			}
-			if err := lacks(v, is[key], strings.TrimPrefix(path+"."+key, ".")); err != nil {
+			if err := checkKeys(v, next[key], strings.TrimPrefix(path+"."+key, ".")); err != nil {
 				return err
 			}
 		}
 	case []any:
-		is, ok := is.([]any)
+		next, ok := next.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list", path)
+			return fmt.Errorf("%s is not a list", path)
 		}
-		for i, v := range is {
-			if len(was) > 0 {
-				if err := lacks(common(was), v, fmt.Sprintf("%s[%d]", path, i)); err != nil {
+		for i, v := range next {
+			if len(previous) > 0 {
+				if err := checkKeys(commonKeys(previous), v, fmt.Sprintf("%s[%d]", path, i)); err != nil {
 					return err
 				}
 			}
 		}
 	default:
-		if fmt.Sprintf("%T", was) != fmt.Sprintf("%T", is) {
-			return fmt.Errorf("%s is %v, of another kind than %v", path, is, was)
+		if fmt.Sprintf("%T", previous) != fmt.Sprintf("%T", next) {
+			return fmt.Errorf("%s is %v, which is not of the type of %v", path, next, previous)
 		}
 	}
 	return nil
 }
 
-// common is an entry of a list with no more than the keys that all its entries have.
-func common(list []any) any {
+// commonKeys returns the first entry of a list without the keys that another entry lacks.
+func commonKeys(list []any) any {
 	first, ok := list[0].(map[string]any)
 	if !ok {
 		return list[0]
@@ -122,8 +122,9 @@
 	return first
 }
 
+// parse parses the text of a configuration file and applies the overrides of the environment.
 func parse(text []byte, env func(string) string) (Config, error) {
-	var f struct {
+	var file struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
 		Discovery string `json:"discovery"`
@@ -135,35 +136,36 @@
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
 		Known    jsoniter.RawMessage `json:"known"`
-		Settings Profile             `json:"settings"`
+		Settings SettingsObject      `json:"settings"`
 	}
-	if err := jsoniter.Unmarshal(text, &f); err != nil {
+	if err := jsoniter.Unmarshal(text, &file); err != nil {
 		return Config{}, err
 	}
-	var others struct { // apart: of more than ten fields the decoder's errors say less
+	var peers struct { // separate, as the decoder's errors say less for a struct of more than ten fields
 		Listen string   `json:"peer_listen"`
 		Peers  []string `json:"peers"`
 		All    string   `json:"peers_all"`
 
 		HoldOnRefusal bool `json:"hold_on_refusal"`
 	}
-	if err := jsoniter.Unmarshal(text, &others); err != nil {
+	if err := jsoniter.Unmarshal(text, &peers); err != nil {
 		return Config{}, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil && f.Seed != "" {
-		return Config{}, fmt.Errorf("seed %q is no hexadecimal number", f.Seed)
-	}
-	c := Config{Name: first(env("LB_NAME"), f.Name), Listen: first(env("LB_LISTEN"), f.Listen),
-		Discovery: first(env("LB_DISCOVERY"), f.Discovery), Management: first(env("LB_MANAGEMENT"), f.Manage),
-		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		PeerListen: others.Listen, Peers: others.Peers, PeersAll: others.All, HoldOnRefusal: others.HoldOnRefusal,
-		Sockets: f.Limits.Sockets, KnownHosts: f.Known,
-		ConnIdle: time.Duration(f.Settings.Allowed.ConnIdle) * time.Microsecond}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil && file.Seed != "" {
+		return Config{}, fmt.Errorf("seed %q is not a hexadecimal number", file.Seed)
+	}
+	c := Config{Name: firstNonEmpty(env("LB_NAME"), file.Name), Listen: firstNonEmpty(env("LB_LISTEN"), file.Listen),
+		Discovery:  firstNonEmpty(env("LB_DISCOVERY"), file.Discovery),
+		Management: firstNonEmpty(env("LB_MANAGEMENT"), file.Manage),
+		Cores:      file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
+		PeerListen: peers.Listen, Peers: peers.Peers, PeersAll: peers.All, HoldOnRefusal: peers.HoldOnRefusal,
+		Sockets: file.Limits.Sockets, KnownHosts: file.Known,
+		ConnIdle: time.Duration(file.Settings.Allowed.ConnIdle) * time.Microsecond}
 	if c.Listen == "" || c.Discovery == "" {
 		return Config{}, errors.New("listen and discovery must be given")
 	}
-	if c.Settings, err = f.Settings.Settings(seed); err != nil {
+	if c.Settings, err = file.Settings.ToSettings(seed); err != nil {
 		return Config{}, err
 	}
 	if err := jsoniter.Unmarshal(text, &c.keys); err != nil {
@@ -178,7 +180,7 @@
 	return c, nil
 }
 
-func first(values ...string) string {
+func firstNonEmpty(values ...string) string {
 	for _, v := range values {
 		if v != "" {
 			return v
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package config reads what a dispatcher is told: its settings, which are the same object on the bench and in
-// service, and its place in the deployment.
+// Package config reads the configuration of a dispatcher: its place in the deployment, and its settings, which have the
+// same format on the bench and in production.
 package config
 
 import (
@@ -12,15 +12,15 @@
 	"topazfall"
 )
 
-// Profile mirrors the settings object of the wire; keys that it does not name are ignored.
-type Profile struct {
+// SettingsObject mirrors the settings as a JSON object. Keys without a field are ignored.
+type SettingsObject struct {
 	Me         int      `json:"me"`
 	Replicas   int      `json:"replicas_of_me"`
 	MyZone     string   `json:"my_zone"`
 	Areas      []string `json:"areas"`
 	Skus       []string `json:"skus"`
 	Discovery  string   `json:"discovery"`
-	OverShare  *float64 `json:"over_share_worth"` // without it what is beyond a share is worth as much as the rest
+	OverShare  *float64 `json:"over_share_worth"` // part of their worth that jobs beyond a share keep; 1 if absent
 	WeightKind string   `json:"weight_kind"`
 	TickMicros int64    `json:"tick_us"`
 	Classes    []struct {
@@ -80,43 +80,44 @@
 		"retryable": topazfall.Safe, "dedup": topazfall.Keyed, "fragile": topazfall.Unsafe}
 	groups = map[string]topazfall.Group{
 		"": topazfall.GroupAll, "all": topazfall.GroupAll, "zone": topazfall.GroupZone, "cell": topazfall.GroupCell}
-	sources = map[string]topazfall.ReportSource{
+	reportSources = map[string]topazfall.ReportSource{
 		"": topazfall.ReportsNever, "none": topazfall.ReportsNever,
 		"answers": topazfall.ReportsInAnswers, "probe": topazfall.ReportsInProbes}
-	// fields are the words for the values of a load report, the wire's and the simulator's.
-	fields = []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "x0", "x1",
+	// loadFields are the names of the values of a load report, in the wire protocol and in the simulator.
+	loadFields = []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "x0", "x1",
 		"inflight", "queue", "util", "latency_ms", "qps", "eps"}
-	weights     = []string{"", "none", "nominal", "rough", "live"}
-	discoveries = []string{"", "automatic", "subscribe"}
+	weightKinds    = []string{"", "none", "nominal", "rough", "live"}
+	discoveryModes = []string{"", "automatic", "subscribe"}
 )
 
-// oneOf says which setting holds a word that nobody knows.
-func oneOf(words []string, path, word string) error {
-	if !slices.Contains(words, word) {
-		return fmt.Errorf("settings: %s is %q", path, word)
+// checkOneOf returns an error that names the setting at path if its value is not an allowed one.
+func checkOneOf(allowed []string, path, value string) error {
+	if !slices.Contains(allowed, value) {
+		return fmt.Errorf("settings: %s is %q", path, value)
 	}
 	return nil
 }
 
-// ParseSettings reads the settings object, as an ENLIST line or a configuration holds it.
+// ParseSettings parses a settings object, as it stands in an ENLIST line or a configuration file.
 func ParseSettings(seed uint64, text []byte) (topazfall.Settings, error) {
-	var p Profile
+	var p SettingsObject
 	if err := jsoniter.Unmarshal(text, &p); err != nil {
 		return topazfall.Settings{}, fmt.Errorf("unreadable settings: %v", err)
 	}
-	return p.Settings(seed)
+	return p.ToSettings(seed)
 }
 
-// Settings translates the object into the module's terms.
-func (p *Profile) Settings(seed uint64) (topazfall.Settings, error) {
+// ToSettings converts the object to the settings of the decision module.
+func (p *SettingsObject) ToSettings(seed uint64) (topazfall.Settings, error) {
 	var s topazfall.Settings
-	source, ok := sources[p.Stats.Source]
+	source, ok := reportSources[p.Stats.Source]
 	if !ok {
 		return s, fmt.Errorf("settings: stats.source is %q", p.Stats.Source)
 	}
-	err := errors.Join(oneOf(weights, "weight_kind", p.WeightKind), oneOf(discoveries, "discovery", p.Discovery))
+	err := errors.Join(checkOneOf(weightKinds, "weight_kind", p.WeightKind),
+		checkOneOf(discoveryModes, "discovery", p.Discovery))
 	for i, f := range p.Stats.Fields {
-		err = errors.Join(err, oneOf(fields, fmt.Sprintf("stats.fields[%d]", i), f))
+		err = errors.Join(err, checkOneOf(loadFields, fmt.Sprintf("stats.fields[%d]", i), f))
 	}
 	if err != nil {
 		return s, err
@@ -173,8 +174,8 @@
 	return s, nil
 }
 
-// SetLoad takes one value of a load report by its name, in the wire's words or the simulator's. Names that
-// no decision needs are passed over.
+// SetLoad sets one value of a load report by its name in the wire protocol or in the simulator. Names that no decision
+// needs are ignored.
 func SetLoad(l *topazfall.Load, name string, v float64) {
 	switch name {
 	case "pending", "queue":
