--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -1,5 +1,6 @@
-// Package hostlist brings the merged list of all sources to the dispatch goroutine, as changes in small portions: what
-// must get nothing new any more first, and never so many at once that messages would wait for them.
+// Package hostlist passes the merged list of workers from all sources to the dispatch goroutine, as changes in small
+// batches. Workers that must get nothing new any more come first, and no batch is so large that messages would have to
+// wait for it.
 package hostlist
 
 import (
@@ -13,36 +14,38 @@
 	"topazfall/internal/dispatch"
 )
 
-// portion is how many entries the dispatch goroutine is given at a time. The module keeps its hosts sorted, and a few
-// new ones at the end cost it a pass; with 2,000 hosts 32 of them cost a sort of all, some 1 ms, and 4 some 0.2 ms.
-const portion = 4
+// maxBatchEntries is the number of entries passed to the dispatch goroutine at a time. The decision module keeps its
+// workers sorted, and a few new ones at the end cost it one pass: with 2,000 workers, a batch of 32 causes a full sort
+// of about 1 ms, and a batch of 4 costs about 0.2 ms.
+const maxBatchEntries = 4
 
-// Core takes the list.
+// Core receives the list. It is the dispatch goroutine.
 type Core interface {
 	ApplyList(kind topazfall.EventKind, entries []dispatch.Entry)
-	Now() int64
-	Sync() // returns when what it was told has been dealt with
+	Now() int64 // microseconds
+	Sync()      // returns when everything passed before has been processed
 }
 
-// List is the merged list. It takes the inventory's news in the core's place.
+// List is the merged list. It receives the list of discovery in place of the core.
 type List struct {
 	core Core
 
 	mu     sync.Mutex
-	merge  *sources.Merger
+	merger *sources.Merger
 	timer  *time.Timer
 	closed bool
 }
 
-// New returns a list that tells core.
+// New returns a list that passes its changes to core.
 func New(core Core) *List {
-	l := &List{core: core, merge: sources.New(sources.Defaults)}
-	l.timer = time.AfterFunc(time.Hour, func() { l.do(func(int64) {}) })
+	l := &List{core: core, merger: sources.New(sources.Defaults)}
+	l.timer = time.AfterFunc(time.Hour, func() { l.update(func(int64) {}) })
 	return l
 }
 
-// do changes the merge and passes on what comes of it before it returns: a drain is on its way then.
-func (l *List) do(change func(now int64)) {
+// update applies a change to the merge and passes the resulting changes to the core before it returns, so that a drain
+// takes effect without delay.
+func (l *List) update(change func(now int64)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -50,84 +53,85 @@
 	}
 	now := l.core.Now()
 	change(now)
-	changed := l.merge.Merge(now)
+	changed := l.merger.Merge(now)
 	for len(changed) > 0 {
-		n := min(portion, len(changed))
+		n := min(maxBatchEntries, len(changed))
 		entries := make([]dispatch.Entry, n)
 		for i, e := range changed[:n] {
 			entries[i] = dispatch.Entry(e)
 		}
 		l.core.ApplyList(topazfall.ListPatch, entries)
-		l.core.Sync() // what waits has its turn before the next
+		l.core.Sync() // messages that wait are processed before the next batch
 		changed = changed[n:]
 	}
-	if next := l.merge.NextChange(now); next > 0 {
+	if next := l.merger.NextChange(now); next > 0 {
 		l.timer.Reset(time.Duration(next-now) * time.Microsecond)
 	}
 }
 
-// ApplyList takes news of the inventory.
+// ApplyList applies a list or changes from discovery, and passes on that discovery has failed.
 func (l *List) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	if kind == topazfall.ListFailed {
 		l.core.ApplyList(kind, nil)
 		return
 	}
-	l.do(func(int64) {
+	l.update(func(int64) {
 		roster := make([]sources.Entry, len(entries))
 		for i, e := range entries {
 			roster[i] = sources.Entry(e)
 		}
-		l.merge.UpdateRoster(kind, roster)
+		l.merger.UpdateRoster(kind, roster)
 	})
 }
 
-// Configure changes the knobs, and the names that are asked for.
+// Configure changes the settings of the merge and the set of SRV names.
 func (l *List) Configure(s sources.Settings, names map[string]sources.NameSettings) {
-	l.do(func(int64) { l.merge.Configure(s, maps.Clone(names)) })
+	l.update(func(int64) { l.merger.Configure(s, maps.Clone(names)) })
 }
 
-// ApplyAnswer takes a good answer for a name.
+// ApplyAnswer applies the records of a valid answer for a name.
 func (l *List) ApplyAnswer(name string, records []sources.Record) {
-	l.do(func(now int64) { l.merge.HandleAnswer(now, name, records) })
+	l.update(func(now int64) { l.merger.HandleAnswer(now, name, records) })
 }
 
-// RestoreRecords takes records that were known before a restart.
+// RestoreRecords restores the records of a name that were known before a restart.
 func (l *List) RestoreRecords(name string, records []sources.Record) {
-	l.do(func(now int64) { l.merge.Restore(now, name, records) })
+	l.update(func(now int64) { l.merger.Restore(now, name, records) })
 }
 
-// ApplyEmptyAnswer takes an authoritative answer that a name has no hosts.
+// ApplyEmptyAnswer applies an authoritative answer that a name has no hosts. The merge accepts it only after a number
+// of such answers in a row.
 func (l *List) ApplyEmptyAnswer(name string) {
-	l.do(func(now int64) {
-		if believed := l.merge.HandleEmptyAnswer(now, name); believed {
+	l.update(func(now int64) {
+		if accepted := l.merger.HandleEmptyAnswer(now, name); accepted {
 			slog.Warn("sources", "name", name, "state", "empty")
 		}
 	})
 }
 
-// RecordFailure notes that no resolver answers for a name.
+// RecordFailure records that no resolver answers for a name.
 func (l *List) RecordFailure(name, fault string) {
-	l.do(func(int64) { l.merge.HandleFailure(name, fault) })
+	l.update(func(int64) { l.merger.HandleFailure(name, fault) })
 }
 
-// Now is the core's time.
+// Now returns the core's time in microseconds.
 func (l *List) Now() int64 { return l.core.Now() }
 
-// Hosts returns the merged list, and what is wrong with each name.
+// Hosts returns the merged list, and the fault of each name that has one.
 func (l *List) Hosts() ([]sources.Host, map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.merge.Hosts(), l.merge.Faults()
+	return l.merger.Hosts(), l.merger.Faults()
 }
 
 // KnownRecords returns the records that are listed for a name.
 func (l *List) KnownRecords(name string) []sources.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.merge.Records(name)
+	return l.merger.Records(name)
 }
 
-// Close ends it: the core is told nothing more.
+// Close stops the list. The core receives nothing more from it.
 func (l *List) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -14,26 +14,27 @@
 	"topazfall/internal/metrics"
 )
 
-type nothing struct{}
+// noUpstream is an upstream and a discovery client that do nothing.
+type noUpstream struct{}
 
-func (nothing) Send(*exchange.Relay)                     {}
-func (nothing) Cancel(*exchange.Relay)                   {}
-func (nothing) Probe(*exchange.Host)                     {}
-func (nothing) SetAddresses(string, []addresses.Address) {}
-func (nothing) Follow()                                  {}
-func (nothing) Fetch()                                   {}
+func (noUpstream) Send(*exchange.Relay)                     {}
+func (noUpstream) Cancel(*exchange.Relay)                   {}
+func (noUpstream) Probe(*exchange.Host)                     {}
+func (noUpstream) SetAddresses(string, []addresses.Address) {}
+func (noUpstream) Follow()                                  {}
+func (noUpstream) Fetch()                                   {}
 
-const jobs = "_jobs._tcp.w.example"
+const srvName = "_jobs._tcp.w.example"
 
-func start(t testing.TB) (*dispatch.Core, *List) {
+func startCore(t testing.TB) (*dispatch.Core, *List) {
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "a", Deadline: 60e6, Aim: 60e6}},
 		Allowed: topazfall.Allowed{Attempts: 4, DialTimeout: 250e3}}, &metrics.Metrics{})
 	require.NoError(t, err)
-	go core.Run(nothing{}, nothing{})
-	l := New(core)
-	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
-	return core, l
+	go core.Run(noUpstream{}, noUpstream{})
+	list := New(core)
+	list.Configure(sources.Defaults, map[string]sources.NameSettings{srvName: {WeightUnit: 100, Zone: "z", Kind: "k"}})
+	return core, list
 }
 
 func records(from, n int) (list []sources.Record) {
@@ -45,57 +46,57 @@
 	return list
 }
 
-// BenchmarkReplace replaces 500 of 2,000 hosts, through the merge and the dispatch goroutine.
+// BenchmarkReplace replaces 500 of 2,000 workers, through the merge and the dispatch goroutine.
 func BenchmarkReplace(b *testing.B) {
-	core, l := start(b)
-	l.ApplyAnswer(jobs, records(0, 2000))
+	core, list := startCore(b)
+	list.ApplyAnswer(srvName, records(0, 2000))
 	for i := 1; b.Loop(); i++ {
-		l.ApplyAnswer(jobs, records(500*i, 2000))
+		list.ApplyAnswer(srvName, records(500*i, 2000))
 		core.Sync()
 	}
 }
 
-// order keeps what the core is told.
-type order struct {
-	told [][]dispatch.Entry
-	sync int
+// recordingCore records the batches that the core receives, and its number of syncs.
+type recordingCore struct {
+	batches [][]dispatch.Entry
+	syncs   int
 }
 
-func (o *order) Now() int64 { return 1 }
-func (o *order) Sync()      { o.sync++ }
-func (o *order) ApplyList(_ topazfall.EventKind, entries []dispatch.Entry) {
-	o.told = append(o.told, entries)
+func (c *recordingCore) Now() int64 { return 1 }
+func (c *recordingCore) Sync()      { c.syncs++ }
+func (c *recordingCore) ApplyList(_ topazfall.EventKind, entries []dispatch.Entry) {
+	c.batches = append(c.batches, entries)
 }
 
-// The core gets small portions, with a turn for others after each, and what gets nothing new any more comes first.
-func TestPortions(t *testing.T) {
-	o := &order{}
-	l := New(o)
-	defer l.Close()
-	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100}})
-	l.ApplyAnswer(jobs, records(0, 100))
-	l.ApplyList(topazfall.ListPatch,
+// The core receives small batches with a sync after each, and workers that get nothing new any more come first.
+func TestBatches(t *testing.T) {
+	core := &recordingCore{}
+	list := New(core)
+	defer list.Close()
+	list.Configure(sources.Defaults, map[string]sources.NameSettings{srvName: {WeightUnit: 100}})
+	list.ApplyAnswer(srvName, records(0, 100))
+	list.ApplyList(topazfall.ListPatch,
 		[]dispatch.Entry{{Addr: "10.0.0.7:9000", Worker: topazfall.Worker{ID: "s", State: topazfall.Draining}}})
-	last := o.told[len(o.told)-1]
-	require.Equal(t, topazfall.Gone, last[0].State, "w7.example, which is s")
+	last := core.batches[len(core.batches)-1]
+	require.Equal(t, topazfall.Gone, last[0].State, "w7.example, the same worker as s")
 	require.Equal(t, topazfall.Draining, last[1].State)
-	l.ApplyAnswer(jobs, records(50, 100))
+	list.ApplyAnswer(srvName, records(50, 100))
 	gone := 0
-	for _, entries := range o.told[len(o.told)-25:] {
-		require.LessOrEqual(t, len(entries), portion)
+	for _, entries := range core.batches[len(core.batches)-25:] {
+		require.LessOrEqual(t, len(entries), maxBatchEntries)
 		for _, e := range entries {
 			if e.State == topazfall.Gone {
 				gone++
 			} else {
-				require.Equal(t, 49, gone, "those of before first; one is the roster's")
+				require.Equal(t, 49, gone, "removed workers come first, and one of the 50 is on the roster")
 			}
 		}
 	}
-	require.Equal(t, len(o.told), o.sync)
-	before := len(o.told)
-	l.ApplyList(topazfall.ListFailed, nil)
-	require.Len(t, o.told, before+1)
-	l.Close()
-	l.ApplyAnswer(jobs, nil)
-	require.Len(t, o.told, before+1, "closed")
+	require.Equal(t, len(core.batches), core.syncs)
+	count := len(core.batches)
+	list.ApplyList(topazfall.ListFailed, nil)
+	require.Len(t, core.batches, count+1)
+	list.Close()
+	list.ApplyAnswer(srvName, nil)
+	require.Len(t, core.batches, count+1, "closed")
 }
