--- a/internal/settings/entries.go
+++ b/internal/settings/entries.go
@@ -12,8 +12,8 @@
 	pb "topazfall/internal/control/controlpb"
 )
 
-// The keys of a document's entries. Lists have an entry for each of their members, so that a change of one costs
-// what that one costs. Entries of other keys are of a newer program and passed over.
+// Keys of a document's entries. Each member of a list has an entry of its own, so that a change transfers only the
+// members that change. Entries with other keys come from a newer program and are ignored.
 const (
 	sourcesKey   = "sources"
 	addressesKey = "addresses"
@@ -21,46 +21,46 @@
 	teamPrefix   = "team/"
 )
 
-// ErrEntries is wrapped by what says why entries make no document.
-var ErrEntries = errors.New("entries that make no settings")
+// ErrInvalidEntries is wrapped by the errors of entries that cannot be decoded.
+var ErrInvalidEntries = errors.New("entries cannot be decoded as settings")
 
-// ToEntries returns a sound document as entries by key.
+// ToEntries returns a valid document as entries by key.
 func ToEntries(doc *pb.Settings) (map[string][]byte, error) {
 	entries := map[string][]byte{}
 	var faults error
-	put := func(key string, m proto.Message) {
+	add := func(key string, m proto.Message) {
 		value, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 		entries[key] = value
 		faults = errors.Join(faults, err)
 	}
 	if s := doc.GetSources(); s != nil {
-		alone := proto.CloneOf(s)
-		alone.Srv = nil
-		put(sourcesKey, alone)
+		withoutNames := proto.CloneOf(s)
+		withoutNames.Srv = nil
+		add(sourcesKey, withoutNames)
 		for _, name := range s.Srv {
-			put(srvPrefix+Canonical(name.Name), name)
+			add(srvPrefix+CanonicalName(name.Name), name)
 		}
 	}
 	if a := doc.GetAddresses(); a != nil {
-		put(addressesKey, a)
+		add(addressesKey, a)
 	}
 	for _, team := range doc.GetTeams() {
-		put(teamPrefix+team.Name, team)
+		add(teamPrefix+team.Name, team)
 	}
 	return entries, faults
 }
 
-// FromEntries returns the document that entries make, with names and teams in the order of their keys, checked as Check
-// does. Its errors are Faults and those that wrap ErrEntries.
+// FromEntries returns the document of these entries, with names and teams in the order of their keys, after Check has
+// found no fault in it. Its errors are Faults and those that wrap ErrInvalidEntries.
 func FromEntries(entries map[string][]byte) (*pb.Settings, error) {
 	doc := &pb.Settings{}
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
-		m := place(doc, key)
+		m := targetOf(doc, key)
 		if m == nil {
 			continue
 		}
 		if err := (proto.UnmarshalOptions{Merge: true}).Unmarshal(entries[key], m); err != nil {
-			return nil, fmt.Errorf("%w: %.64q: %w", ErrEntries, key, err)
+			return nil, fmt.Errorf("%w: %.64q: %w", ErrInvalidEntries, key, err)
 		}
 	}
 	if faults := Check(doc); len(faults) > 0 {
@@ -69,8 +69,8 @@
 	return doc, nil
 }
 
-// place returns the part of a document that an entry is, or nil for a key that nobody knows.
-func place(doc *pb.Settings, key string) proto.Message {
+// targetOf returns the part of a document that the entry of a key is decoded into, or nil for an unknown key.
+func targetOf(doc *pb.Settings, key string) proto.Message {
 	switch {
 	case key == sourcesKey || strings.HasPrefix(key, srvPrefix):
 		if doc.Sources == nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is the document that an instance is told by the control API: its defaults, its checks, and the
-// revisions that were taken.
+// Package settings handles the settings document that an instance receives by the control API: its defaults, its
+// checks, and the store of its accepted revisions.
 package settings
 
 import (
@@ -19,24 +19,24 @@
 	"topazfall/internal/decide/sources"
 )
 
-// Bounds of a document.
+// Limits of a document.
 const (
-	mostFaults    = 100 // that are listed; a document of them only is not worth reading further
-	mostNames     = 64
-	mostPlaces    = 256
-	mostResolvers = 8
-	mostBytes     = 1 << 20
-	mostTeams     = 1024
-	mostTeamName  = 128
-	mostQuota     = 1e6 // jobs a second: far beyond what one dispatcher serves
+	maxFaults        = 100 // that are listed; nobody needs the rest of a document with so many
+	maxNames         = 64
+	maxPlaces        = 256
+	maxResolvers     = 8
+	maxBytes         = 1 << 20
+	maxTeams         = 1024
+	maxTeamNameBytes = 128
+	maxQuota         = 1e6 // jobs per second; far more than one dispatcher serves
 )
 
-// Fault is one thing that is wrong with a document.
+// Fault is one fault of a document, at the path of a field.
 type Fault struct{ Path, Text string }
 
 func (f Fault) String() string { return f.Path + ": " + f.Text }
 
-// Faults is an error that lists them all.
+// Faults is an error that lists the faults of a document.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -47,42 +47,42 @@
 	return strings.Join(texts, "; ")
 }
 
-// duration is a field with its default and its bounds.
-type duration struct {
-	name        string
-	value       **durationpb.Duration
-	def         time.Duration
-	least, most time.Duration
+// durationField is a field of type duration with its default and its bounds.
+type durationField struct {
+	name         string
+	value        **durationpb.Duration
+	defaultValue time.Duration
+	lower, upper time.Duration
 }
 
-func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
+func microseconds(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-func sourceDurations(s *pb.Sources) []duration {
+func sourceDurations(s *pb.Sources) []durationField {
 	d := sources.Defaults
-	return []duration{
+	return []durationField{
 		{"timeout", &s.Timeout, time.Second, 10 * time.Millisecond, 30 * time.Second},
 		{"least_lifetime", &s.LeastLifetime, time.Second, 100 * time.Millisecond, time.Hour},
 		{"most_lifetime", &s.MostLifetime, time.Hour, time.Second, 24 * time.Hour},
-		{"hold", &s.Hold, us(d.Hold), 0, 24 * time.Hour},
-		{"drain_every", &s.DrainEvery, us(d.DrainEvery), 10 * time.Millisecond, time.Hour},
-		{"flap_window", &s.FlapWindow, us(d.FlapWindow), time.Second, time.Hour},
-		{"flap_hold", &s.FlapHold, us(d.FlapHold), 0, time.Hour},
+		{"hold", &s.Hold, microseconds(d.Hold), 0, 24 * time.Hour},
+		{"drain_every", &s.DrainEvery, microseconds(d.DrainEvery), 10 * time.Millisecond, time.Hour},
+		{"flap_window", &s.FlapWindow, microseconds(d.FlapWindow), time.Second, time.Hour},
+		{"flap_hold", &s.FlapHold, microseconds(d.FlapHold), 0, time.Hour},
 	}
 }
 
-func addressDurations(a *pb.Addresses) []duration {
+func addressDurations(a *pb.Addresses) []durationField {
 	d := addresses.Defaults
-	return []duration{
-		{"delay_least", &a.DelayLeast, us(d.MinDelay), 10 * time.Millisecond, 2 * time.Second},
-		{"delay_first", &a.DelayFirst, us(d.InitialDelay), 10 * time.Millisecond, 2 * time.Second},
-		{"delay_most", &a.DelayMost, us(d.MaxDelay), 10 * time.Millisecond, 2 * time.Second},
-		{"rest_least", &a.RestLeast, us(d.MinBackoff), 10 * time.Millisecond, time.Minute},
-		{"rest_most", &a.RestMost, us(d.MaxBackoff), 10 * time.Millisecond, 10 * time.Minute},
-		{"calm", &a.Calm, us(d.CalmPeriod), 0, time.Hour},
+	return []durationField{
+		{"delay_least", &a.DelayLeast, microseconds(d.MinDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"delay_first", &a.DelayFirst, microseconds(d.InitialDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"delay_most", &a.DelayMost, microseconds(d.MaxDelay), 10 * time.Millisecond, 2 * time.Second},
+		{"rest_least", &a.RestLeast, microseconds(d.MinBackoff), 10 * time.Millisecond, time.Minute},
+		{"rest_most", &a.RestMost, microseconds(d.MaxBackoff), 10 * time.Millisecond, 10 * time.Minute},
+		{"calm", &a.Calm, microseconds(d.CalmPeriod), 0, time.Hour},
 	}
 }
 
-// Effective returns the document with all defaults filled in.
+// Effective returns a copy of the document with all defaults filled in.
 func Effective(doc *pb.Settings) *pb.Settings {
 	d := &pb.Settings{}
 	if doc != nil {
@@ -96,7 +96,7 @@
 	}
 	for _, f := range append(sourceDurations(d.Sources), addressDurations(d.Addresses)...) {
 		if *f.value == nil {
-			*f.value = durationpb.New(f.def)
+			*f.value = durationpb.New(f.defaultValue)
 		}
 	}
 	if d.Sources.Confirmations == 0 {
@@ -113,27 +113,29 @@
 	return d
 }
 
-// label is what a name may consist of: letters, digits, hyphens, and the underscore that service names begin with.
-var label = regexp.MustCompile(`^[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9])?$`)
+// labelPattern matches a label of a DNS name: letters, digits, hyphens, and underscores, with which the labels of
+// service names begin.
+var labelPattern = regexp.MustCompile(`^[A-Za-z0-9_]([A-Za-z0-9_-]{0,61}[A-Za-z0-9])?$`)
 
+// checkName returns the fault of a DNS name, or "" if it is valid.
 func checkName(text string) string {
 	name := strings.TrimSuffix(text, ".")
 	if name == "" || len(name) > 253 {
 		return "must have 1 to 253 bytes"
 	}
 	for l := range strings.SplitSeq(name, ".") {
-		if !label.MatchString(l) {
-			return fmt.Sprintf("%.64q is no label of a name", l)
+		if !labelPattern.MatchString(l) {
+			return fmt.Sprintf("%.64q is not a valid label of a name", l)
 		}
 	}
 	return ""
 }
 
-// Check lists everything that is wrong with a document, mostFaults faults at most.
+// Check returns all faults of a document, up to maxFaults.
 func Check(doc *pb.Settings) Faults {
 	c := &checker{}
-	if n := proto.Size(doc); n > mostBytes {
-		c.bad("settings", "%d bytes are more than %d", n, mostBytes)
+	if n := proto.Size(doc); n > maxBytes {
+		c.addFault("settings", "%d bytes are more than %d", n, maxBytes)
 		return c.faults
 	}
 	d := Effective(doc)
@@ -144,79 +146,80 @@
 	return c.faults
 }
 
-// checker gathers what is wrong with a document.
+// checker collects the faults of a document.
 type checker struct{ faults Faults }
 
-func (c *checker) bad(path, format string, args ...any) {
-	if len(c.faults) < mostFaults {
+func (c *checker) addFault(path, format string, args ...any) {
+	if len(c.faults) < maxFaults {
 		c.faults = append(c.faults, Fault{path, fmt.Sprintf(format, args...)})
 	}
 }
 
-// checkDurations checks each duration within its own bounds and, where all of a section are, those of one section
-// against each other.
+// checkDurations checks the bounds of each duration. If all durations of a section are within their bounds, it also
+// checks their order.
 func (c *checker) checkDurations(d *pb.Settings) {
 	s, a := d.Sources, d.Addresses
-	if c.within("sources.", sourceDurations(s)) {
-		c.ordered("sources.", "least_lifetime", "most_lifetime", s.LeastLifetime, s.MostLifetime)
+	if c.checkBounds("sources.", sourceDurations(s)) {
+		c.checkOrder("sources.", "least_lifetime", "most_lifetime", s.LeastLifetime, s.MostLifetime)
 	}
-	if c.within("addresses.", addressDurations(a)) {
-		c.ordered("addresses.", "delay_least", "delay_first", a.DelayLeast, a.DelayFirst)
-		c.ordered("addresses.", "delay_first", "delay_most", a.DelayFirst, a.DelayMost)
-		c.ordered("addresses.", "rest_least", "rest_most", a.RestLeast, a.RestMost)
+	if c.checkBounds("addresses.", addressDurations(a)) {
+		c.checkOrder("addresses.", "delay_least", "delay_first", a.DelayLeast, a.DelayFirst)
+		c.checkOrder("addresses.", "delay_first", "delay_most", a.DelayFirst, a.DelayMost)
+		c.checkOrder("addresses.", "rest_least", "rest_most", a.RestLeast, a.RestMost)
 	}
 }
 
-// within tells whether all durations of a section are within their bounds.
-func (c *checker) within(section string, list []duration) bool {
-	sound := true
+// checkBounds reports whether all durations of a section are within their bounds.
+func (c *checker) checkBounds(section string, list []durationField) bool {
+	valid := true
 	for _, f := range list {
 		if err := (*f.value).CheckValid(); err != nil {
-			c.bad(section+f.name, "is no duration")
-			sound = false
-		} else if v := (*f.value).AsDuration(); v < f.least || v > f.most {
-			c.bad(section+f.name, "%s is not within %s to %s", v, f.least, f.most)
-			sound = false
+			c.addFault(section+f.name, "is not a valid duration")
+			valid = false
+		} else if v := (*f.value).AsDuration(); v < f.lower || v > f.upper {
+			c.addFault(section+f.name, "%s is not within %s to %s", v, f.lower, f.upper)
+			valid = false
 		}
 	}
-	return sound
+	return valid
 }
 
-func (c *checker) ordered(section, low, high string, a, b *durationpb.Duration) {
+// checkOrder checks that the duration low is at most the duration high.
+func (c *checker) checkOrder(section, low, high string, a, b *durationpb.Duration) {
 	if a.AsDuration() > b.AsDuration() {
-		c.bad(section+low, "%s is more than %s, which is %s", a.AsDuration(), high, b.AsDuration())
+		c.addFault(section+low, "%s is more than %s, which is %s", a.AsDuration(), high, b.AsDuration())
 	}
 }
 
-// checkSources checks the counts of names and resolvers, the resolvers, and the counters of the merge.
+// checkSources checks the number of names and resolvers, the resolvers, and the counts of confirmations and flaps.
 func (c *checker) checkSources(s *pb.Sources) {
-	if len(s.Srv) > mostNames {
-		c.bad("sources.srv", "%d names are more than %d", len(s.Srv), mostNames)
+	if len(s.Srv) > maxNames {
+		c.addFault("sources.srv", "%d names are more than %d", len(s.Srv), maxNames)
 	}
-	if len(s.Resolvers) > mostResolvers {
-		c.bad("sources.resolvers", "%d are more than %d", len(s.Resolvers), mostResolvers)
+	if len(s.Resolvers) > maxResolvers {
+		c.addFault("sources.resolvers", "%d are more than %d", len(s.Resolvers), maxResolvers)
 	}
 	if len(s.Srv) > 0 && len(s.Resolvers) == 0 {
-		c.bad("sources.resolvers", "there are names and nobody to ask")
+		c.addFault("sources.resolvers", "names need at least one resolver")
 	}
 	for i, text := range s.Resolvers {
 		path := fmt.Sprintf("sources.resolvers[%d]", i)
 		if !isResolver(text) {
-			c.bad(path, "%.64q is no IP:port of a resolver", text)
+			c.addFault(path, "%.64q is not the IP:port of a resolver", text)
 		}
 		if slices.Contains(s.Resolvers[:i], text) {
-			c.bad(path, "%.64q is listed twice", text)
+			c.addFault(path, "%.64q is listed twice", text)
 		}
 	}
 	if s.Confirmations > 100 {
-		c.bad("sources.confirmations", "%d is not within 1 to 100", s.Confirmations)
+		c.addFault("sources.confirmations", "%d is not within 1 to 100", s.Confirmations)
 	}
 	if s.Flaps > 16 {
-		c.bad("sources.flaps", "%d is not within 1 to 16", s.Flaps)
+		c.addFault("sources.flaps", "%d is not within 1 to 16", s.Flaps)
 	}
 }
 
-// isResolver tells whether a text is the IP:port of a single host.
+// isResolver reports whether a text is the IP:port of a single host.
 func isResolver(text string) bool {
 	ap, err := netip.ParseAddrPort(text)
 	return err == nil && ap.Port() != 0 && !ap.Addr().IsUnspecified() && !ap.Addr().IsMulticast()
@@ -227,57 +230,57 @@
 	for i, n := range names {
 		path := fmt.Sprintf("sources.srv[%d].", i)
 		if fault := checkName(n.Name); fault != "" {
-			c.bad(path+"name", "%.64q: %s", n.Name, fault)
+			c.addFault(path+"name", "%.64q: %s", n.Name, fault)
 		}
-		if key := Canonical(n.Name); seen[key] {
-			c.bad(path+"name", "%.64q is listed twice", n.Name)
+		if key := CanonicalName(n.Name); seen[key] {
+			c.addFault(path+"name", "%.64q is listed twice", n.Name)
 		} else {
 			seen[key] = true
 		}
 		if n.WeightUnit > 65535 {
-			c.bad(path+"weight_unit", "%d is not within 1 to 65535", n.WeightUnit)
+			c.addFault(path+"weight_unit", "%d is not within 1 to 65535", n.WeightUnit)
 		}
-		if len(n.Places) > mostPlaces {
-			c.bad(path+"places", "%d are more than %d", len(n.Places), mostPlaces)
+		if len(n.Places) > maxPlaces {
+			c.addFault(path+"places", "%d are more than %d", len(n.Places), maxPlaces)
 		}
 		for j, p := range n.Places {
 			if p.Suffix == "" || len(p.Suffix) > 253 {
-				c.bad(fmt.Sprintf("%splaces[%d].suffix", path, j), "must have 1 to 253 bytes")
+				c.addFault(fmt.Sprintf("%splaces[%d].suffix", path, j), "must have 1 to 253 bytes")
 			}
 		}
 		for field, text := range map[string]string{"zone": n.Zone, "kind": n.Kind} {
 			if len(text) > 128 {
-				c.bad(path+field, "is longer than 128 bytes")
+				c.addFault(path+field, "is longer than 128 bytes")
 			}
 		}
 	}
 }
 
 func (c *checker) checkTeams(teams []*pb.Team) {
-	if len(teams) > mostTeams {
-		c.bad("teams", "%d are more than %d", len(teams), mostTeams)
+	if len(teams) > maxTeams {
+		c.addFault("teams", "%d are more than %d", len(teams), maxTeams)
 		return
 	}
 	seen := map[string]bool{}
 	for i, team := range teams {
 		path := fmt.Sprintf("teams[%d].", i)
-		if team.Name == "" || len(team.Name) > mostTeamName {
-			c.bad(path+"name", "must have 1 to %d bytes", mostTeamName)
+		if team.Name == "" || len(team.Name) > maxTeamNameBytes {
+			c.addFault(path+"name", "must have 1 to %d bytes", maxTeamNameBytes)
 		}
 		if seen[team.Name] {
-			c.bad(path+"name", "%.64q is listed twice", team.Name)
+			c.addFault(path+"name", "%.64q is listed twice", team.Name)
 		}
 		seen[team.Name] = true
 		if !(team.Share >= 0 && team.Share <= 1) {
-			c.bad(path+"share", "%v is not within 0 to 1", team.Share)
+			c.addFault(path+"share", "%v is not within 0 to 1", team.Share)
 		}
-		if !(team.Quota >= 0 && team.Quota <= mostQuota) {
-			c.bad(path+"quota", "%v is not within 0 to %v", team.Quota, mostQuota)
+		if !(team.Quota >= 0 && team.Quota <= maxQuota) {
+			c.addFault(path+"quota", "%v is not within 0 to %v", team.Quota, maxQuota)
 		}
 	}
 }
 
-// Tenants are the teams as the decision module knows them.
+// Tenants returns the teams of a document as tenants of the decision module.
 func Tenants(doc *pb.Settings) []topazfall.Tenant {
 	teams := make([]topazfall.Tenant, len(doc.GetTeams()))
 	for i, team := range doc.GetTeams() {
@@ -286,10 +289,10 @@
 	return teams
 }
 
-// Canonical is a name in the form in which names are compared.
-func Canonical(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) }
+// CanonicalName returns a DNS name in the form in which names are compared: lower case, without the final dot.
+func CanonicalName(name string) string { return strings.ToLower(strings.TrimSuffix(name, ".")) }
 
-// AddressLimits are the knobs of addresses.
+// AddressLimits returns the limits of address selection from a document with defaults filled in.
 func AddressLimits(effective *pb.Settings) addresses.Limits {
 	a := effective.Addresses
 	return addresses.Limits{MinDelay: a.DelayLeast.AsDuration().Microseconds(),
@@ -298,7 +301,8 @@
 		MaxBackoff: a.RestMost.AsDuration().Microseconds(), CalmPeriod: a.Calm.AsDuration().Microseconds()}
 }
 
-// MergeSettings are the knobs of the merge of sources, and the names with theirs.
+// MergeSettings returns the settings of the merge of sources, and those of each SRV name, from a document with defaults
+// filled in.
 func MergeSettings(effective *pb.Settings) (sources.Settings, map[string]sources.NameSettings) {
 	s := effective.Sources
 	names := map[string]sources.NameSettings{}
@@ -308,7 +312,7 @@
 			places[i] = sources.Place{Suffix: strings.TrimSuffix(strings.ToLower(p.Suffix), "."), Zone: p.Zone,
 				Kind: p.Kind}
 		}
-		names[Canonical(n.Name)] = sources.NameSettings{Zone: n.Zone, Kind: n.Kind, Places: places,
+		names[CanonicalName(n.Name)] = sources.NameSettings{Zone: n.Zone, Kind: n.Kind, Places: places,
 			WeightUnit: int(n.WeightUnit), WithPort: n.NamedWithPort}
 	}
 	return sources.Settings{Hold: s.Hold.AsDuration().Microseconds(),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,19 +20,19 @@
 	"topazfall/internal/decide/addresses"
 )
 
-func doc(t testing.TB, text string) *pb.Settings {
+func parseDocument(t testing.TB, text string) *pb.Settings {
 	d := &pb.Settings{}
 	require.NoError(t, protojson.Unmarshal([]byte(text), d))
 	return d
 }
 
-const sound = `{"sources":{"srv":[{"name":"_jobs._tcp.w.example"}],"resolvers":["127.0.0.1:53"]}}`
+const validDocument = `{"sources":{"srv":[{"name":"_jobs._tcp.w.example"}],"resolvers":["127.0.0.1:53"]}}`
 
-// All that is wrong is told at once, each with its path and value.
-func TestCheckNamesAllFaults(t *testing.T) {
+// All faults are reported at once, each with its path and value.
+func TestCheckReportsAllFaults(t *testing.T) {
 	require.Empty(t, Check(nil))
-	require.Empty(t, Check(doc(t, sound)))
-	faults := Check(doc(t, `{"sources":{"srv":[{"name":"a b","weight_unit":70000},
+	require.Empty(t, Check(parseDocument(t, validDocument)))
+	faults := Check(parseDocument(t, `{"sources":{"srv":[{"name":"a b","weight_unit":70000},
 		{"name":"x.example","places":[{"zone":"z"}]},{"name":"X.example."}],
 		"resolvers":["127.0.0.1","127.0.0.1:53","127.0.0.1:53"],"hold":"-1s","least_lifetime":"30s",
 		"most_lifetime":"20s","confirmations":1000,"flaps":99},
@@ -45,15 +45,16 @@
 		require.Contains(t, text, want)
 	}
 	unordered := `{"sources":{"least_lifetime":"30s","most_lifetime":"20s"},"addresses":{"delay_first":"1s"}}`
-	require.Contains(t, Check(doc(t, unordered)).Error(),
+	require.Contains(t, Check(parseDocument(t, unordered)).Error(),
 		"least_lifetime: 30s is more than most_lifetime, which is 20s; "+
 			"addresses.delay_first: 1s is more than delay_most")
-	require.Contains(t, Check(doc(t, `{"sources":{"srv":[{"name":"x.example"}]}}`)).Error(), "nobody to ask")
+	require.Contains(t, Check(parseDocument(t, `{"sources":{"srv":[{"name":"x.example"}]}}`)).Error(),
+		"sources.resolvers: names need at least one resolver")
 	require.NoError(t, AddressLimits(Effective(nil)).Check())
 	require.Equal(t, addresses.Defaults, AddressLimits(Effective(nil)))
 }
 
-func open(t *testing.T, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	s, fault, err := Open(dir)
 	require.NoError(t, err)
 	require.NoError(t, fault)
@@ -61,62 +62,63 @@
 	return s
 }
 
-// A document is taken whole or not at all, and only if no other came between; a restart finds it.
+// A document is accepted completely or not at all, and only if no other was accepted since the revision that it was
+// made from. It is in force after a restart.
 func TestApply(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
-	r, err := s.Apply(doc(t, sound), 0, time.Now())
+	s := openStore(t, dir)
+	r, err := s.Apply(parseDocument(t, validDocument), 0, time.Now())
 	require.NoError(t, err)
 	require.EqualValues(t, 1, r.Number)
-	_, err = s.Apply(doc(t, `{}`), 0, time.Now())
+	_, err = s.Apply(parseDocument(t, `{}`), 0, time.Now())
 	require.ErrorIs(t, err, StaleError{0, 1})
-	_, err = s.Apply(doc(t, `{"sources":{"hold":"-1s"}}`), 1, time.Now())
+	_, err = s.Apply(parseDocument(t, `{"sources":{"hold":"-1s"}}`), 1, time.Now())
 	require.ErrorAs(t, err, &Faults{})
 	now, _ := s.Current()
 	require.True(t, proto.Equal(r, now))
 	s.Close()
-	_, err = s.Apply(doc(t, `{}`), 1, time.Now())
+	_, err = s.Apply(parseDocument(t, `{}`), 1, time.Now())
 	require.ErrorIs(t, err, ErrReadOnly)
-	now, _ = open(t, dir).Current()
+	now, _ = openStore(t, dir).Current()
 	require.True(t, proto.Equal(r, now))
 }
 
-// What cannot be saved is not taken.
-func TestApplyThatCannotBeSaved(t *testing.T) {
+// A document that cannot be saved is not accepted.
+func TestApplyFailsWhenNotSaved(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
-	_, err := s.Apply(doc(t, sound), 0, time.Now())
+	s := openStore(t, dir)
+	_, err := s.Apply(parseDocument(t, validDocument), 0, time.Now())
 	require.NoError(t, err)
 	require.NoError(t, os.RemoveAll(dir))
-	_, err = s.Apply(doc(t, `{}`), 1, time.Now())
+	_, err = s.Apply(parseDocument(t, `{}`), 1, time.Now())
 	require.ErrorContains(t, err, "could not be saved")
 	now, _ := s.Current()
 	require.EqualValues(t, 1, now.Number)
 }
 
-// One process at a time takes revisions; the next one goes on from the last.
+// Only one process at a time accepts revisions, and the next one continues from the last revision.
 func TestTwoProcesses(t *testing.T) {
 	dir := t.TempDir()
-	old, young := open(t, dir), open(t, dir)
-	_, err := young.Apply(doc(t, sound), 0, time.Now())
+	first, second := openStore(t, dir), openStore(t, dir)
+	_, err := second.Apply(parseDocument(t, validDocument), 0, time.Now())
 	require.ErrorIs(t, err, ErrReadOnly)
-	_, err = old.Apply(doc(t, sound), 0, time.Now())
+	_, err = first.Apply(parseDocument(t, validDocument), 0, time.Now())
 	require.NoError(t, err)
-	old.Close()
-	r, err := young.NextAfter(t.Context(), 0)
+	first.Close()
+	r, err := second.NextAfter(t.Context(), 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 1, r.Number)
-	require.Eventually(t, func() bool { _, ro := young.Current(); return ro == "" }, 10*time.Second, time.Millisecond)
-	_, err = young.Apply(doc(t, `{}`), 1, time.Now())
+	require.Eventually(t, func() bool { _, ro := second.Current(); return ro == "" }, 10*time.Second, time.Millisecond)
+	_, err = second.Apply(parseDocument(t, `{}`), 1, time.Now())
 	require.NoError(t, err)
 }
 
-// A snapshot that cannot be read is said, and the one before is used.
+// A damaged snapshot is reported, and the previous version is used.
 func TestBrokenSnapshot(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
+	s := openStore(t, dir)
 	for i := range 2 {
-		_, err := s.Apply(doc(t, sound), uint64(i), time.Now())
+		_, err := s.Apply(parseDocument(t, validDocument), uint64(i), time.Now())
 		require.NoError(t, err)
 	}
 	s.Close()
@@ -126,16 +128,16 @@
 	require.NoError(t, os.WriteFile(path, text[:len(text)/2], 0o600))
 	s, fault, err := Open(dir)
 	require.NoError(t, err)
-	require.ErrorContains(t, fault, "the one before is used")
+	require.ErrorContains(t, fault, "the previous version is used")
 	now, _ := s.Current()
 	require.EqualValues(t, 1, now.Number)
 	s.Close()
 }
 
-// 32 writers at once: each revision that was taken is seen by each watcher, once and in order, and a watcher that reads
-// nothing holds nobody up.
+// With 32 concurrent writers, each watcher sees each accepted revision once and in order, and a watcher that reads
+// nothing blocks nobody.
 func TestWritersAndWatchers(t *testing.T) {
-	s := open(t, t.TempDir())
+	s := openStore(t, t.TempDir())
 	const writers, each, watchers = 32, 5, 8
 	var writing, watching sync.WaitGroup
 	seen := make([][]uint64, watchers)
@@ -158,7 +160,7 @@
 		writing.Go(func() {
 			for done := 0; done < each; {
 				now, _ := s.Current()
-				if _, err := s.Apply(doc(t, sound), now.Number, time.Now()); err == nil {
+				if _, err := s.Apply(parseDocument(t, validDocument), now.Number, time.Now()); err == nil {
 					done++
 				}
 			}
@@ -176,27 +178,27 @@
 	require.ErrorIs(t, err, ErrGap)
 }
 
-// 1,000 malformed documents: a clear error each, and the revision unharmed.
+// Each of 1,000 malformed documents gives an error with a path and leaves the revision in force unchanged.
 func TestMalformedDocuments(t *testing.T) {
-	s := open(t, t.TempDir())
-	before, err := s.Apply(doc(t, sound), 0, time.Now())
+	s := openStore(t, t.TempDir())
+	before, err := s.Apply(parseDocument(t, validDocument), 0, time.Now())
 	require.NoError(t, err)
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 1000 {
-		d := doc(t, sound)
+		d := parseDocument(t, validDocument)
 		switch i % 5 {
 		case 0:
-			d.Sources.Srv[0].Name = strings.Repeat("x", 64+chance.IntN(1000))
+			d.Sources.Srv[0].Name = strings.Repeat("x", 64+random.IntN(1000))
 		case 1:
-			d.Sources.Hold = &durationpb.Duration{Seconds: chance.Int64(), Nanos: -1}
+			d.Sources.Hold = &durationpb.Duration{Seconds: random.Int64(), Nanos: -1}
 		case 2:
-			d.Sources.Resolvers = append(d.Sources.Resolvers, fmt.Sprintf("%d.example:53", chance.Uint32()))
+			d.Sources.Resolvers = append(d.Sources.Resolvers, fmt.Sprintf("%d.example:53", random.Uint32()))
 		case 3:
-			for range mostNames + chance.IntN(100) {
-				d.Sources.Srv = append(d.Sources.Srv, &pb.Srv{Name: fmt.Sprintf("n%d.example", chance.Uint64())})
+			for range maxNames + random.IntN(100) {
+				d.Sources.Srv = append(d.Sources.Srv, &pb.Srv{Name: fmt.Sprintf("n%d.example", random.Uint64())})
 			}
 		case 4:
-			d.Addresses = &pb.Addresses{RestLeast: durationpb.New(time.Duration(-chance.Int64N(1e9)))}
+			d.Addresses = &pb.Addresses{RestLeast: durationpb.New(time.Duration(-random.Int64N(1e9)))}
 		}
 		_, err := s.Apply(d, 1, time.Now())
 		require.ErrorAs(t, err, &Faults{})
@@ -207,8 +209,8 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	for _, text := range []string{sound, `{}`, `{"sources":{"hold":"9s"}}`, `{"addresses":{"calm":"1s"}}`} {
-		b, err := proto.Marshal(doc(f, text))
+	for _, text := range []string{validDocument, `{}`, `{"sources":{"hold":"9s"}}`, `{"addresses":{"calm":"1s"}}`} {
+		b, err := proto.Marshal(parseDocument(f, text))
 		require.NoError(f, err)
 		f.Add(b)
 	}
@@ -217,10 +219,10 @@
 		if proto.Unmarshal(text, d) != nil || len(Check(d)) > 0 {
 			return
 		}
-		e := Effective(d) // what is sound can be used
+		e := Effective(d) // a document without faults can be used
 		require.NoError(t, AddressLimits(e).Check())
-		knobs, names := MergeSettings(e)
-		require.Positive(t, knobs.Confirmations)
+		merge, names := MergeSettings(e)
+		require.Positive(t, merge.Confirmations)
 		require.Len(t, names, len(d.GetSources().GetSrv()))
 	})
 }
--- a/internal/settings/store.go
+++ b/internal/settings/store.go
@@ -19,75 +19,75 @@
 )
 
 const (
-	kind = "settings"
-	kept = 1024                   // revisions that watchers may still ask for, within keptBytes
-	wait = 200 * time.Millisecond // between tries for a folder that another process has
+	snapshotKind      = "settings"
+	maxKeptRevisions  = 1024                   // that watchers may still ask for, within maxKeptBytes
+	lockRetryInterval = 200 * time.Millisecond // between attempts to lock a folder that another process has locked
 )
 
-// keptBytes bounds what the revisions before the one in force have when they are encoded; in memory it is some times
-// that.
-const keptBytes = 2 << 20
+// maxKeptBytes limits the encoded size of the revisions before the one in force. They need several times as much
+// memory.
+const maxKeptBytes = 2 << 20
 
-// Store has the revision in force and those before it. What Apply has taken is saved, and is all that a restart needs.
-// Only one process at a time takes revisions of a folder: one that is about to replace another reads what that has
-// saved, and takes over when it has gone.
+// Store keeps the revision in force and earlier ones. An accepted revision is saved, and a restart needs nothing else.
+// Only the process that has the lock of the folder accepts revisions. A process that is about to replace another
+// follows the revisions that the other saves, and takes the lock when the other has ended.
 type Store struct {
 	path string
 	done chan struct{}
 
-	applying sync.Mutex // held while one is saved
-	mu       sync.Mutex
-	log      []*pb.Revision // the last is in force
-	logBytes int            // of all but the last
-	news     chan struct{}  // closed when there is another
-	readOnly string         // why nothing can be taken
-	lock     io.Closer
-	closed   bool
-	managed  bool          // revisions are made by the installation's origins, and come by Take
-	owned    chan struct{} // closed when this process has the folder
-	read     fileState     // of the snapshot that was read last
+	applying       sync.Mutex // held while a revision is saved
+	mu             sync.Mutex
+	revisions      []*pb.Revision // the last is in force
+	olderBytes     int            // encoded size of all revisions but the last
+	changed        chan struct{}  // closed when a revision is added
+	readOnlyReason string         // why no revision can be accepted; "" if it can
+	lock           io.Closer
+	closed         bool
+	managed        bool          // revisions are made by the installation's origins and come by ApplyManaged
+	lockAcquired   chan struct{} // closed when this process has locked the folder
+	lastRead       fileState     // of the snapshot that was read last
 }
 
-// fileState tells whether a file is the one that was read before.
+// fileState identifies a version of a file.
 type fileState struct {
-	info os.FileInfo // nil for none
+	info os.FileInfo // nil if the file was never read
 }
 
-func (f fileState) same(o os.FileInfo) bool {
+func (f fileState) isSame(o os.FileInfo) bool {
 	return f.info != nil && o != nil && os.SameFile(f.info, o) && f.info.ModTime().Equal(o.ModTime()) &&
 		f.info.Size() == o.Size()
 }
 
-// StaleError turns a document down that was made from another revision than the one in force.
+// StaleError rejects a document that was made from another revision than the one in force.
 type StaleError struct{ From, InForce uint64 }
 
 func (e StaleError) Error() string {
-	return fmt.Sprintf("it was made from revision %d, and %d is in force", e.From, e.InForce)
+	return fmt.Sprintf("the document was made from revision %d, but revision %d is in force", e.From, e.InForce)
 }
 
-// ErrManaged turns a document down where revisions are made by the installation's origins.
+// ErrManaged rejects a document where revisions are made by the installation's origins.
 var ErrManaged = errors.New("revisions are made by the installation's origins")
 
-// ErrOlder turns a revision down that is older than the one in force.
+// ErrOlder rejects a revision that is older than the one in force.
 var ErrOlder = errors.New("it is older than the revision in force")
 
-// ErrReadOnly is wrapped by what says why no revision can be taken now.
-var ErrReadOnly = errors.New("no revision can be taken")
+// ErrReadOnly is wrapped by errors that say why no revision can be accepted now.
+var ErrReadOnly = errors.New("the settings are read-only")
 
-// ErrGap says that revisions after the one named are not kept any more, or were never there.
+// ErrGap means that the revisions after a number are not kept any more, or never existed.
 var ErrGap = errors.New("the revisions after it are not kept")
 
-// Open reads what is saved in a folder, which is made if need be. The second result is what was wrong with it though it
-// could be read: that the last revision is broken and the one before is used.
+// Open reads the revision saved in a folder, which it creates if it does not exist. A fault is reported if the last
+// revision is damaged and the previous one is used instead.
 func Open(dir string) (s *Store, fault, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
-	s = &Store{path: filepath.Join(dir, "settings.snapshot"), done: make(chan struct{}), news: make(chan struct{}),
-		owned: make(chan struct{})}
+	s = &Store{path: filepath.Join(dir, "settings.snapshot"), done: make(chan struct{}), changed: make(chan struct{}),
+		lockAcquired: make(chan struct{})}
 	s.lock, err = snapshot.Lock(dir)
 	if err != nil {
-		s.readOnly = err.Error()
+		s.readOnlyReason = err.Error()
 	}
 	r, fault, err := s.load()
 	if err != nil {
@@ -96,26 +96,27 @@
 		}
 		return nil, nil, err
 	}
-	s.log = []*pb.Revision{r}
+	s.revisions = []*pb.Revision{r}
 	if s.lock == nil {
-		go s.takeOver(dir)
+		go s.awaitLock(dir)
 	} else {
-		close(s.owned)
+		close(s.lockAcquired)
 	}
 	return s, fault, nil
 }
 
-// SetManaged says that revisions are made by the installation's origins and come by Take. What was taken at this instance
-// alone stays in force as revision 0 until the first of theirs comes.
+// SetManaged sets that revisions are made by the installation's origins and come by ApplyManaged. A revision that was
+// applied at this instance alone stays in force as revision 0 until the first revision of the origins comes.
 func (s *Store) SetManaged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.managed = true
-	s.log, s.logBytes = []*pb.Revision{s.adopt(s.last())}, 0
+	s.revisions, s.olderBytes = []*pb.Revision{s.adjustNumber(s.last())}, 0
 }
 
-// adopt returns a revision as it counts here; s.mu is held.
-func (s *Store) adopt(r *pb.Revision) *pb.Revision {
+// adjustNumber returns a revision with the number that it has here: in a managed store, 0 for one that was applied at
+// this instance alone. s.mu must be held.
+func (s *Store) adjustNumber(r *pb.Revision) *pb.Revision {
 	if s.managed && r.Epoch == "" && r.Number != 0 {
 		r = proto.CloneOf(r)
 		r.Number = 0
@@ -123,15 +124,16 @@
 	return r
 }
 
-// LockAcquired is closed when this process has the folder, and no other.
-func (s *Store) LockAcquired() <-chan struct{} { return s.owned }
+// LockAcquired returns a channel that is closed when this process has locked the folder.
+func (s *Store) LockAcquired() <-chan struct{} { return s.lockAcquired }
 
+// load reads the saved revision, or returns an empty one if none was saved.
 func (s *Store) load() (r *pb.Revision, fault, err error) {
 	r = &pb.Revision{Settings: &pb.Settings{}}
 	if info, err := os.Stat(s.path); err == nil {
-		s.read = fileState{info}
+		s.lastRead = fileState{info}
 	}
-	body, fault, err := snapshot.Read(s.path, kind)
+	body, fault, err := snapshot.Read(s.path, snapshotKind)
 	if err != nil || body == nil {
 		return r, fault, err
 	}
@@ -148,31 +150,31 @@
 	return r, fault, nil
 }
 
-// takeOver waits for the process that has the folder to go, and brings into force meanwhile what that takes: clients
-// may be served by this one already.
-func (s *Store) takeOver(dir string) {
+// awaitLock waits until the process that has the lock has ended. Meanwhile it follows the revisions that that process
+// saves, as this process may serve clients already.
+func (s *Store) awaitLock(dir string) {
 	for {
 		select {
 		case <-s.done:
 			return
-		case <-time.After(wait):
+		case <-time.After(lockRetryInterval):
 		}
 		lock, err := snapshot.Lock(dir)
 		if err != nil {
-			s.follow()
+			s.reloadIfChanged()
 			continue
 		}
-		r, _, err := s.load() // what that one has taken meanwhile
+		r, _, err := s.load() // revisions that the other process accepted meanwhile
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.closed {
 			lock.Close()
 			return
 		}
-		s.lock, s.readOnly = lock, ""
-		close(s.owned)
+		s.lock, s.readOnlyReason = lock, ""
+		close(s.lockAcquired)
 		if err != nil {
-			s.readOnly = err.Error()
+			s.readOnlyReason = err.Error()
 			return
 		}
 		s.addNewer(r)
@@ -180,14 +182,14 @@
 	}
 }
 
-// follow brings into force what the process that has the folder has saved.
-func (s *Store) follow() {
+// reloadIfChanged brings into force the revision that the process with the lock has saved, if there is a newer one.
+func (s *Store) reloadIfChanged() {
 	info, err := os.Stat(s.path)
-	if err != nil || s.read.same(info) {
+	if err != nil || s.lastRead.isSame(info) {
 		return
 	}
 	r, fault, err := s.load()
-	if err != nil || fault != nil { // that process will say it
+	if err != nil || fault != nil { // the process with the lock reports it
 		return
 	}
 	s.mu.Lock()
@@ -197,43 +199,45 @@
 	}
 }
 
-// addNewer makes a revision the one in force if it is newer; s.mu is held.
+// addNewer brings a revision into force if it is newer than the current one. s.mu must be held.
 func (s *Store) addNewer(r *pb.Revision) {
-	if r = s.adopt(r); r.Number > s.last().Number {
+	if r = s.adjustNumber(r); r.Number > s.last().Number {
 		s.add(r)
 	}
 }
 
-func (s *Store) last() *pb.Revision { return s.log[len(s.log)-1] }
+// last returns the revision in force. s.mu must be held.
+func (s *Store) last() *pb.Revision { return s.revisions[len(s.revisions)-1] }
 
-// add makes a revision the one in force; s.mu is held.
+// add brings a revision into force and drops those that are over the limits. s.mu must be held.
 func (s *Store) add(r *pb.Revision) {
-	if len(s.log) > 0 && r.Number != s.last().Number+1 {
-		s.log, s.logBytes = nil, 0 // a watcher is told of the gap
+	if len(s.revisions) > 0 && r.Number != s.last().Number+1 {
+		s.revisions, s.olderBytes = nil, 0 // watchers get ErrGap
 	}
-	if len(s.log) > 0 {
-		s.logBytes += proto.Size(s.last())
+	if len(s.revisions) > 0 {
+		s.olderBytes += proto.Size(s.last())
 	}
-	s.log = append(s.log, r)
+	s.revisions = append(s.revisions, r)
 	drop := 0
-	for ; len(s.log)-drop > kept || s.logBytes > keptBytes; drop++ {
-		s.logBytes -= proto.Size(s.log[drop])
+	for ; len(s.revisions)-drop > maxKeptRevisions || s.olderBytes > maxKeptBytes; drop++ {
+		s.olderBytes -= proto.Size(s.revisions[drop])
 	}
-	s.log = append(s.log[:0:0], s.log[drop:]...)
-	close(s.news)
-	s.news = make(chan struct{})
+	s.revisions = append(s.revisions[:0:0], s.revisions[drop:]...)
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Current returns the revision in force, and why no other can be taken, if so. Revision 0 is that nothing was ever taken.
-func (s *Store) Current() (r *pb.Revision, readOnly string) {
+// Current returns the revision in force, and why no other can be accepted, or "" if one can. Revision 0 means that none
+// was ever accepted.
+func (s *Store) Current() (r *pb.Revision, readOnlyReason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.last(), s.readOnly
+	return s.last(), s.readOnlyReason
 }
 
-// Apply takes a document that was made from a revision, if that is still in force: whole or not at all. When it
-// returns, the document is saved. Its errors are Faults, StaleError, ErrReadOnly, or that of saving, after which the
-// document before is in force still.
+// Apply brings a document into force if the revision that it was made from is still in force. The document is accepted
+// completely or not at all, and it is saved when Apply returns. Errors are Faults, StaleError, ErrManaged, ErrReadOnly,
+// and failures to save, after which the previous revision stays in force.
 func (s *Store) Apply(doc *pb.Settings, from uint64, now time.Time) (*pb.Revision, error) {
 	if doc == nil {
 		doc = &pb.Settings{}
@@ -243,12 +247,12 @@
 	}
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	last, readOnly := s.Current()
+	last, readOnlyReason := s.Current()
 	switch {
 	case s.isManaged():
 		return nil, ErrManaged
-	case readOnly != "":
-		return nil, fmt.Errorf("%w: %s", ErrReadOnly, readOnly)
+	case readOnlyReason != "":
+		return nil, fmt.Errorf("%w: %s", ErrReadOnly, readOnlyReason)
 	case last.Number != from:
 		return nil, StaleError{from, last.Number}
 	}
@@ -259,14 +263,14 @@
 	return r, nil
 }
 
-// save makes a revision the one in force once it is saved; s.applying is held.
+// save saves a revision and then brings it into force. s.applying must be held.
 func (s *Store) save(r *pb.Revision) error {
 	body, err := protojson.Marshal(r)
 	if err != nil {
 		return err
 	}
-	if err := snapshot.Write(s.path, kind, body); err != nil {
-		return fmt.Errorf("it could not be saved: %w", err)
+	if err := snapshot.Write(s.path, snapshotKind, body); err != nil {
+		return fmt.Errorf("the revision could not be saved: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -280,15 +284,16 @@
 	return s.managed
 }
 
-// ApplyManaged brings a sound revision of the installation's origins into force, once it is saved, and returns since when it
-// is: one that is in force already is left as it is. Its errors are ErrOlder, ErrReadOnly, or that of saving.
+// ApplyManaged saves a valid revision of the installation's origins and brings it into force. It returns the time at
+// which the revision was made; a revision that is already in force stays as it is. Errors are ErrOlder, ErrReadOnly and
+// failures to save.
 func (s *Store) ApplyManaged(r *pb.Revision) (since time.Time, err error) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	last, readOnly := s.Current()
+	last, readOnlyReason := s.Current()
 	switch {
-	case readOnly != "":
-		return since, fmt.Errorf("%w: %s", ErrReadOnly, readOnly)
+	case readOnlyReason != "":
+		return since, fmt.Errorf("%w: %s", ErrReadOnly, readOnlyReason)
 	case r.Number < last.Number || r.Number == last.Number && r.Epoch != last.Epoch:
 		return since, fmt.Errorf("revision %d: %w, %d", r.Number, ErrOlder, last.Number)
 	case r.Number == last.Number:
@@ -300,18 +305,19 @@
 	return r.Taken.AsTime(), nil
 }
 
-// NextAfter returns the revision that follows the one of that number, and waits for it if need be. So a watcher sees each
-// once and in order, and a slow one holds nobody up. After 0 it begins with the one in force, if there ever was one.
+// NextAfter returns the revision after a number and waits until there is one. A watcher that passes the number it got
+// last sees each revision once and in order, and a slow watcher blocks nobody. After 0 it begins with the revision in
+// force, if one was ever accepted.
 func (s *Store) NextAfter(ctx context.Context, number uint64) (*pb.Revision, error) {
 	for {
 		s.mu.Lock()
-		last, first, news := s.last().Number, s.log[0].Number, s.news
+		last, first, changed := s.last().Number, s.revisions[0].Number, s.changed
 		switch {
 		case number > last:
 			s.mu.Unlock()
 			return nil, fmt.Errorf("revision %d: %w", number, ErrGap)
 		case number < last && number+1 >= first:
-			r := s.log[number+1-first]
+			r := s.revisions[number+1-first]
 			s.mu.Unlock()
 			return r, nil
 		case number == 0 && last > 0:
@@ -328,15 +334,15 @@
 			return nil, ctx.Err()
 		case <-s.done:
 			return nil, ErrClosed
-		case <-news:
+		case <-changed:
 		}
 	}
 }
 
-// ErrClosed ends what waits when the store is closed.
-var ErrClosed = errors.New("the instance ends")
+// ErrClosed is returned to waiting watchers when the store is closed.
+var ErrClosed = errors.New("the instance is shutting down")
 
-// Close lets another process have the folder.
+// Close closes the store and releases the lock of the folder.
 func (s *Store) Close() {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -345,7 +351,7 @@
 	if s.closed {
 		return
 	}
-	s.closed, s.readOnly = true, ErrClosed.Error()
+	s.closed, s.readOnlyReason = true, ErrClosed.Error()
 	close(s.done)
 	if s.lock != nil {
 		s.lock.Close()
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps a document in a file so that it is there whole after a crash at any moment: written aside,
-// synced, renamed, with a checksum, and the one before kept beside it.
+// Package snapshot stores a document in a file so that it is complete after a crash at any moment. The document is
+// written to a temporary file with a checksum, synced and renamed, and the previous version is kept beside it.
 package snapshot
 
 import (
@@ -16,25 +16,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Most is the most bytes of a document.
-const Most = 16 << 20
+// MaxBytes is the maximum size of a document.
+const MaxBytes = 16 << 20
 
-// Version is that of the form. A file of a newer one is not read.
-const Version = 1
+// FormatVersion is the version of the file format. Files of a newer version are rejected.
+const FormatVersion = 1
 
-const before = ".before"
+const previousSuffix = ".before" // of the previous version's file
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Write makes body the document at path. When it returns nil the document outlives a crash; else the one before stands.
+// Write stores body as the document at path. When it returns nil, the document survives a crash. On an error the
+// previous document stays.
 func Write(path, kind string, body []byte) error {
-	if len(body) > Most {
-		return fmt.Errorf("%s: %d bytes are more than %d", path, len(body), Most)
+	if len(body) > MaxBytes {
+		return fmt.Errorf("%s: %d bytes exceed the maximum of %d", path, len(body), MaxBytes)
 	}
-	if err := keep(path); err != nil {
+	if err := keepPrevious(path); err != nil {
 		return err
 	}
-	head := fmt.Sprintf("topazfall %s %d %08x %d\n", kind, Version, crc32.Checksum(body, table), len(body))
+	head := fmt.Sprintf("topazfall %s %d %08x %d\n",
+		kind, FormatVersion, crc32.Checksum(body, checksumTable), len(body))
 	if err := renameio.WriteFile(path, append([]byte(head), body...), 0o600,
 		renameio.WithTempDir(filepath.Dir(path))); err != nil {
 		return err
@@ -42,19 +44,19 @@
 	return syncDir(filepath.Dir(path))
 }
 
-// keep makes the present document the one before. A broken one must not take its place.
-func keep(path string) error {
-	if _, err := read(path, ""); err != nil {
+// keepPrevious links the current document as the previous one. A damaged document must not replace the previous one.
+func keepPrevious(path string) error {
+	if _, err := readFile(path, ""); err != nil {
 		return nil
 	}
-	aside := path + before + ".new"
-	if err := os.Remove(aside); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	temporary := path + previousSuffix + ".new"
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	if err := os.Link(path, aside); err != nil {
+	if err := os.Link(path, temporary); err != nil {
 		return err
 	}
-	return os.Rename(aside, path+before)
+	return os.Rename(temporary, path+previousSuffix)
 }
 
 func syncDir(path string) error {
@@ -66,63 +68,64 @@
 	return d.Sync()
 }
 
-// Read returns the document at path, or the one before if that cannot be read: fault then says why, and is to be said
-// loudly. With neither there the document is nil.
+// Read returns the document at path, or the previous version if that cannot be read. In the latter case fault says why,
+// and the caller must log it as an error. If neither file exists the document is nil.
 func Read(path, kind string) (body []byte, fault, err error) {
-	body, err = read(path, kind)
+	body, err = readFile(path, kind)
 	if err == nil {
 		return body, nil, nil
 	}
-	older, olderErr := read(path+before, kind)
+	previous, previousErr := readFile(path+previousSuffix, kind)
 	switch {
-	case olderErr == nil:
-		return older, fmt.Errorf("%s: %w; the one before is used", path, err), nil
-	case errors.Is(err, fs.ErrNotExist) && errors.Is(olderErr, fs.ErrNotExist):
+	case previousErr == nil:
+		return previous, fmt.Errorf("%s: %w; the previous version is used", path, err), nil
+	case errors.Is(err, fs.ErrNotExist) && errors.Is(previousErr, fs.ErrNotExist):
 		return nil, nil, nil
 	}
-	return nil, nil, fmt.Errorf("%s: %w; the one before: %w", path, err, olderErr)
+	return nil, nil, fmt.Errorf("%s: %w; the previous version: %w", path, err, previousErr)
 }
 
-func read(path, kind string) ([]byte, error) {
+func readFile(path, kind string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, Most+1024))
+	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1024))
 	if err != nil {
 		return nil, err
 	}
 	return Parse(text, kind)
 }
 
-// Parse checks the bytes of a file and returns its document; kind "" is for any.
+// Parse checks the bytes of a file and returns its document. An empty kind accepts any.
 func Parse(text []byte, kind string) ([]byte, error) {
 	head, body, ok := bytes.Cut(text, []byte{'\n'})
 	if !ok || len(head) > 256 {
-		return nil, errors.New("it has no first line")
+		return nil, errors.New("it has no header line")
 	}
 	var name string
 	var version, length int
 	var sum uint32
 	if n, err := fmt.Sscanf(string(head), "topazfall %s %d %x %d", &name, &version, &sum, &length); err != nil ||
 		n != 4 {
-		return nil, fmt.Errorf("its first line is %q", head)
+		return nil, fmt.Errorf("its header line %q is invalid", head)
 	}
 	switch {
 	case kind != "" && name != kind:
-		return nil, fmt.Errorf("it holds %q, not %q", name, kind)
-	case version > Version:
-		return nil, fmt.Errorf("its version is %d, and the newest known %d", version, Version)
+		return nil, fmt.Errorf("its kind is %q, not %q", name, kind)
+	case version > FormatVersion:
+		return nil, fmt.Errorf("its version is %d, but the newest supported version is %d", version, FormatVersion)
 	case length != len(body):
-		return nil, fmt.Errorf("it has %d bytes of %d", len(body), length)
-	case crc32.Checksum(body, table) != sum:
-		return nil, fmt.Errorf("its checksum is %08x, not %08x", crc32.Checksum(body, table), sum)
+		return nil, fmt.Errorf("its length is %d bytes, not %d", len(body), length)
+	case crc32.Checksum(body, checksumTable) != sum:
+		return nil, fmt.Errorf("its checksum is %08x, not %08x", crc32.Checksum(body, checksumTable), sum)
 	}
 	return body, nil
 }
 
-// Lock keeps other processes from a folder until it is closed. It does not wait.
+// Lock locks a folder against other processes until the result is closed. If another process has the lock it fails at
+// once.
 func Lock(dir string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Cut or changed anywhere, a file is never taken for another document: the one before is used, and it is said.
+// A file that is truncated or changed anywhere is never read as a different document: the previous version is used and
+// the fault is reported.
 func TestDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	body, fault, err := Read(path, "test")
@@ -32,15 +33,15 @@
 			require.Equal(t, "first", string(body))
 		}
 	}
-	require.NoError(t, Write(path, "test", []byte("third")), "over a broken one")
+	require.NoError(t, Write(path, "test", []byte("third")), "over a damaged one")
 	require.NoError(t, os.Remove(path))
 	body, fault, err = Read(path, "test")
 	require.NoError(t, err)
 	require.Error(t, fault)
-	require.Equal(t, "first", string(body), "the broken one has not taken its place")
-	require.NoError(t, os.WriteFile(path+before, []byte("x"), 0o600))
+	require.Equal(t, "first", string(body), "the damaged one has not replaced the previous one")
+	require.NoError(t, os.WriteFile(path+previousSuffix, []byte("x"), 0o600))
 	_, _, err = Read(path, "test")
-	require.Error(t, err, "neither can be read: nobody guesses")
+	require.Error(t, err, "neither can be read")
 }
 
 func TestVersionAndKind(t *testing.T) {
@@ -71,7 +72,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if body, err := Parse(text, "test"); err == nil && len(body) >= len(text) {
-			t.Fatal("longer than its file")
+			t.Fatal("the document is not shorter than its file")
 		}
 	})
 }
