--- a/internal/srv/exchange.go
+++ b/internal/srv/exchange.go
@@ -1,5 +1,6 @@
-// Package srv reads SRV records as a source of hosts: it asks resolvers, follows aliases, finds the targets' addresses
-// and keeps lifetimes. What is made of the answers is decided elsewhere.
+// Package srv reads DNS SRV records as a source of workers, which it calls hosts. It queries resolvers, follows
+// aliases, looks up the addresses of targets and repeats each lookup before its records expire. Package decide/sources
+// decides what the answers mean for the list.
 package srv
 
 import (
@@ -18,201 +19,206 @@
 )
 
 const (
-	udpSize   = 1232 // what passes everywhere unfragmented (RFC 9715)
-	oddAnswer = 32   // so many answers to a query that are none end it: somebody is guessing
-	backLeast = 500 * time.Millisecond
-	backMost  = 10 * time.Second
+	maxUDPBytes   = 1232 // datagrams up to this size are not fragmented on any usual path (RFC 9715)
+	maxMismatches = 32   // invalid answers to one query, after which it fails: somebody is forging answers
+	minBackoff    = 500 * time.Millisecond
+	maxBackoff    = 10 * time.Second
 )
 
 var (
-	errOdd  = errors.New("too many answers that do not fit the query")
-	errNone = errors.New("no resolver is named")
+	errMismatches  = errors.New("too many answers that do not match the query")
+	errNoResolvers = errors.New("no resolver is configured")
 )
 
-// resolvers are asked in turns. One that fails is asked last for a while, that grows with each failure in a row.
-type resolvers struct {
+// resolverPool queries resolvers in turn. A resolver that fails is tried last during a backoff, which grows with each
+// consecutive failure.
+type resolverPool struct {
 	timeout time.Duration
 
-	mu    sync.Mutex
-	list  []*server
-	first int
+	mu          sync.Mutex
+	nameservers []*nameserver
+	next        int
 }
 
-type server struct {
-	addr     string
-	failures int
-	until    time.Time
+// nameserver is a resolver and its recent failures.
+type nameserver struct {
+	addr         string
+	failures     int // consecutive
+	backoffUntil time.Time
 }
 
-func newResolvers(addrs []string, timeout time.Duration) *resolvers {
-	r := &resolvers{timeout: timeout}
+func newResolverPool(addrs []string, timeout time.Duration) *resolverPool {
+	r := &resolverPool{timeout: timeout}
 	for _, a := range addrs {
-		r.list = append(r.list, &server{addr: a})
+		r.nameservers = append(r.nameservers, &nameserver{addr: a})
 	}
 	if len(addrs) > 0 {
-		r.first = rand.IntN(len(addrs)) // many dispatchers begin with different ones
+		r.next = rand.IntN(len(addrs)) // so that dispatchers begin with different ones
 	}
 	return r
 }
 
-// order returns all in the order in which they are to be asked.
-func (r *resolvers) order(now time.Time) (list []*server) {
+// inOrder returns all resolvers in the order in which to try them.
+func (r *resolverPool) inOrder(now time.Time) (ready []*nameserver) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var resting []*server
-	for i := range r.list {
-		s := r.list[(r.first+i)%len(r.list)]
-		if now.Before(s.until) {
-			resting = append(resting, s)
+	var inBackoff []*nameserver
+	for i := range r.nameservers {
+		s := r.nameservers[(r.next+i)%len(r.nameservers)]
+		if now.Before(s.backoffUntil) {
+			inBackoff = append(inBackoff, s)
 		} else {
-			list = append(list, s)
+			ready = append(ready, s)
 		}
 	}
-	if len(r.list) > 0 {
-		r.first = (r.first + 1) % len(r.list)
+	if len(r.nameservers) > 0 {
+		r.next = (r.next + 1) % len(r.nameservers)
 	}
-	return append(list, resting...)
+	return append(ready, inBackoff...)
 }
 
-func (r *resolvers) note(s *server, failed bool, now time.Time) {
+// recordResult updates the backoff of a resolver after a query.
+func (r *resolverPool) recordResult(s *nameserver, failed bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !failed {
-		s.failures, s.until = 0, time.Time{}
+		s.failures, s.backoffUntil = 0, time.Time{}
 		return
 	}
-	d := min(backLeast<<min(s.failures, 10), backMost)
+	backoff := min(minBackoff<<min(s.failures, 10), maxBackoff)
 	s.failures++
-	s.until = now.Add(d/2 + rand.N(d/2+1))
+	s.backoffUntil = now.Add(backoff/2 + rand.N(backoff/2+1))
 }
 
-// ask returns the first whole answer that says something about the name, be it that it does not exist.
-func (r *resolvers) ask(ctx context.Context, name string, kind uint16) (*dns.Msg, error) {
-	err := errNone
-	for _, s := range r.order(time.Now()) {
+// query returns the first complete answer about a name. That the name does not exist is an answer, too.
+func (r *resolverPool) query(ctx context.Context, name string, rrType uint16) (*dns.Msg, error) {
+	err := errNoResolvers
+	for _, s := range r.inOrder(time.Now()) {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		var m *dns.Msg
-		m, err = r.askOne(ctx, s.addr, name, kind)
+		m, err = r.queryOne(ctx, s.addr, name, rrType)
 		if err == nil && m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError {
 			err = fmt.Errorf("%s from %s", dns.RcodeToString[m.Rcode], s.addr)
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		if r.note(s, err != nil, time.Now()); err == nil {
+		if r.recordResult(s, err != nil, time.Now()); err == nil {
 			return m, nil
 		}
 	}
 	return nil, err
 }
 
-// askOne asks one resolver: over UDP, and if the answer was cut, all of it again over TCP. What was cut is not used.
-func (r *resolvers) askOne(ctx context.Context, addr, name string, kind uint16) (*dns.Msg, error) {
-	q := new(dns.Msg)
-	q.SetQuestion(name, kind)
-	q.Id = uint16(rand.Uint32())
-	q.SetEdns0(udpSize, false)
-	m, err := r.overUDP(ctx, addr, q)
-	if err == nil && m.Rcode == dns.RcodeFormatError { // one that does not know EDNS0 (RFC 6891, section 7)
-		q.Extra = nil
-		q.Id = uint16(rand.Uint32())
-		m, err = r.overUDP(ctx, addr, q)
+// queryOne queries one resolver over UDP. If the answer is truncated it is dropped, and the query repeated over TCP.
+func (r *resolverPool) queryOne(ctx context.Context, addr, name string, rrType uint16) (*dns.Msg, error) {
+	request := new(dns.Msg)
+	request.SetQuestion(name, rrType)
+	request.Id = uint16(rand.Uint32())
+	request.SetEdns0(maxUDPBytes, false)
+	m, err := r.queryUDP(ctx, addr, request)
+	if err == nil && m.Rcode == dns.RcodeFormatError { // from a server without EDNS0 (RFC 6891, section 7)
+		request.Extra = nil
+		request.Id = uint16(rand.Uint32())
+		m, err = r.queryUDP(ctx, addr, request)
 	}
 	if err == nil && m.Truncated {
-		q.Id = uint16(rand.Uint32())
-		m, err = r.overTCP(ctx, addr, q)
+		request.Id = uint16(rand.Uint32())
+		m, err = r.queryTCP(ctx, addr, request)
 	}
 	return m, err
 }
 
-func (r *resolvers) deadline(ctx context.Context) time.Time {
-	by := time.Now().Add(r.timeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(by) {
-		by = d
+// deadline returns the deadline of a query: that of ctx or the end of the timeout, whichever is earlier.
+func (r *resolverPool) deadline(ctx context.Context) time.Time {
+	deadline := time.Now().Add(r.timeout)
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
+		deadline = d
 	}
-	return by
+	return deadline
 }
 
-// overUDP uses a socket of its own for each query, and so a port that nobody can guess; being connected, it takes
-// datagrams from that resolver only.
-func (r *resolvers) overUDP(ctx context.Context, addr string, q *dns.Msg) (*dns.Msg, error) {
-	text, err := q.Pack()
+// queryUDP opens a socket for each query, so that its port is hard to guess. The socket is connected, so that it
+// receives datagrams from that resolver only.
+func (r *resolverPool) queryUDP(ctx context.Context, addr string, request *dns.Msg) (*dns.Msg, error) {
+	query, err := request.Pack()
 	if err != nil {
 		return nil, err
 	}
-	c, err := net.Dial("udp", addr)
+	conn, err := net.Dial("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetDeadline(r.deadline(ctx))
-	if _, err := c.Write(text); err != nil {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(r.deadline(ctx))
+	if _, err := conn.Write(query); err != nil {
 		return nil, err
 	}
 	buf := make([]byte, 64<<10)
-	for range oddAnswer {
-		n, err := c.Read(buf)
+	for range maxMismatches {
+		n, err := conn.Read(buf)
 		if err != nil {
 			return nil, err
 		}
-		if m, err := parse(buf[:n], q); err == nil {
+		if m, err := parseAnswer(buf[:n], request); err == nil {
 			return m, nil
 		}
 	}
-	return nil, errOdd
+	return nil, errMismatches
 }
 
-func (r *resolvers) overTCP(ctx context.Context, addr string, q *dns.Msg) (*dns.Msg, error) {
-	text, err := q.Pack()
+func (r *resolverPool) queryTCP(ctx context.Context, addr string, request *dns.Msg) (*dns.Msg, error) {
+	query, err := request.Pack()
 	if err != nil {
 		return nil, err
 	}
-	by := r.deadline(ctx)
-	d := net.Dialer{Deadline: by}
-	c, err := d.DialContext(ctx, "tcp", addr)
+	deadline := r.deadline(ctx)
+	dialer := net.Dialer{Deadline: deadline}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetDeadline(by)
-	if _, err := c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(text))), text...)); err != nil {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	conn.SetDeadline(deadline)
+	if _, err := conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(query))), query...)); err != nil {
 		return nil, err
 	}
-	var head [2]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
+	var length [2]byte
+	if _, err := io.ReadFull(conn, length[:]); err != nil {
 		return nil, err
 	}
-	body := make([]byte, binary.BigEndian.Uint16(head[:]))
-	if _, err := io.ReadFull(c, body); err != nil {
+	body := make([]byte, binary.BigEndian.Uint16(length[:]))
+	if _, err := io.ReadFull(conn, body); err != nil {
 		return nil, err
 	}
-	m, err := parse(body, q)
+	m, err := parseAnswer(body, request)
 	if err == nil && m.Truncated {
-		err = errors.New("cut over TCP as well")
+		err = errors.New("the answer over TCP is truncated, too")
 	}
 	return m, err
 }
 
-// parse reads an answer to a query, whole; one to another query is an error.
-func parse(text []byte, q *dns.Msg) (*dns.Msg, error) {
+// parseAnswer parses the answer to a request. An answer to another request is an error. A truncated answer is returned
+// even if it ends in the middle of a record.
+func parseAnswer(text []byte, request *dns.Msg) (*dns.Msg, error) {
 	m := new(dns.Msg)
 	if err := m.Unpack(text); err != nil {
-		if !m.Truncated || len(text) < 12 {
+		if !m.Truncated || len(text) < 12 { // the size of a header
 			return nil, err
 		}
 	}
 	switch {
-	case m.Id != q.Id:
-		return nil, fmt.Errorf("its id is %d, not %d", m.Id, q.Id)
+	case m.Id != request.Id:
+		return nil, fmt.Errorf("the answer has id %d, not %d", m.Id, request.Id)
 	case !m.Response || m.Opcode != dns.OpcodeQuery:
-		return nil, errors.New("it is no answer")
-	case len(m.Question) != 1 || !strings.EqualFold(m.Question[0].Name, q.Question[0].Name) ||
-		m.Question[0].Qtype != q.Question[0].Qtype || m.Question[0].Qclass != q.Question[0].Qclass:
-		return nil, errors.New("it answers another question")
+		return nil, errors.New("the message is not an answer")
+	case len(m.Question) != 1 || !strings.EqualFold(m.Question[0].Name, request.Question[0].Name) ||
+		m.Question[0].Qtype != request.Question[0].Qtype || m.Question[0].Qclass != request.Question[0].Qclass:
+		return nil, errors.New("the answer is to another question")
 	}
 	return m, nil
 }
--- a/internal/srv/lookup.go
+++ b/internal/srv/lookup.go
@@ -16,59 +16,60 @@
 )
 
 const (
-	aliases  = 8    // the longest chain of CNAMEs
-	mostHost = 4096 // of one name
-	asking   = 32   // targets whose addresses are asked for at a time
-	cached   = 2 * mostHost
+	maxAliases         = 8    // CNAMEs in a chain
+	maxHosts           = 4096 // SRV records of one name
+	maxParallelTargets = 32   // targets whose addresses are looked up at a time
+	maxCachedTargets   = 2 * maxHosts
 )
 
-// found is what a name has.
-type found struct {
-	records []sources.Record // without the time at which they end
-	lives   []time.Duration  // of each
-	life    time.Duration    // the least of them, or how long a negative answer may be believed
-	empty   bool             // the zone itself says that there is nothing
+// hostSet is the result of the lookup of a name.
+type hostSet struct {
+	records   []sources.Record // Expires is not set
+	lifetimes []time.Duration  // of each record
+	lifetime  time.Duration    // the minimum of lifetimes, or the lifetime of a negative answer
+	empty     bool             // an authoritative answer says that there are no records
 }
 
-// lookup asks for the hosts of names. It remembers the addresses of targets for as long as they live.
+// lookup looks up the hosts of names. It caches the addresses of targets for their lifetime.
 type lookup struct {
-	*resolvers
-	least, most time.Duration
+	*resolverPool
+	minLifetime, maxLifetime time.Duration
 
-	mu     sync.Mutex
-	places map[string]place
+	mu    sync.Mutex
+	cache map[string]targetAddrs // by target in lower case
 }
 
-// place is where a target is.
-type place struct {
-	ips   []netip.Addr
-	until time.Time
+// targetAddrs are the addresses of a target.
+type targetAddrs struct {
+	ips     []netip.Addr
+	expires time.Time
 }
 
-var errSilent = errors.New("an empty answer without the zone's word for it")
+var errEmptyWithoutSOA = errors.New("the answer is empty and has no SOA record")
 
-func (l *lookup) clamp(ttl uint32) time.Duration {
-	return min(max(time.Duration(life(ttl))*time.Second, l.least), l.most)
+// clampTTL returns a TTL as a duration between the minimum and the maximum lifetime.
+func (l *lookup) clampTTL(ttl uint32) time.Duration {
+	return min(max(time.Duration(ttlSeconds(ttl))*time.Second, l.minLifetime), l.maxLifetime)
 }
 
-// follow asks for the records of a name, along its aliases. The lifetime is the least of the chain; rrs is empty where
-// the zone says that there is nothing.
-func (l *lookup) follow(
-	ctx context.Context, name string, kind uint16,
+// resolve queries the records of a name and follows its aliases. ttl is the minimum of the chain in seconds. rrs is
+// empty if an authoritative answer, which has an SOA record, says that there are none.
+func (l *lookup) resolve(
+	ctx context.Context, name string, rrType uint16,
 ) (m *dns.Msg, rrs []dns.RR, ttl uint32, err error) {
 	ttl = 1<<31 - 1
-	seen := map[string]bool{}
+	visited := map[string]bool{}
 	for name != "" {
 		key := strings.ToLower(name)
 		switch {
-		case seen[key]:
-			return nil, nil, 0, fmt.Errorf("the aliases of %s lead in a circle", name)
-		case len(seen) == aliases:
-			return nil, nil, 0, fmt.Errorf("more than %d aliases", aliases)
+		case visited[key]:
+			return nil, nil, 0, fmt.Errorf("the aliases of %s form a loop", name)
+		case len(visited) == maxAliases:
+			return nil, nil, 0, fmt.Errorf("more than %d aliases", maxAliases)
 		}
-		seen[key] = true
-		if m == nil || !answers(m, name) { // many resolvers send the whole chain at once
-			if m, err = l.ask(ctx, name, kind); err != nil {
+		visited[key] = true
+		if m == nil || !hasRecordsOf(m, name) { // many resolvers send the whole chain in one answer
+			if m, err = l.query(ctx, name, rrType); err != nil {
 				return nil, nil, 0, err
 			}
 		}
@@ -78,10 +79,10 @@
 			if !strings.EqualFold(h.Name, name) || h.Class != dns.ClassINET {
 				continue
 			}
-			if h.Rrtype == kind {
-				rrs, ttl = append(rrs, rr), min(ttl, life(h.Ttl))
-			} else if c, ok := rr.(*dns.CNAME); ok {
-				alias, ttl = c.Target, min(ttl, life(h.Ttl))
+			if h.Rrtype == rrType {
+				rrs, ttl = append(rrs, rr), min(ttl, ttlSeconds(h.Ttl))
+			} else if cname, ok := rr.(*dns.CNAME); ok {
+				alias, ttl = cname.Target, min(ttl, ttlSeconds(h.Ttl))
 			}
 		}
 		if len(rrs) > 0 {
@@ -91,22 +92,22 @@
 	}
 	for _, rr := range m.Ns {
 		if soa, ok := rr.(*dns.SOA); ok { // RFC 2308, section 5
-			return m, nil, min(ttl, life(soa.Hdr.Ttl), life(soa.Minttl)), nil
+			return m, nil, min(ttl, ttlSeconds(soa.Hdr.Ttl), ttlSeconds(soa.Minttl)), nil
 		}
 	}
-	return nil, nil, 0, errSilent
+	return nil, nil, 0, errEmptyWithoutSOA
 }
 
-// life is a lifetime as RFC 2181, section 8, wants it read.
-func life(ttl uint32) uint32 {
+// ttlSeconds returns a TTL as RFC 2181, section 8, defines it: values with the highest bit set count as 0.
+func ttlSeconds(ttl uint32) uint32 {
 	if ttl >= 1<<31 {
 		return 0
 	}
 	return ttl
 }
 
-// answers tells whether an answer has records of a name.
-func answers(m *dns.Msg, name string) bool {
+// hasRecordsOf reports whether an answer has records of a name.
+func hasRecordsOf(m *dns.Msg, name string) bool {
 	for _, rr := range m.Answer {
 		if strings.EqualFold(rr.Header().Name, name) {
 			return true
@@ -115,83 +116,85 @@
 	return false
 }
 
-// find returns the hosts of a name. An error is for when that is not known.
-func (l *lookup) find(ctx context.Context, name string) (found, error) {
-	m, rrs, ttl, err := l.follow(ctx, dns.Fqdn(name), dns.TypeSRV)
+// find returns the hosts of a name, or an error if they cannot be determined.
+func (l *lookup) find(ctx context.Context, name string) (hostSet, error) {
+	m, rrs, ttl, err := l.resolve(ctx, dns.Fqdn(name), dns.TypeSRV)
 	if err != nil {
-		return found{}, err
+		return hostSet{}, err
 	}
-	// RFC 2782: the service is decidedly not there
+	// RFC 2782: a single record with the target "." means that the service is not available.
 	if len(rrs) == 0 || len(rrs) == 1 && rrs[0].(*dns.SRV).Target == "." {
-		return found{empty: true, life: l.clamp(ttl)}, nil
+		return hostSet{empty: true, lifetime: l.clampTTL(ttl)}, nil
 	}
-	if len(rrs) > mostHost {
-		return found{}, fmt.Errorf("%d records are more than %d", len(rrs), mostHost)
+	if len(rrs) > maxHosts {
+		return hostSet{}, fmt.Errorf("%d records exceed the maximum of %d", len(rrs), maxHosts)
 	}
 	now := time.Now()
-	l.learn(now, m.Extra, rrs)
-	targets := map[string]place{}
+	l.cacheAdditional(now, m.Extra, rrs)
+	targets := map[string]targetAddrs{}
 	for _, rr := range rrs {
-		targets[strings.ToLower(rr.(*dns.SRV).Target)] = place{}
+		targets[strings.ToLower(rr.(*dns.SRV).Target)] = targetAddrs{}
 	}
-	f := found{life: l.clamp(ttl)}
-	if err := l.locate(ctx, now, f.life, targets); err != nil {
-		return found{}, err
+	result := hostSet{lifetime: l.clampTTL(ttl)}
+	if err := l.resolveTargets(ctx, now, result.lifetime, targets); err != nil {
+		return hostSet{}, err
 	}
 	seen := map[string]bool{}
 	for _, rr := range rrs {
-		s := rr.(*dns.SRV)
-		r := sources.Record{Target: strings.TrimSuffix(strings.ToLower(s.Target), "."), Port: s.Port,
-			Priority: s.Priority, Weight: s.Weight}
-		key := fmt.Sprintf("%s:%d", r.Target, r.Port)
-		if s.Port == 0 || s.Target == "." || seen[key] {
+		service := rr.(*dns.SRV)
+		record := sources.Record{Target: strings.TrimSuffix(strings.ToLower(service.Target), "."), Port: service.Port,
+			Priority: service.Priority, Weight: service.Weight}
+		key := fmt.Sprintf("%s:%d", record.Target, record.Port)
+		if service.Port == 0 || service.Target == "." || seen[key] {
 			continue
 		}
 		seen[key] = true
-		where := targets[strings.ToLower(s.Target)]
-		for _, ip := range where.ips {
-			if a, err := addresses.Parse(netip.AddrPortFrom(ip, s.Port).String()); err == nil &&
-				len(r.Addresses) < addresses.MaxAddresses {
-				r.Addresses = append(r.Addresses, a)
+		target := targets[strings.ToLower(service.Target)]
+		for _, ip := range target.ips {
+			if address, err := addresses.Parse(netip.AddrPortFrom(ip, service.Port).String()); err == nil &&
+				len(record.Addresses) < addresses.MaxAddresses {
+				record.Addresses = append(record.Addresses, address)
 			}
 		}
-		f.records, f.lives = append(f.records, r), append(f.lives, min(f.life, max(where.until.Sub(now), l.least)))
+		result.records, result.lifetimes = append(result.records, record), append(result.lifetimes,
+			min(result.lifetime, max(target.expires.Sub(now), l.minLifetime)))
 	}
-	for _, life := range f.lives {
-		f.life = min(f.life, life)
+	for _, lifetime := range result.lifetimes {
+		result.lifetime = min(result.lifetime, lifetime)
 	}
-	return f, nil
+	return result, nil
 }
 
-// learn keeps the addresses that came along with an answer, of its targets only.
-func (l *lookup) learn(now time.Time, extra, rrs []dns.RR) {
+// cacheAdditional caches the addresses in the additional section of an answer, of its targets only.
+func (l *lookup) cacheAdditional(now time.Time, extra, rrs []dns.RR) {
 	wanted := map[string]bool{}
 	for _, rr := range rrs {
 		wanted[strings.ToLower(rr.(*dns.SRV).Target)] = true
 	}
-	came := map[string]place{}
+	received := map[string]targetAddrs{}
 	for _, rr := range extra {
 		name := strings.ToLower(rr.Header().Name)
-		ip, ok := address(rr)
+		ip, ok := recordAddr(rr)
 		if !ok || !wanted[name] {
 			continue
 		}
-		until := now.Add(l.clamp(rr.Header().Ttl))
-		p, had := came[name]
-		if !had || until.Before(p.until) {
-			p.until = until
+		expires := now.Add(l.clampTTL(rr.Header().Ttl))
+		addrs, exists := received[name]
+		if !exists || expires.Before(addrs.expires) {
+			addrs.expires = expires
 		}
-		p.ips = append(p.ips, ip)
-		came[name] = p
+		addrs.ips = append(addrs.ips, ip)
+		received[name] = addrs
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, p := range came {
-		l.places[name] = p
+	for name, addrs := range received {
+		l.cache[name] = addrs
 	}
 }
 
-func address(rr dns.RR) (netip.Addr, bool) {
+// recordAddr returns the address in an A or AAAA record.
+func recordAddr(rr dns.RR) (netip.Addr, bool) {
 	switch rr := rr.(type) {
 	case *dns.A:
 		return netip.AddrFromSlice(rr.A.To4())
@@ -201,21 +204,24 @@
 	return netip.Addr{}, false
 }
 
-// locate fills in where the targets are, and asks for those that are not known, or will not be for half of the lifetime
-// of what names them. A target without an address has none; an error is for when that is not known of one.
-func (l *lookup) locate(ctx context.Context, now time.Time, life time.Duration, targets map[string]place) error {
+// resolveTargets fills in the addresses of the targets. It looks up those that are not cached, or whose cache entry
+// expires within half of the lifetime of the records that name them. A target may have no address; an error means that
+// the addresses of a target could not be determined.
+func (l *lookup) resolveTargets(
+	ctx context.Context, now time.Time, lifetime time.Duration, targets map[string]targetAddrs,
+) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var missing []string
 	l.mu.Lock()
-	for name, p := range l.places {
-		if now.After(p.until) || len(l.places) > cached {
-			delete(l.places, name)
+	for name, addrs := range l.cache {
+		if now.After(addrs.expires) || len(l.cache) > maxCachedTargets {
+			delete(l.cache, name)
 		}
 	}
 	for name := range targets {
-		if p, ok := l.places[name]; ok && p.until.Sub(now) > life/2 {
-			targets[name] = p
+		if addrs, ok := l.cache[name]; ok && addrs.expires.Sub(now) > lifetime/2 {
+			targets[name] = addrs
 		} else {
 			missing = append(missing, name)
 		}
@@ -223,56 +229,56 @@
 	l.mu.Unlock()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var fault error
-	room := make(chan struct{}, asking)
+	var firstErr error
+	slots := make(chan struct{}, maxParallelTargets)
 	for _, name := range missing {
-		room <- struct{}{}
+		slots <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-room }()
-			p, err := l.where(ctx, now, name)
+			defer func() { <-slots }()
+			addrs, err := l.resolveTarget(ctx, now, name)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				if fault == nil {
-					fault = fmt.Errorf("target %s: %w", name, err)
+				if firstErr == nil {
+					firstErr = fmt.Errorf("target %s: %w", name, err)
 				}
-				cancel() // the rest would not help
+				cancel() // the other targets alone are of no use
 				return
 			}
-			targets[name] = p
+			targets[name] = addrs
 		})
 	}
 	wait.Wait()
-	if fault != nil {
-		return fault
+	if firstErr != nil {
+		return firstErr
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range missing {
-		l.places[name] = targets[name]
+		l.cache[name] = targets[name]
 	}
 	return nil
 }
 
-// where asks for both families of a target's addresses.
-func (l *lookup) where(ctx context.Context, now time.Time, name string) (place, error) {
-	p := place{until: now.Add(l.most)}
-	for _, kind := range []uint16{dns.TypeAAAA, dns.TypeA} {
-		_, rrs, ttl, err := l.follow(ctx, name, kind)
-		if err == errSilent { // many servers say nothing on a family that a name lacks
+// resolveTarget looks up the IPv6 and IPv4 addresses of a target.
+func (l *lookup) resolveTarget(ctx context.Context, now time.Time, name string) (targetAddrs, error) {
+	addrs := targetAddrs{expires: now.Add(l.maxLifetime)}
+	for _, rrType := range []uint16{dns.TypeAAAA, dns.TypeA} {
+		_, rrs, ttl, err := l.resolve(ctx, name, rrType)
+		if err == errEmptyWithoutSOA { // as many servers answer for an address family that a name lacks
 			rrs, ttl, err = nil, 0, nil
 		}
 		if err != nil {
-			return p, err
+			return addrs, err
 		}
-		if until := now.Add(l.clamp(ttl)); until.Before(p.until) {
-			p.until = until
+		if expires := now.Add(l.clampTTL(ttl)); expires.Before(addrs.expires) {
+			addrs.expires = expires
 		}
 		for _, rr := range rrs {
-			if ip, ok := address(rr); ok {
-				p.ips = append(p.ips, ip)
+			if ip, ok := recordAddr(rr); ok {
+				addrs.ips = append(addrs.ips, ip)
 			}
 		}
 	}
-	return p, nil
+	return addrs, nil
 }
--- a/internal/srv/srv.go
+++ b/internal/srv/srv.go
@@ -11,62 +11,65 @@
 )
 
 const (
-	firstWait  = 250 * time.Millisecond // dispatchers that start together do not ask together
-	retryLeast = 250 * time.Millisecond
-	retryMost  = 5 * time.Second // so that an end of an outage is soon seen
-	longest    = 30 * time.Second
+	maxStartDelay = 250 * time.Millisecond // random, so that dispatchers that start together spread their queries
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 5 * time.Second // short, so that the end of an outage is noticed soon
+	maxLookupTime = 30 * time.Second
 )
 
-// Sink is told what becomes of each name.
+// Sink receives the result of each lookup of a name.
 type Sink interface {
-	Now() int64 // microseconds; what expires does so on this clock
+	Now() int64 // microseconds, on the clock of Record.Expires
 	ApplyAnswer(name string, records []sources.Record)
 	ApplyEmptyAnswer(name string)
 	RecordFailure(name, fault string)
 }
 
-// Options say whom to ask, and how.
+// Options are the resolvers and the limits of lookups.
 type Options struct {
-	Resolvers                []string // IP:port
-	Timeout                  time.Duration
-	MinLifetime, MaxLifetime time.Duration // bounds on lifetimes
+	Resolvers                []string      // IP:port
+	Timeout                  time.Duration // of one query
+	MinLifetime, MaxLifetime time.Duration // limits of record lifetimes
 }
 
-// Source keeps asking for names, each before its lifetime ends.
+// Source looks up names repeatedly, each before its records expire.
 type Source struct {
 	sink Sink
 
-	mu    sync.Mutex
-	names map[string]context.CancelFunc
-	wait  sync.WaitGroup
+	mu           sync.Mutex
+	cancelByName map[string]context.CancelFunc
+	wait         sync.WaitGroup
 }
 
-// New returns a source that asks for nothing yet.
-func New(sink Sink) *Source { return &Source{sink: sink, names: map[string]context.CancelFunc{}} }
+// New returns a source without names. Configure sets them.
+func New(sink Sink) *Source {
+	return &Source{sink: sink, cancelByName: map[string]context.CancelFunc{}}
+}
 
-// Configure asks for these names from now on, and for no others.
-func (s *Source) Configure(o Options, names []string) {
+// Configure replaces the options and the set of names, and starts lookups of all names anew.
+func (s *Source) Configure(options Options, names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, stop := range s.names {
+	for _, stop := range s.cancelByName {
 		stop()
 	}
-	clear(s.names)
-	l := &lookup{resolvers: newResolvers(o.Resolvers, o.Timeout), least: o.MinLifetime, most: o.MaxLifetime,
-		places: map[string]place{}}
+	clear(s.cancelByName)
+	lookup := &lookup{resolverPool: newResolverPool(options.Resolvers, options.Timeout),
+		minLifetime: options.MinLifetime, maxLifetime: options.MaxLifetime, cache: map[string]targetAddrs{}}
 	for _, name := range names {
 		ctx, stop := context.WithCancel(context.Background())
-		s.names[name] = stop
-		s.wait.Go(func() { s.follow(ctx, l, name) })
+		s.cancelByName[name] = stop
+		s.wait.Go(func() { s.poll(ctx, lookup, name) })
 	}
 }
 
-// Close asks for nothing more.
+// Close stops all lookups and waits for them to end.
 func (s *Source) Close() {
 	s.Configure(Options{}, nil)
 	s.wait.Wait()
 }
 
+// sleep waits for a duration. It returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -78,48 +81,49 @@
 	}
 }
 
-// refresh is when to ask again: before the lifetime ends, by chance, so that dispatchers that have asked together do
-// not go on so. On the average a name is asked for 1.1 times in a lifetime.
-func refresh(life time.Duration) time.Duration {
-	return life*86/100 + rand.N(life*10/100+1)
+// refreshDelay returns a random time before the end of the lifetime at which to repeat a lookup, so that dispatchers
+// that made one at the same time do not stay in step. On average a name is looked up 1.1 times in a lifetime.
+func refreshDelay(lifetime time.Duration) time.Duration {
+	return lifetime*86/100 + rand.N(lifetime*10/100+1)
 }
 
-// follow asks for one name until ctx ends.
-func (s *Source) follow(ctx context.Context, l *lookup, name string) {
-	if !sleep(ctx, rand.N(firstWait)) {
+// poll looks up one name repeatedly until ctx ends.
+func (s *Source) poll(ctx context.Context, lookup *lookup, name string) {
+	if !sleep(ctx, rand.N(maxStartDelay)) {
 		return
 	}
-	failures, said := 0, ""
+	failures, reported := 0, ""
 	for {
-		asked := s.sink.Now()
-		limited, cancel := context.WithTimeout(ctx, longest)
-		f, err := l.find(limited, name)
+		queriedAt := s.sink.Now()
+		lookupCtx, cancel := context.WithTimeout(ctx, maxLookupTime)
+		result, err := lookup.find(lookupCtx, name)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		pause := refresh(f.life)
+		pause := refreshDelay(result.lifetime)
 		switch {
 		case err != nil:
 			s.sink.RecordFailure(name, err.Error())
-			pause = min(retryLeast<<min(failures, 10), retryMost)
+			pause = min(minRetryDelay<<min(failures, 10), maxRetryDelay)
 			pause = pause/2 + rand.N(pause/2+1)
 			failures++
-		case f.empty:
+		case result.empty:
 			s.sink.ApplyEmptyAnswer(name)
 		default:
-			for i := range f.records { // from when it was asked for: it may have been on its way for long
-				f.records[i].Expires = asked + f.lives[i].Microseconds()
+			// Lifetimes count from the start of the lookup, as the answer may have taken long.
+			for i := range result.records {
+				result.records[i].Expires = queriedAt + result.lifetimes[i].Microseconds()
 			}
-			s.sink.ApplyAnswer(name, f.records)
+			s.sink.ApplyAnswer(name, result.records)
 		}
 		if err == nil {
 			failures = 0
 		}
-		if now := state(f, err); now != said {
-			said = now
-			slog.Info("sources", "name", name, "state", now, "hosts", len(f.records), "life_ms", f.life.Milliseconds(),
-				"error", err)
+		if now := stateName(result, err); now != reported {
+			reported = now
+			slog.Info("sources", "name", name, "state", now, "hosts", len(result.records),
+				"life_ms", result.lifetime.Milliseconds(), "error", err)
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -127,11 +131,12 @@
 	}
 }
 
-func state(f found, err error) string {
+// stateName returns the name of a lookup's result in the log.
+func stateName(result hostSet, err error) string {
 	switch {
 	case err != nil:
 		return "failing"
-	case f.empty:
+	case result.empty:
 		return "empty"
 	}
 	return "answered"
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -19,18 +19,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const jobs = "_jobs._tcp.w.example"
+const srvName = "_jobs._tcp.w.example"
 
 func newLookup(timeout time.Duration, servers ...*resolver.Resolver) *lookup {
 	var addrs []string
-	for _, s := range servers {
-		addrs = append(addrs, s.Address())
+	for _, server := range servers {
+		addrs = append(addrs, server.Address())
 	}
-	return &lookup{resolvers: newResolvers(addrs, timeout), least: 100 * time.Millisecond, most: time.Hour,
-		places: map[string]place{}}
+	return &lookup{resolverPool: newResolverPool(addrs, timeout), minLifetime: 100 * time.Millisecond,
+		maxLifetime: time.Hour, cache: map[string]targetAddrs{}}
 }
 
-func start(t *testing.T) *resolver.Resolver {
+func startResolver(t *testing.T) *resolver.Resolver {
 	r, err := resolver.Start()
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -45,198 +45,200 @@
 	return list
 }
 
-func find(l *lookup) (found, error) {
+func findHosts(l *lookup) (hostSet, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	return l.find(ctx, jobs)
+	return l.find(ctx, srvName)
 }
 
 func TestFind(t *testing.T) {
-	r := start(t)
-	r.List(jobs, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5, A: []string{"10.0.0.1"},
+	r := startResolver(t)
+	r.List(srvName, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5, A: []string{"10.0.0.1"},
 		AAAA: []string{"fd00::1"}})
 	for _, bare := range []bool{false, true} {
 		r.Bare(bare)
 		l := newLookup(time.Second, r)
-		f, err := find(l)
+		result, err := findHosts(l)
 		require.NoError(t, err)
-		require.Len(t, f.records, 1)
-		got := f.records[0]
+		require.Len(t, result.records, 1)
+		got := result.records[0]
 		require.Equal(t, "w1.example", got.Target)
 		require.ElementsMatch(t, []string{"10.0.0.1:9000", "[fd00::1]:9000"},
 			[]string{got.Addresses[0].String(), got.Addresses[1].String()})
-		require.InDelta(t, 7, f.life.Seconds(), 0.5)
+		require.InDelta(t, 7, result.lifetime.Seconds(), 0.5)
 		require.EqualValues(t, 5, got.Weight)
 	}
 	require.Equal(t, 1, r.Queries("w1.example", "A"))
-	require.Equal(t, 2, r.Queries(jobs, "SRV"))
+	require.Equal(t, 2, r.Queries(srvName, "SRV"))
 }
 
 func TestAliases(t *testing.T) {
-	r := start(t)
+	r := startResolver(t)
 	r.List("_real._tcp.w.example", 9, targets(1)...)
-	r.Alias(jobs, "a.example", 4)
+	r.Alias(srvName, "a.example", 4)
 	r.Alias("a.example", "_real._tcp.w.example", 30)
-	f, err := find(newLookup(time.Second, r))
+	result, err := findHosts(newLookup(time.Second, r))
 	require.NoError(t, err)
-	require.Len(t, f.records, 1)
-	require.Equal(t, 4*time.Second, f.life, "the least of the chain")
-	r.Alias("a.example", jobs, 30)
-	_, err = find(newLookup(time.Second, r))
-	require.ErrorContains(t, err, "circle")
+	require.Len(t, result.records, 1)
+	require.Equal(t, 4*time.Second, result.lifetime, "the minimum of the chain")
+	r.Alias("a.example", srvName, 30)
+	_, err = findHosts(newLookup(time.Second, r))
+	require.ErrorContains(t, err, "form a loop")
 	for i := range 12 {
 		r.Alias(fmt.Sprintf("c%d.example", i), fmt.Sprintf("c%d.example", i+1), 30)
 	}
-	r.Alias(jobs, "c0.example", 30)
-	_, err = find(newLookup(time.Second, r))
+	r.Alias(srvName, "c0.example", 30)
+	_, err = findHosts(newLookup(time.Second, r))
 	require.ErrorContains(t, err, "more than 8 aliases")
 }
 
-// What is cut is fetched again in full; where that fails, another resolver is asked, and a part is never taken for all.
+// A truncated answer is fetched again over TCP. If that fails another resolver is queried, and a truncated answer is
+// never taken for the complete one.
 func TestTruncated(t *testing.T) {
-	r, other := start(t), start(t)
-	r.List(jobs, 9, targets(1500)...)
+	r, other := startResolver(t), startResolver(t)
+	r.List(srvName, 9, targets(1500)...)
 	r.Bare(true)
 	l := newLookup(time.Second, r)
-	f, err := find(l) // larger than a datagram
+	result, err := findHosts(l) // larger than a datagram
 	require.NoError(t, err)
-	require.Len(t, f.records, 1500)
+	require.Len(t, result.records, 1500)
 	require.Positive(t, r.OverTCP())
 
-	r.List(jobs, 9, targets(4)...)
+	r.List(srvName, 9, targets(4)...)
 	for _, fault := range []resolver.Fault{resolver.TruncateTCPSlow, resolver.TruncateTCPRefuse} {
 		r.Set(fault)
-		_, err = find(newLookup(200*time.Millisecond, r))
+		_, err = findHosts(newLookup(200*time.Millisecond, r))
 		require.Error(t, err, fault)
-		other.List(jobs, 9, targets(4)...)
-		f, err = find(newLookup(200*time.Millisecond, r, other))
+		other.List(srvName, 9, targets(4)...)
+		result, err = findHosts(newLookup(200*time.Millisecond, r, other))
 		require.NoError(t, err, fault)
-		require.Len(t, f.records, 4)
+		require.Len(t, result.records, 4)
 	}
 	r.Set(resolver.Truncate)
-	f, err = find(newLookup(time.Second, r))
+	result, err = findHosts(newLookup(time.Second, r))
 	require.NoError(t, err)
-	require.Len(t, f.records, 4)
+	require.Len(t, result.records, 4)
 }
 
-// Each fault is an error that names something, and another resolver makes up for it.
+// Each fault of a resolver gives an error. If the fault is not a well-formed answer, the lookup succeeds with another
+// resolver.
 func TestFaults(t *testing.T) {
-	bad, good := start(t), start(t)
-	bad.List(jobs, 9, targets(3)...)
-	good.List(jobs, 9, targets(3)...)
+	bad, good := startResolver(t), startResolver(t)
+	bad.List(srvName, 9, targets(3)...)
+	good.List(srvName, 9, targets(3)...)
 	for _, fault := range []resolver.Fault{resolver.Timeout, resolver.Late, resolver.ServFail, resolver.Silent,
 		resolver.WrongID,
 		resolver.WrongQuestion, resolver.Garbage, resolver.CutName, resolver.Loop, resolver.Circle} {
 		bad.Set(fault)
-		_, err := find(newLookup(100*time.Millisecond, bad))
+		_, err := findHosts(newLookup(100*time.Millisecond, bad))
 		require.Error(t, err, fault)
 		if fault == resolver.Silent || fault == resolver.Circle {
-			continue // they are answers
+			continue // well-formed answers, after which no other resolver is queried
 		}
 		l := newLookup(100*time.Millisecond, bad, good)
 		for range 3 {
-			f, err := find(l)
+			result, err := findHosts(l)
 			require.NoError(t, err, fault)
-			require.Len(t, f.records, 3)
+			require.Len(t, result.records, 3)
 		}
-		require.Positive(t, l.list[0].failures, fault)
+		require.Positive(t, l.nameservers[0].failures, fault)
 	}
 	for _, fault := range []resolver.Fault{resolver.NXDomain, resolver.Empty} {
 		bad.Set(fault)
-		f, err := find(newLookup(time.Second, bad))
+		result, err := findHosts(newLookup(time.Second, bad))
 		require.NoError(t, err, fault)
-		require.True(t, f.empty)
-		require.Equal(t, time.Second, f.life, "the zone's minimum")
+		require.True(t, result.empty)
+		require.Equal(t, time.Second, result.lifetime, "the zone's minimum")
 	}
 	bad.Set(resolver.FormErr)
-	f, err := find(newLookup(time.Second, bad))
+	result, err := findHosts(newLookup(time.Second, bad))
 	require.NoError(t, err)
-	require.Len(t, f.records, 3, "without EDNS0")
-	_, err = find(newLookup(time.Second))
-	require.Equal(t, errNone, err)
+	require.Len(t, result.records, 3, "without EDNS0")
+	_, err = findHosts(newLookup(time.Second))
+	require.Equal(t, errNoResolvers, err)
 }
 
 func TestLifetimes(t *testing.T) {
-	r := start(t)
+	r := startResolver(t)
 	l := newLookup(time.Second, r)
 	for ttl, want := range map[uint32]time.Duration{0: 100 * time.Millisecond, 1: time.Second,
 		1 << 31: 100 * time.Millisecond, 1<<31 - 1: time.Hour} {
-		r.List(jobs, ttl, targets(1)...)
-		f, err := find(l)
+		r.List(srvName, ttl, targets(1)...)
+		result, err := findHosts(l)
 		require.NoError(t, err)
-		require.InDelta(t, want.Seconds(), f.life.Seconds(), 0.05, "%d", ttl)
+		require.InDelta(t, want.Seconds(), result.lifetime.Seconds(), 0.05, "%d", ttl)
 	}
-	r.List(jobs, 5, resolver.Target{Host: ".", Port: 0})
-	f, err := find(l)
+	r.List(srvName, 5, resolver.Target{Host: ".", Port: 0})
+	result, err := findHosts(l)
 	require.NoError(t, err)
-	require.True(t, f.empty, "decidedly not there")
+	require.True(t, result.empty, `the target "." means that the service is not available`)
 }
 
-// sink keeps what it is told.
-type sink struct {
+// recordingSink records the results it receives and when.
+type recordingSink struct {
 	mu     sync.Mutex
 	events []string
-	when   []time.Time
+	times  []time.Time
 }
 
-func (s *sink) add(e string) {
+func (s *recordingSink) add(event string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.when = append(s.events, e), append(s.when, time.Now())
+	s.events, s.times = append(s.events, event), append(s.times, time.Now())
 }
-func (s *sink) Now() int64 { return time.Now().UnixMicro() }
-func (s *sink) ApplyAnswer(_ string, records []sources.Record) {
+func (s *recordingSink) Now() int64 { return time.Now().UnixMicro() }
+func (s *recordingSink) ApplyAnswer(_ string, records []sources.Record) {
 	s.add(fmt.Sprintf("answer %d", len(records)))
 }
-func (s *sink) ApplyEmptyAnswer(string)       { s.add("empty") }
-func (s *sink) RecordFailure(_, fault string) { s.add("failed " + fault) }
-func (s *sink) all() []string {
+func (s *recordingSink) ApplyEmptyAnswer(string)       { s.add("empty") }
+func (s *recordingSink) RecordFailure(_, fault string) { s.add("failed " + fault) }
+func (s *recordingSink) snapshot() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.events)
 }
 
-// A name is asked for again before its lifetime ends, and not more often than that wants; through an outage it is asked
-// with growing pauses, and its end is soon seen.
-func TestFollow(t *testing.T) {
-	r := start(t)
-	r.List(jobs, 1, targets(2)...)
-	k := &sink{}
-	s := New(k)
-	s.Configure(Options{Resolvers: []string{r.Address()}, Timeout: 100 * time.Millisecond,
-		MinLifetime: 100 * time.Millisecond, MaxLifetime: time.Hour}, []string{jobs})
+// A name is looked up again before its lifetime ends, and not more often than needed. During an outage it is retried
+// with growing delays, and the end of the outage is noticed soon.
+func TestPoll(t *testing.T) {
+	r := startResolver(t)
+	r.List(srvName, 1, targets(2)...)
+	sink := &recordingSink{}
+	source := New(sink)
+	source.Configure(Options{Resolvers: []string{r.Address()}, Timeout: 100 * time.Millisecond,
+		MinLifetime: 100 * time.Millisecond, MaxLifetime: time.Hour}, []string{srvName})
 	time.Sleep(4200 * time.Millisecond)
-	n := r.Queries(jobs, "SRV")
+	n := r.Queries(srvName, "SRV")
 	require.GreaterOrEqual(t, n, 4)
 	require.LessOrEqual(t, n, 6)
 	r.Set(resolver.Timeout)
-	require.Eventually(t, func() bool { e := k.all(); return strings.HasPrefix(e[len(e)-1], "failed") }, 5*time.Second,
-		10*time.Millisecond)
+	require.Eventually(t, func() bool { e := sink.snapshot(); return strings.HasPrefix(e[len(e)-1], "failed") },
+		5*time.Second, 10*time.Millisecond)
 	time.Sleep(time.Second)
-	require.LessOrEqual(t, r.Queries(jobs, "SRV")-n, 8)
+	require.LessOrEqual(t, r.Queries(srvName, "SRV")-n, 8)
 	r.Set(resolver.Answer)
-	require.Eventually(t, func() bool { e := k.all(); return e[len(e)-1] == "answer 2" }, 6*time.Second,
-		10*time.Millisecond)
-	s.Close()
-	n = r.Queries(jobs, "SRV")
+	require.Eventually(t, func() bool { e := sink.snapshot(); return e[len(e)-1] == "answer 2" },
+		6*time.Second, 10*time.Millisecond)
+	source.Close()
+	n = r.Queries(srvName, "SRV")
 	time.Sleep(1200 * time.Millisecond)
-	require.Equal(t, n, r.Queries(jobs, "SRV"), "closed")
+	require.Equal(t, n, r.Queries(srvName, "SRV"), "closed")
 }
 
-// 48 dispatchers that start together, and have the same lifetimes, do not ask at one moment, at first or later.
-func TestManyAreSpread(t *testing.T) {
-	r := start(t)
-	r.List(jobs, 1, targets(2)...)
+// The queries of 48 dispatchers that start together and see the same lifetimes are spread in time, at first and later.
+func TestPollsAreSpread(t *testing.T) {
+	r := startResolver(t)
+	r.List(srvName, 1, targets(2)...)
 	var all []*Source
 	for range 48 {
-		s := New(&sink{})
-		s.Configure(Options{Resolvers: []string{r.Address()}, Timeout: time.Second, MinLifetime: time.Second,
-			MaxLifetime: time.Hour}, []string{jobs})
-		all = append(all, s)
+		source := New(&recordingSink{})
+		source.Configure(Options{Resolvers: []string{r.Address()}, Timeout: time.Second, MinLifetime: time.Second,
+			MaxLifetime: time.Hour}, []string{srvName})
+		all = append(all, source)
 	}
 	time.Sleep(3 * time.Second)
-	for _, s := range all {
-		s.Close()
+	for _, source := range all {
+		source.Close()
 	}
 	moments := r.Moments()
 	slices.SortFunc(moments, time.Time.Compare)
@@ -246,14 +248,14 @@
 	}
 }
 
-// FuzzParse: an answer of whatever bytes is read whole, or is an error.
+// FuzzParse checks that arbitrary bytes are an error or parse as an answer to the query.
 func FuzzParse(f *testing.F) {
 	q := new(dns.Msg)
-	q.SetQuestion(dns.Fqdn(jobs), dns.TypeSRV)
+	q.SetQuestion(dns.Fqdn(srvName), dns.TypeSRV)
 	q.Id = 7
 	m := new(dns.Msg)
 	m.SetReply(q)
-	m.Answer = []dns.RR{&dns.SRV{Hdr: dns.RR_Header{Name: dns.Fqdn(jobs), Rrtype: dns.TypeSRV, Class: dns.ClassINET,
+	m.Answer = []dns.RR{&dns.SRV{Hdr: dns.RR_Header{Name: dns.Fqdn(srvName), Rrtype: dns.TypeSRV, Class: dns.ClassINET,
 		Ttl: 5}, Port: 1, Target: "a.example."}}
 	whole, err := m.Pack()
 	if err != nil {
@@ -267,7 +269,7 @@
 	f.Add(cut[:40])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if got, err := parse(text, q); err == nil {
+		if got, err := parseAnswer(text, q); err == nil {
 			require.Equal(t, q.Id, got.Id)
 			require.True(t, got.Response)
 			require.True(t, strings.EqualFold(got.Question[0].Name, q.Question[0].Name))
@@ -275,15 +277,15 @@
 	})
 }
 
-// 1,000 hostile answers: each is an error, or an answer to what was asked.
+// TestHostileAnswers parses 1,000 truncated or altered answers. Most must give an error, and none may cause a panic.
 func TestHostileAnswers(t *testing.T) {
 	q := new(dns.Msg)
-	q.SetQuestion(dns.Fqdn(jobs), dns.TypeSRV)
+	q.SetQuestion(dns.Fqdn(srvName), dns.TypeSRV)
 	m := new(dns.Msg)
 	m.SetReply(q)
 	for _, target := range targets(20) {
 		m.Answer = append(m.Answer,
-			&dns.SRV{Hdr: dns.RR_Header{Name: dns.Fqdn(jobs), Rrtype: dns.TypeSRV, Class: dns.ClassINET, Ttl: 5},
+			&dns.SRV{Hdr: dns.RR_Header{Name: dns.Fqdn(srvName), Rrtype: dns.TypeSRV, Class: dns.ClassINET, Ttl: 5},
 				Port: 1, Target: dns.Fqdn(target.Host)})
 	}
 	whole, err := m.Pack()
@@ -297,7 +299,7 @@
 			text[(i*7919)%len(text)] ^= byte(i)
 			text[i%12] ^= byte(1 << (i % 8))
 		}
-		if _, err := parse(text, q); err != nil {
+		if _, err := parseAnswer(text, q); err != nil {
 			require.NotEmpty(t, err.Error())
 			errors++
 		}
