--- a/cmd/topazfall/main.go
+++ b/cmd/topazfall/main.go
@@ -1,5 +1,5 @@
-// Command topazfall is one dispatcher: it takes messages from clients, has them served by south side hosts
-// as the decision module says, and gives each its one final answer.
+// Command topazfall runs one dispatcher: it receives messages (requests) from clients, relays each to the worker that
+// the decision module selects, and sends each client one final answer.
 package main
 
 import (
@@ -23,14 +23,14 @@
 	}
 }
 
-// command is the command line. Without arguments the program is as the platform starts it: all that it is told comes
-// from the environment.
+// command returns the command line. The platform starts the program without arguments, and configures it by the
+// environment.
 func command() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "topazfall",
-		Short: "One dispatcher: has each message served by a south side host and gives it one final answer",
+		Short: "One dispatcher: relays each message to a worker and sends its client one final answer",
 		Long: "topazfall runs one dispatcher. LB_CONFIG names its configuration; LB_NAME, LB_LISTEN, LB_DISCOVERY\n" +
-			"and LB_MANAGEMENT overrule what that says. SIGHUP reads it again, SIGTERM ends the program without loss.",
+			"and LB_MANAGEMENT override its values. SIGHUP reads it again, SIGTERM ends the program without loss.",
 		Version:       version.String(),
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
@@ -39,10 +39,10 @@
 	}
 	root.AddCommand(&cobra.Command{
 		Use: "agent [flags]",
-		Short: "The same dispatcher with the control API and further sources of hosts (runs " +
+		Short: "The same dispatcher with the control API and more sources of workers (runs " +
 			"topazfall-agent)",
 		DisableFlagParsing: true,
-		// What the agent links in would cost the bare program some megabytes, so it is a program of its own.
+		// The agent is a separate program because its dependencies would add some megabytes to this one.
 		RunE: func(_ *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
--- a/cmd/topazfall/restart_test.go
+++ b/cmd/topazfall/restart_test.go
@@ -21,12 +21,12 @@
 	"topazfall/internal/takeover"
 )
 
-// readyWithin is the bound on how long a started process takes to be ready, but for the time in which another one has
-// its address and neither answers nor goes. instance.readyBound says what it consists of.
+// readyWithin is the maximum time from the start of a process until it is ready, without the time in which another
+// process has its address and neither answers nor ends. Package instance lists its parts at readyBound.
 const readyWithin = 6 * time.Second
 
-// TestStarts plays starts and restarts that something stands in the way of, side by side, but not beside the other
-// tests, some of which measure milliseconds.
+// TestStarts runs starts and restarts under faults. They run in parallel, but not with the other tests, some of which
+// measure milliseconds.
 func TestStarts(t *testing.T) {
 	for _, play := range []struct {
 		name string
@@ -47,40 +47,40 @@
 	}
 }
 
-// linkPath is where a process of the name and address that the stand-in for the program gives is found by others.
+// linkPath returns the path of the handover socket of a process with the name n0 and this listen address.
 func linkPath(dir, listen string) string {
 	return filepath.Join(dir, filepath.Base(takeover.SocketPath("n0", listen)))
 }
 
-// fakePredecessor has the address and the link of a process that is to be replaced, and does with who comes what
-// behave says.
+// fakePredecessor has the address and the handover socket of a process that is to be replaced. A function of the test
+// handles each successor that connects.
 type fakePredecessor struct {
-	clients *net.TCPListener
-	links   *net.UnixListener
-	dir     string
+	clientListener *net.TCPListener
+	linkListener   *net.UnixListener
+	dir            string
 }
 
-// asking is a process that has asked for the predecessor's place.
-type asking struct {
+// linkRequest is the connection of a process that asks to replace the predecessor.
+type linkRequest struct {
 	*fakePredecessor
 	*takeover.Link
 	raw *net.UnixConn
 }
 
-func newFakePredecessor(t *testing.T, behave func(asking)) *fakePredecessor {
+func newFakePredecessor(t *testing.T, behave func(linkRequest)) *fakePredecessor {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fakePredecessor{clients: ln.(*net.TCPListener), dir: t.TempDir()}
-	f.links, err = takeover.Listen(linkPath(f.dir, ln.Addr().String()))
+	f := &fakePredecessor{clientListener: ln.(*net.TCPListener), dir: t.TempDir()}
+	f.linkListener, err = takeover.Listen(linkPath(f.dir, ln.Addr().String()))
 	require.NoError(t, err)
-	t.Cleanup(f.end)
+	t.Cleanup(f.exit)
 	go func() {
 		for {
-			c, err := f.links.AcceptUnix()
+			c, err := f.linkListener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			a := asking{f, takeover.NewLink(c), c}
+			a := linkRequest{f, takeover.NewLink(c), c}
 			t.Cleanup(func() { a.Close() })
 			go func() {
 				if first, err := a.ReadFrame(); err == nil && first.Kind == 'h' {
@@ -92,39 +92,39 @@
 	return f
 }
 
-// end is that of the process: nobody has the address or the link any more.
-func (f *fakePredecessor) end() {
-	f.links.Close()
-	f.clients.Close()
+// exit frees the address and the handover socket, as the end of the process does.
+func (f *fakePredecessor) exit() {
+	f.linkListener.Close()
+	f.clientListener.Close()
 }
 
-// begin sends the head of a state of 1,024 bytes with the listening socket, and one byte more.
-func (a asking) begin() {
-	socket, err := a.clients.SyscallConn()
+// sendPartialState sends the header of a state of 1,024 bytes with the listening socket, and one byte of the state.
+func (r linkRequest) sendPartialState() {
+	socket, err := r.clientListener.SyscallConn()
 	if err != nil {
 		return
 	}
 	socket.Control(func(fd uintptr) {
-		a.raw.WriteMsgUnix([]byte{'s', 0, 0, 4, 0, 1}, syscall.UnixRights(int(fd)), nil)
+		r.raw.WriteMsgUnix([]byte{'s', 0, 0, 4, 0, 1}, syscall.UnixRights(int(fd)), nil)
 	})
 }
 
-// emptyState is what a predecessor says that knows nothing.
+// emptyState returns the handover state of a predecessor that knows nothing.
 func emptyState(t *testing.T) []byte {
 	var b bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&b).Encode(struct{ Known []string }{nil}))
 	return b.Bytes()
 }
 
-func listener(t *testing.T) *discoveryserver.Server {
+func startDiscovery(t *testing.T) *discoveryserver.Server {
 	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
 	return list
 }
 
-// launch starts the program without waiting for it.
-func launch(t *testing.T, o program.Options) *program.Process {
+// launchProgram starts the program without waiting until it is ready.
+func launchProgram(t *testing.T, o program.Options) *program.Process {
 	o.Path, o.Env = os.Args[0], append(o.Env, "TOPAZFALL_PLAYED=1")
 	if o.Dir == "" {
 		o.Dir = t.TempDir()
@@ -141,194 +141,201 @@
 	return p
 }
 
-// A process that is to be replaced hangs at each point of the hand-over, or says what cannot be read: the one that
-// replaces it is ready within the bound, on the socket that it was given, with discovery silent.
+// A predecessor hangs at any point of the handover, or sends a state that cannot be decoded. Its successor must be
+// ready in time, on the socket that it received, even if discovery does not answer.
 func testReadyThoughThePredecessorHangs(t *testing.T) {
 	state := emptyState(t)
-	for name, behave := range map[string]func(asking){
-		"in the middle of its state": asking.begin,
-		"and ends in the middle of its state": func(a asking) {
-			a.begin()
-			a.end()
+	for name, behave := range map[string]func(linkRequest){
+		"in the middle of its state": linkRequest.sendPartialState,
+		"and ends in the middle of its state": func(a linkRequest) {
+			a.sendPartialState()
+			a.exit()
 			a.Close()
 		},
-		"after its state":                  func(a asking) { a.Send('s', state, a.clients) },
-		"after a state that is unreadable": func(a asking) { a.Send('s', []byte("\x07rubbish"), a.clients) },
+		"after its state": func(a linkRequest) { a.Send('s', state, a.clientListener) },
+		"after a state that is unreadable": func(a linkRequest) {
+			a.Send('s', []byte("\x07rubbish"), a.clientListener)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			list := listener(t)
+			list := startDiscovery(t)
 			list.SetFault(discoveryserver.Silent)
 			f := newFakePredecessor(t, behave)
-			p := launch(t, program.Options{Dir: f.dir, Listen: f.clients.Addr().String(), Discovery: list.Address(),
-				Deadline: time.Second})
-			took, err := p.AwaitReady(patience)
+			p := launchProgram(t, program.Options{Dir: f.dir, Listen: f.clientListener.Addr().String(),
+				Discovery: list.Address(), Deadline: time.Second})
+			took, err := p.AwaitReady(testTimeout)
 			require.NoError(t, err)
 			require.Less(t, took, readyWithin)
 			c, err := net.Dial("tcp", p.Address())
 			require.NoError(t, err)
 			c.Close()
 			require.NoError(t, p.Term())
-			require.NoError(t, p.Wait(patience))
+			require.NoError(t, p.Wait(testTimeout))
 			require.Zero(t, p.ExitCode())
 		})
 	}
 }
 
-// The predecessor has given up on the process that was to replace it, and lives: that one ends and takes nothing, as
-// both would accept, each without the other's knowledge of what is in hand.
+// The predecessor has given up the handover and stays alive. The successor must end without accepting clients:
+// otherwise both processes would accept, and neither would know which messages the other has in progress.
 func testNotReadyOnceThePredecessorHasGivenUp(t *testing.T) {
-	state, list := emptyState(t), listener(t)
-	f := newFakePredecessor(t, func(a asking) {
-		a.Send('s', state, a.clients)
+	state, list := emptyState(t), startDiscovery(t)
+	f := newFakePredecessor(t, func(a linkRequest) {
+		a.Send('s', state, a.clientListener)
 		a.Close()
 	})
-	p := launch(t, program.Options{Dir: f.dir, Listen: f.clients.Addr().String(), Discovery: list.Address()})
-	require.NoError(t, p.Wait(patience))
+	p := launchProgram(t, program.Options{Dir: f.dir, Listen: f.clientListener.Addr().String(),
+		Discovery: list.Address()})
+	require.NoError(t, p.Wait(testTimeout))
 	require.Equal(t, 1, p.ExitCode())
 	require.NotContains(t, p.Log(), "state=ready")
 }
 
-// One that comes to replace a process and hangs before it accepts stands in nobody's way: its link is ended, and the
-// next one is ready within the bound.
+// A successor that hangs before it accepts clients must not block others: its connection is closed, and the next
+// successor is ready in time.
 func testReadyThoughAnotherSuccessorHangs(t *testing.T) {
-	list := listener(t)
-	p := launch(t, program.Options{Discovery: list.Address()})
-	_, err := p.AwaitReady(patience)
+	list := startDiscovery(t)
+	predecessor := launchProgram(t, program.Options{Discovery: list.Address()})
+	_, err := predecessor.AwaitReady(testTimeout)
 	require.NoError(t, err)
-	hung, err := takeover.Dial(linkPath(p.Dir(), p.Address()))
+	hanging, err := takeover.Dial(linkPath(predecessor.Dir(), predecessor.Address()))
 	require.NoError(t, err)
-	defer hung.Close()
-	require.NoError(t, hung.Send('h', nil, nil))
-	f, err := hung.ReadFrame()
+	defer hanging.Close()
+	require.NoError(t, hanging.Send('h', nil, nil))
+	f, err := hanging.ReadFrame()
 	require.NoError(t, err)
 	require.NotNil(t, f.File)
 	f.File.Close()
-	next := launch(t, program.Options{Dir: p.Dir(), Listen: p.Address(), Discovery: list.Address()})
-	took, err := next.AwaitReady(patience)
+	successor := launchProgram(t, program.Options{Dir: predecessor.Dir(), Listen: predecessor.Address(),
+		Discovery: list.Address()})
+	took, err := successor.AwaitReady(testTimeout)
 	require.NoError(t, err)
 	require.Less(t, took, readyWithin)
-	_, err = hung.ReadFrame()
-	require.Error(t, err, "it is told that its time is over")
-	require.NoError(t, p.Term())
-	require.NoError(t, p.Wait(patience))
-	require.Zero(t, p.ExitCode())
+	_, err = hanging.ReadFrame()
+	require.Error(t, err, "its connection is closed")
+	require.NoError(t, predecessor.Term())
+	require.NoError(t, predecessor.Wait(testTimeout))
+	require.Zero(t, predecessor.ExitCode())
 }
 
-// The address belongs to a process that is stopped (SIGSTOP). No way leads to it but that process's going on, or its
-// end: the one that replaces it is ready within the bound from then on, and the operators are answered meanwhile.
+// The address belongs to a process that is stopped (SIGSTOP). It becomes available only when that process goes on or
+// ends; from then on the successor must be ready in time. Until then it answers its management address.
 func testReadyOnceAStoppedPredecessorGoesOnOrEnds(t *testing.T) {
 	for name, release := range map[string]syscall.Signal{"goes on": syscall.SIGCONT, "ends": syscall.SIGKILL} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			list := listener(t)
-			p := launch(t, program.Options{Discovery: list.Address()})
-			_, err := p.AwaitReady(patience)
+			list := startDiscovery(t)
+			predecessor := launchProgram(t, program.Options{Discovery: list.Address()})
+			_, err := predecessor.AwaitReady(testTimeout)
 			require.NoError(t, err)
-			require.NoError(t, p.Freeze())
-			next := launch(t, program.Options{Dir: p.Dir(), Listen: p.Address(), Discovery: list.Address()})
-			_, err = next.AwaitReady(3 * time.Second)
+			require.NoError(t, predecessor.Freeze())
+			successor := launchProgram(t, program.Options{Dir: predecessor.Dir(), Listen: predecessor.Address(),
+				Discovery: list.Address()})
+			_, err = successor.AwaitReady(3 * time.Second)
 			require.ErrorContains(t, err, "not ready")
-			_, err = next.Figures()
+			_, err = successor.Figures()
 			require.NoError(t, err)
-			released := time.Now()
-			require.NoError(t, p.Signal(release))
-			_, err = next.AwaitReady(patience)
+			releasedAt := time.Now()
+			require.NoError(t, predecessor.Signal(release))
+			_, err = successor.AwaitReady(testTimeout)
 			require.NoError(t, err)
-			require.Less(t, time.Since(released), readyWithin)
+			require.Less(t, time.Since(releasedAt), readyWithin)
 			if release == syscall.SIGCONT {
-				require.NoError(t, p.Term())
-				require.NoError(t, p.Wait(patience))
-				require.Zero(t, p.ExitCode())
+				require.NoError(t, predecessor.Term())
+				require.NoError(t, predecessor.Wait(testTimeout))
+				require.Zero(t, predecessor.ExitCode())
 			}
 		})
 	}
 }
 
-// A process is stopped (SIGSTOP) and stays so: the one that is started in its place is ready within the bound all the
-// same. It is not: the kernel gives the address to nobody else while the stopped process lives, and only that process
-// could pass it on. Its successor says "listen ...: address already in use" and waits. Listed in KNOWN-RED.txt.
+// A process is stopped (SIGSTOP) and stays so. Its successor should be ready in time all the same, but is not: the
+// kernel gives the address to no other process while the stopped one lives, and only that one could hand it over. The
+// successor logs "listen ...: address already in use" and waits. Listed in KNOWN-RED.txt.
 func TestReadyWhileThePredecessorStaysStopped(t *testing.T) {
-	list := listener(t)
-	p := launch(t, program.Options{Discovery: list.Address()})
-	_, err := p.AwaitReady(patience)
+	list := startDiscovery(t)
+	p := launchProgram(t, program.Options{Discovery: list.Address()})
+	_, err := p.AwaitReady(testTimeout)
 	require.NoError(t, err)
 	require.NoError(t, p.Freeze())
-	next := launch(t, program.Options{Dir: p.Dir(), Listen: p.Address(), Discovery: list.Address()})
+	next := launchProgram(t, program.Options{Dir: p.Dir(), Listen: p.Address(), Discovery: list.Address()})
 	_, err = next.AwaitReady(readyWithin)
 	require.NoError(t, err)
 }
 
-// The address is still another's, who hands nothing over and goes: the process has it at once then. A signal to read
-// the configuration that comes meanwhile does not end it, and is heeded.
+// The address belongs to another process, which hands nothing over and ends: the process must then get it at once. A
+// SIGHUP that comes meanwhile does not end the process, and the configuration is reloaded.
 func testReadyOnceTheAddressIsFree(t *testing.T) {
-	other, err := net.Listen("tcp", "127.0.0.1:0")
+	occupant, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	list := listener(t)
-	p := launch(t, program.Options{Listen: other.Addr().String(), Discovery: list.Address()})
+	list := startDiscovery(t)
+	p := launchProgram(t, program.Options{Listen: occupant.Addr().String(), Discovery: list.Address()})
 	_, err = p.AwaitReady(time.Second)
 	require.ErrorContains(t, err, "not ready")
 	require.NoError(t, p.Signal(syscall.SIGHUP))
-	other.Close()
-	free := time.Now()
-	_, err = p.AwaitReady(patience)
+	occupant.Close()
+	freedAt := time.Now()
+	_, err = p.AwaitReady(testTimeout)
 	require.NoError(t, err)
-	require.Less(t, time.Since(free), readyWithin)
+	require.Less(t, time.Since(freedAt), readyWithin)
 	require.Eventually(t, func() bool {
-		figures, err := p.Figures()
-		return err == nil && figures["app_sighup_applied_total"] == 1
-	}, patience, 10*time.Millisecond)
+		metrics, err := p.Figures()
+		return err == nil && metrics["app_sighup_applied_total"] == 1
+	}, testTimeout, 10*time.Millisecond)
 }
 
-// The address belongs to a process that was told to end and still has a message in hand, which takes its time: the one
-// that is started then does not wait for that, and the message gets its answer.
+// The address belongs to a process that received SIGTERM and still has a slow message in progress. A process started
+// then must not wait for that message, and the message gets its answer.
 func testReadyThoughThePredecessorIsLeaving(t *testing.T) {
-	for _, since := range []time.Duration{50 * time.Millisecond, time.Second} { // it still takes messages, and no more
+	// After the first time the predecessor still accepts messages, after the second it does not any more.
+	for _, since := range []time.Duration{50 * time.Millisecond, time.Second} {
 		t.Run(since.String(), func(t *testing.T) {
 			t.Parallel()
-			list := listener(t)
-			p := launch(t, program.Options{Discovery: list.Address()})
-			_, err := p.AwaitReady(patience)
+			list := startDiscovery(t)
+			predecessor := launchProgram(t, program.Options{Discovery: list.Address()})
+			_, err := predecessor.AwaitReady(testTimeout)
 			require.NoError(t, err)
 			worker, err := host.Start(host.Options{Name: "s-0", Dir: t.TempDir(), Work: 3 * time.Second},
-				p.CallBack, doors...) // to the address, whoever has it
+				predecessor.CallBack, listenAddresses...) // to the same address, whichever process has it
 			require.NoError(t, err)
 			t.Cleanup(worker.Close)
-			list.Set(entry(worker))
+			list.Set(listEntry(worker))
 			answer := make(chan client.Answer, 1)
 			go func() {
-				answer <- client.New(p.Address(), "slow").Do(client.Message{ID: "slow", Class: "usage-report",
+				answer <- client.New(predecessor.Address(), "slow").Do(client.Message{ID: "slow", Class: "usage-report",
 					Tenant: "delta-mobile", Wait: 8 * time.Second})
 			}()
-			require.Eventually(t, func() bool { return worker.Runs("slow") == 1 }, patience, time.Millisecond)
-			require.NoError(t, p.Term())
+			require.Eventually(t, func() bool { return worker.Runs("slow") == 1 }, testTimeout, time.Millisecond)
+			require.NoError(t, predecessor.Term())
 			time.Sleep(since)
-			next := launch(t, program.Options{Dir: p.Dir(), Listen: p.Address(), Discovery: list.Address()})
-			took, err := next.AwaitReady(patience)
+			successor := launchProgram(t, program.Options{Dir: predecessor.Dir(), Listen: predecessor.Address(),
+				Discovery: list.Address()})
+			took, err := successor.AwaitReady(testTimeout)
 			require.NoError(t, err)
-			require.Less(t, took, 2*time.Second, "it waits for no message")
+			require.Less(t, took, 2*time.Second, "it has waited for the message")
 			a := <-answer
 			require.NoError(t, a.Err)
 			require.Equal(t, 200, a.Status, a.Body)
-			require.NoError(t, p.Wait(patience))
-			require.Zero(t, p.ExitCode())
+			require.NoError(t, predecessor.Wait(testTimeout))
+			require.Zero(t, predecessor.ExitCode())
 		})
 	}
 }
 
-// oldList is a list that was known before a restart: its worker is not there any more.
+// oldList is a list known before a restart. Its worker does not exist any more.
 const oldList = `{"seq":3,"whole":true,"hosts":[{"host":"s-old","dial":"127.0.0.1:1","site":"hall-a","class":"small",` +
 	`"block":0,"health":"up","share":1,"born_ms":0}]}`
 
-// Many processes are killed and started again at once, while discovery is down, silent, slow, refusing, or answers one
-// call in ten; they know of no worker, or of an old list; lists come unasked or must be asked for. Nine in ten are
-// ready within the bound, and all in less than the longest that the platform waits.
+// Many processes are killed and restarted at once while discovery is down, silent, slow or refusing, or answers one
+// call in ten. They know no worker or an outdated list, and lists are pushed or polled. Nine in ten must be ready in
+// time, and all within the longest time that the platform waits.
 func testManyRestartedAtOnce(t *testing.T) {
 	faults := map[string]discoveryserver.Fault{"silent": discoveryserver.Silent, "slow": discoveryserver.Slow,
 		"refusing": discoveryserver.Refuse, "crowded": discoveryserver.Crowded, "down": discoveryserver.None}
 	var starts []program.Options
 	for name, fault := range faults {
-		list := listener(t)
+		list := startDiscovery(t)
 		if list.SetFault(fault); name == "down" {
 			list.Close()
 		}
@@ -341,24 +348,24 @@
 	var killed []*program.Process
 	for i := range starts {
 		starts[i].Dir = t.TempDir()
-		p := launch(t, starts[i])
+		p := launchProgram(t, starts[i])
 		starts[i].Listen = p.Address()
 		killed = append(killed, p)
 	}
 	for _, p := range killed {
-		_, err := p.AwaitReady(longestStart)
+		_, err := p.AwaitReady(maxStartTime)
 		require.NoError(t, err)
 		p.Kill()
 	}
 	var restarted []*program.Process
 	for _, o := range starts {
-		restarted = append(restarted, launch(t, o))
+		restarted = append(restarted, launchProgram(t, o))
 	}
 	times := make([]time.Duration, len(restarted))
 	var wait sync.WaitGroup
 	for i, p := range restarted {
 		wait.Go(func() {
-			took, err := p.AwaitReady(longestStart)
+			took, err := p.AwaitReady(maxStartTime)
 			if err != nil {
 				t.Errorf("%+v: %v", starts[i], err)
 			}
@@ -373,10 +380,10 @@
 		require.NoError(t, p.Term())
 	}
 	for _, p := range restarted {
-		require.NoError(t, p.Wait(patience))
+		require.NoError(t, p.Wait(testTimeout))
 		require.Zero(t, p.ExitCode())
 	}
 }
 
-// longestStart is what no started process may take.
-const longestStart = 30 * time.Second
+// maxStartTime is the longest time that the platform waits for a started process.
+const maxStartTime = 30 * time.Second
