--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,7 +58,7 @@
 	Discovery string                    // address of the discovery service that the list came from
 	Seq       int64                     // version of the list
 	Hosts     map[string]dispatch.Entry // by worker id
-	Unread    refresh.Unread
+	Unread    refresh.Unread            // for how long changes may have been missed
 }
 
 // RefreshSettings extracts the settings of the refresh schedule.
