--- a/internal/decide/refresh/fleet_test.go
+++ b/internal/decide/refresh/fleet_test.go
@@ -12,181 +12,182 @@
 	"github.com/stretchr/testify/require"
 )
 
-// agenda is a heap of what is to happen, by time and then by the order in which it was put there.
-type agenda []task
+// eventQueue is a heap of future events, ordered by time and then by insertion.
+type eventQueue []event
 
-type task struct {
+type event struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(a[i].at, a[j].at), a[i].order-a[j].order) < 0
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(task)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
 	return x
 }
 
-// world is a fleet in virtual time that asks one discovery of fixed room. A call that opens a watch needs
-// room; one that goes on in time does not. Versions rise as workers begin to drain.
-type world struct {
-	t          *testing.T
-	random     *rand.Rand
-	now        time.Duration
-	todo       agenda
-	order      int
-	room       float64                      // of calls that it answers, a second
-	inTurn     time.Duration                // until when the room is taken by calls before
-	patience   time.Duration                // of a call in its turn, after which it is turned away
-	silent     func(now time.Duration) bool // it answers nothing, and could not be reached
-	turnsAway  func(now time.Duration) bool // it refuses this call, whatever its room
-	turnedFor  time.Duration                // how long such a call waits for its refusal
-	down       func(now time.Duration) bool // it could not be reached
-	brokenAt   time.Duration                // when it refuses the watches that are open; 0 for never
-	retryAfter time.Duration                // that it names with a refusal
-	drains     []time.Duration              // version i+1 is there from drains[i] on
-	nodes      []*node                      // the dispatchers
-	ages       []time.Duration              // of the lists of those that may send, every step
-	opened     map[time.Duration]int        // calls that open a watch, by second
+// fleet simulates dispatchers that call one discovery of fixed capacity, in virtual time. A call that opens a watch
+// needs capacity; one that continues a watch in time does not. The version of the list rises as workers begin to drain.
+type fleet struct {
+	t             *testing.T
+	random        *rand.Rand
+	now           time.Duration
+	events        eventQueue
+	order         int
+	capacity      float64                      // calls that discovery answers, per second
+	busyUntil     time.Duration                // until when earlier calls use the capacity
+	maxQueueWait  time.Duration                // after which a queued call is refused
+	isSilent      func(now time.Duration) bool // discovery answers nothing and could not be reached
+	refuses       func(now time.Duration) bool // discovery refuses this call, whatever its capacity
+	refusalDelay  time.Duration                // how long such a call waits for its refusal
+	isUnreachable func(now time.Duration) bool // discovery could not be reached
+	brokenAt      time.Duration                // when discovery refuses the open watches; 0 for never
+	retryAfter    time.Duration                // sent with each refusal
+	drains        []time.Duration              // version i+1 of the list exists from drains[i] on
+	dispatchers   []*dispatcher
+	ages          []time.Duration       // of the lists of all dispatchers that may send, at every step
+	opened        map[time.Duration]int // calls that open a watch, per second
 }
 
-type node struct {
+// dispatcher is one simulated dispatcher.
+type dispatcher struct {
 	*Schedule
-	started, died time.Duration
-	version       int
-	firstRead     time.Duration // since its start
-	read          time.Duration // when the call that brought the list began
-	heldFor       time.Duration
-	begun         int // the number of the call under way: an answer to another is dropped
+	started, stopped time.Duration
+	version          int
+	firstRead        time.Duration // time from its start to the first list
+	readAt           time.Duration // when the call that brought the list started
+	heldFor          time.Duration
+	callNumber       int // number of the call in progress; an answer to another call is dropped
 }
 
-func (w *world) at(at time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.todo, task{at, w.order, do})
+func (f *fleet) schedule(at time.Duration, do func()) {
+	f.order++
+	heap.Push(&f.events, event{at, f.order, do})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.todo) > 0 && w.todo[0].at <= until {
-		next := heap.Pop(&w.todo).(task)
-		w.now = next.at
+func (f *fleet) run(until time.Duration) {
+	for len(f.events) > 0 && f.events[0].at <= until {
+		next := heap.Pop(&f.events).(event)
+		f.now = next.at
 		next.do()
 	}
-	w.now = until
+	f.now = until
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newFleet(t *testing.T, seed uint64) *fleet {
 	never := func(time.Duration) bool { return false }
-	return &world{t: t, random: seeded(seed), room: 1e6, patience: 2 * second, silent: never, turnsAway: never,
-		down: never, opened: map[time.Duration]int{}}
+	return &fleet{t: t, random: seeded(seed), capacity: 1e6, maxQueueWait: 2 * second, isSilent: never, refuses: never,
+		isUnreachable: never, opened: map[time.Duration]int{}}
 }
 
-// start begins a dispatcher that knows a list of version 0.
-func (w *world) start(at time.Duration, terms Settings) {
-	w.at(at, func() {
-		n := &node{Schedule: New(w.now, terms, rand.New(rand.NewPCG(w.random.Uint64(), 1))), started: w.now}
-		w.nodes = append(w.nodes, n)
-		w.at(w.now+n.FirstDelay(true), func() { w.call(n) })
+// addDispatcher starts a dispatcher that has a list of version 0.
+func (f *fleet) addDispatcher(at time.Duration, settings Settings) {
+	f.schedule(at, func() {
+		d := &dispatcher{Schedule: New(f.now, settings, rand.New(rand.NewPCG(f.random.Uint64(), 1))), started: f.now}
+		f.dispatchers = append(f.dispatchers, d)
+		f.schedule(f.now+d.FirstDelay(true), func() { f.call(d) })
 	})
 }
 
-func (w *world) version(at time.Duration) int {
-	n, found := slices.BinarySearch(w.drains, at)
+func (f *fleet) version(at time.Duration) int {
+	n, found := slices.BinarySearch(f.drains, at)
 	if found {
 		n++
 	}
 	return n
 }
 
-func (w *world) call(n *node) {
-	wait := n.Begin(w.now, true)
-	n.begun++
-	number := n.begun
+func (f *fleet) call(d *dispatcher) {
+	wait := d.Begin(f.now, true)
+	d.callNumber++
+	number := d.callNumber
 	end := func(result Result, version int) {
-		if n.begun != number {
+		if d.callNumber != number {
 			return
 		}
-		n.begun++
+		d.callNumber++
 		if result == Read {
-			n.version, n.read = version, n.Schedule.begun
-			if n.firstRead == 0 {
-				n.firstRead = w.now - n.started
+			d.version, d.readAt = version, d.Schedule.callStart
+			if d.firstRead == 0 {
+				d.firstRead = f.now - d.started
 			}
 		}
-		pause := n.End(w.now, result, map[bool]time.Duration{true: w.retryAfter}[result == Refused])
-		w.at(w.now+pause, func() { w.call(n) })
+		pause := d.End(f.now, result, map[bool]time.Duration{true: f.retryAfter}[result == Refused])
+		f.schedule(f.now+pause, func() { f.call(d) })
 	}
-	w.at(w.now+callLimit, func() { end(TimedOut, 0) })
+	f.schedule(f.now+callTimeout, func() { end(TimedOut, 0) })
 	if wait == 0 {
-		w.opened[w.now.Truncate(second)]++
+		f.opened[f.now.Truncate(second)]++
 	}
-	if w.silent(w.now) { // also later: an agent that returns answers new calls alone
+	if f.isSilent(f.now) { // also later: a service that returns answers new calls only
 		return
 	}
-	const trip = 2 * time.Millisecond
-	answer := func(at time.Duration) { // as of then, unless it has fallen silent
-		w.at(at, func() {
-			if !w.silent(w.now) {
-				end(Read, w.version(w.now))
+	const roundTrip = 2 * time.Millisecond
+	answer := func(at time.Duration) { // with the list of that time, unless discovery is silent then
+		f.schedule(at, func() {
+			if !f.isSilent(f.now) {
+				end(Read, f.version(f.now))
 			}
 		})
 	}
 	if wait > 0 {
-		change := w.now + wait
-		if next := w.version(w.now); n.version < next {
-			change = w.now
-		} else if next < len(w.drains) {
-			change = min(change, w.drains[next])
+		change := f.now + wait
+		if next := f.version(f.now); d.version < next {
+			change = f.now
+		} else if next < len(f.drains) {
+			change = min(change, f.drains[next])
 		}
-		if w.now < w.brokenAt && w.brokenAt < change {
-			w.at(w.brokenAt, func() { end(Refused, 0) })
+		if f.now < f.brokenAt && f.brokenAt < change {
+			f.schedule(f.brokenAt, func() { end(Refused, 0) })
 			return
 		}
-		answer(change + trip)
+		answer(change + roundTrip)
 		return
 	}
-	turn := max(w.inTurn, w.now)
+	queuedUntil := max(f.busyUntil, f.now)
 	switch {
-	case w.turnsAway(w.now):
-		w.at(w.now+trip+w.turnedFor, func() { end(Refused, 0) })
-	case turn-w.now > w.patience: // it takes its turn all the same
-		w.inTurn = turn + time.Duration(float64(second)/w.room)
-		w.at(w.now+w.patience, func() { end(Refused, 0) })
+	case f.refuses(f.now):
+		f.schedule(f.now+roundTrip+f.refusalDelay, func() { end(Refused, 0) })
+	case queuedUntil-f.now > f.maxQueueWait: // a refused call uses capacity all the same
+		f.busyUntil = queuedUntil + time.Duration(float64(second)/f.capacity)
+		f.schedule(f.now+f.maxQueueWait, func() { end(Refused, 0) })
 	default:
-		w.inTurn = turn + time.Duration(float64(second)/w.room)
-		answer(w.inTurn + trip)
+		f.busyUntil = queuedUntil + time.Duration(float64(second)/f.capacity)
+		answer(f.busyUntil + roundTrip)
 	}
 }
 
-// watchSends looks every 20 ms what each dispatcher might do. Who may send has read every drain that counts
-// as told: those that discovery had, and at which it could be reached by this dispatcher, a bound ago. The
-// grace is not used.
-func (w *world) watchSends(until time.Duration) {
+// checkSends checks every 20 ms that each dispatcher that may send has read every drain of which it counts as notified:
+// those that discovery had a staleness bound ago, if this dispatcher could reach discovery then. The grace period of
+// the drain is not used.
+func (f *fleet) checkSends(until time.Duration) {
 	const step = 20 * time.Millisecond
 	for at := time.Duration(0); at <= until; at += step {
-		w.at(at, func() {
-			for _, n := range w.nodes {
-				if n.died > 0 {
+		f.schedule(at, func() {
+			for _, d := range f.dispatchers {
+				if d.stopped > 0 {
 					continue
 				}
-				age := w.now - max(n.read, n.started)
-				if n.IsStale(w.now) {
-					n.heldFor += step
+				age := f.now - max(d.readAt, d.started)
+				if d.IsStale(f.now) {
+					d.heldFor += step
 					continue
 				}
-				w.ages = append(w.ages, age)
-				told := w.now - n.Settings().StalenessBound()
-				if told < n.started || w.down(told) {
+				f.ages = append(f.ages, age)
+				notifiedBy := f.now - d.Settings().StalenessBound()
+				if notifiedBy < d.started || f.isUnreachable(notifiedBy) {
 					continue
 				}
-				require.GreaterOrEqual(w.t, n.version, w.version(told),
-					"at %v a dispatcher that started at %v sends to who drains", w.now, n.started)
+				require.GreaterOrEqual(f.t, d.version, f.version(notifiedBy),
+					"at %v a dispatcher that started at %v sends to a draining worker", f.now, d.started)
 			}
 		})
 	}
@@ -201,172 +202,176 @@
 	return text
 }
 
-// report logs what the fleet did, and checks that it made no more calls in any second than allowed, but for chance.
-func (w *world) report(name string, allowed float64) {
+// report logs what the fleet did, and checks that it made at most maxPerSecond calls in any second, with a margin for
+// the random delays.
+func (f *fleet) report(name string, maxPerSecond float64) {
 	var held, firsts []time.Duration
-	most, holders, unread := 0, 0, 0
-	for _, n := range w.nodes {
-		if firsts = append(firsts, n.firstRead); n.firstRead == 0 {
+	maxCalls, holders, unread := 0, 0, 0
+	for _, d := range f.dispatchers {
+		if firsts = append(firsts, d.firstRead); d.firstRead == 0 {
 			firsts, unread = firsts[:len(firsts)-1], unread+1
 		}
-		held = append(held, n.heldFor)
-		if n.heldFor > 0 {
+		held = append(held, d.heldFor)
+		if d.heldFor > 0 {
 			holders++
 		}
 	}
-	for _, calls := range w.opened {
-		most = max(most, calls)
+	for _, calls := range f.opened {
+		maxCalls = max(maxCalls, calls)
 	}
-	w.t.Logf("%s: first list after%s (none: %d); held back: %d of %d, for%s", name, quantiles(firsts), unread, holders,
-		len(w.nodes), quantiles(held))
-	w.t.Logf("%s: age of the lists in use:%s; at most %d calls a second of %.0f", name, quantiles(w.ages), most,
-		allowed)
-	require.LessOrEqual(w.t, float64(most), allowed*1.25)
+	f.t.Logf("%s: first list after%s (none: %d); stale: %d of %d, for%s", name, quantiles(firsts), unread, holders,
+		len(f.dispatchers), quantiles(held))
+	f.t.Logf("%s: age of the lists in use:%s; at most %d calls a second of %.0f", name, quantiles(f.ages), maxCalls,
+		maxPerSecond)
+	require.LessOrEqual(f.t, float64(maxCalls), maxPerSecond*1.25)
 }
 
-// Three hundred start together, and discovery turns away nine calls in ten for 20 s, by chance or as it has
-// room for no more: who has not read a drain that counts as told sends nothing, all together keep to the
-// budget, and all have read soon after. The drains come at times that the dispatchers cannot know.
-func TestFleetIsTurnedAway(t *testing.T) {
-	const long = 20 * second
-	terms := asked(300)
-	for name, set := range map[string]func(*world){
-		"by chance": func(w *world) {
-			w.turnsAway = func(now time.Duration) bool { return now < long && w.random.Float64() < 0.9 }
-			w.turnedFor = longWait
+// 300 dispatchers start together, and discovery refuses nine calls in ten for 20 s, at random or for lack of capacity.
+// A dispatcher that has not read a drain of which it counts as notified sends nothing, the fleet keeps to its call
+// budget, and all dispatchers have read the list soon afterwards. The dispatchers cannot foresee the times of the
+// drains.
+func TestFleetHoldsWhileCallsAreRefused(t *testing.T) {
+	const refusing = 20 * second
+	settings := polledSettings(300)
+	for name, set := range map[string]func(*fleet){
+		"at random": func(f *fleet) {
+			f.refuses = func(now time.Duration) bool { return now < refusing && f.random.Float64() < 0.9 }
+			f.refusalDelay = minQueueWait
 		},
-		"by chance, with Retry-After": func(w *world) {
-			w.turnsAway = func(now time.Duration) bool { return now < long && w.random.Float64() < 0.9 }
-			w.turnedFor = longWait
-			w.retryAfter = 10 * second
+		"at random, with Retry-After": func(f *fleet) {
+			f.refuses = func(now time.Duration) bool { return now < refusing && f.random.Float64() < 0.9 }
+			f.refusalDelay = minQueueWait
+			f.retryAfter = 10 * second
 		},
-		"for want of room": func(w *world) {
-			w.room = 15
-			w.at(long, func() { w.room, w.inTurn = 1e6, long })
+		"for lack of capacity": func(f *fleet) {
+			f.capacity = 15
+			f.schedule(refusing, func() { f.capacity, f.busyUntil = 1e6, refusing })
 		},
 	} {
-		w := newWorld(t, 7)
-		set(w)
-		for i := range 60 { // before, in and after the trouble
-			w.drains = append(w.drains, time.Duration(i)*second/2)
+		f := newFleet(t, 7)
+		set(f)
+		for i := range 60 { // before, during and after the refusals
+			f.drains = append(f.drains, time.Duration(i)*second/2)
 		}
-		for range terms.Dispatchers {
-			w.start(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), terms)
+		for range settings.Dispatchers {
+			f.addDispatcher(time.Duration(f.random.Int64N(int64(600*time.Millisecond))), settings)
 		}
-		w.watchSends(40 * second)
-		w.run(40 * second)
-		w.report(name, terms.Budget())
-		for _, n := range w.nodes {
-			require.Equal(t, len(w.drains), n.version)
-			require.False(t, n.IsStale(w.now))
+		f.checkSends(40 * second)
+		f.run(40 * second)
+		f.report(name, settings.Budget())
+		for _, d := range f.dispatchers {
+			require.Equal(t, len(f.drains), d.version)
+			require.False(t, d.IsStale(f.now))
 		}
 	}
 }
 
-// The same where a refusal may come from a discovery that is down: nobody holds back, all keep to the budget, and all
-// have read the list soon after. How old the lists in use were is logged.
-func TestFleetIsTurnedAwayAndServesOn(t *testing.T) {
-	const long = 20 * second
-	terms := asked(300)
-	terms.HoldOnRefusal = false
-	w := newWorld(t, 7)
-	w.turnsAway = func(now time.Duration) bool { return now < long && w.random.Float64() < 0.9 }
-	w.turnedFor = 2 * second
-	w.down = func(time.Duration) bool { return true } // what this asks of nobody: to have read it
-	w.drains = append(w.drains, 5*second, 15*second, 25*second)
-	for range terms.Dispatchers {
-		w.start(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), terms)
+// With HoldOnRefusal unset a refusal may come from a discovery that is down: no dispatcher stops sending, the fleet
+// keeps to its call budget, and all dispatchers have read the list soon afterwards. The ages of the lists in use are
+// logged.
+func TestFleetServesWhileCallsAreRefused(t *testing.T) {
+	const refusing = 20 * second
+	settings := polledSettings(300)
+	settings.HoldOnRefusal = false
+	f := newFleet(t, 7)
+	f.refuses = func(now time.Duration) bool { return now < refusing && f.random.Float64() < 0.9 }
+	f.refusalDelay = 2 * second
+	f.isUnreachable = func(time.Duration) bool { return true } // so that no dispatcher must have read the drains
+	f.drains = append(f.drains, 5*second, 15*second, 25*second)
+	for range settings.Dispatchers {
+		f.addDispatcher(time.Duration(f.random.Int64N(int64(600*time.Millisecond))), settings)
 	}
-	w.watchSends(40 * second)
-	w.run(40 * second)
-	w.report("turned away after 2 s by chance", terms.Budget())
-	for _, n := range w.nodes {
-		require.Equal(t, len(w.drains), n.version)
-		require.Zero(t, n.heldFor)
+	f.checkSends(40 * second)
+	f.run(40 * second)
+	f.report("refused after 2 s at random", settings.Budget())
+	for _, d := range f.dispatchers {
+		require.Equal(t, len(f.drains), d.version)
+		require.Zero(t, d.heldFor)
 	}
 }
 
-// A discovery that works turns away nine calls in ten for 20 s, by default settings: whoever has not read a drain
-// within the 6 s after which it counts as told sends nothing. It does, for up to half a minute: a refusal is not
-// taken for a sign that discovery could be reached, as one that is down refuses in the same way. On the bench
-// (harbour-north, herd 1301 with 60 dispatchers) all 145 refusals were alike in both times: connected at once, 503
-// with Connection: close, no Retry-After, no body, after 2.000 s, but for those that waited when discovery went down
-// (0.5 to 1.6 s). What differed is what others got: nobody a list while it was down, 50 a second while it was
-// crowded. Listed in KNOWN-RED.txt.
+// With default settings, a working discovery refuses nine calls in ten for 20 s. The test requires that a dispatcher
+// that has not read a drain within the 6 s after which it counts as notified sends nothing. This fails: such a
+// dispatcher sends for up to half a minute, because a refusal is not taken to show that discovery could be reached; one
+// that is down refuses in the same way. On the bench (harbour-north, herd 1301 with 60 dispatchers) all 145 refusals
+// were alike whether discovery was down or overloaded: connected at once, 503 with Connection: close, no Retry-After,
+// no body, after 2.000 s, except those of calls that were waiting when discovery went down (0.5 to 1.6 s). The
+// difference lies in what other dispatchers got: no lists while it was down, 50 a second while it was overloaded.
+// Listed in KNOWN-RED.txt.
 func TestFleetThatIsTurnedAwaySendsToNobodyWhoDrains(t *testing.T) {
-	const long, refusedAfter = 20 * second, 2 * second
-	terms := asked(300)
-	terms.HoldOnRefusal = false // the default
-	w := newWorld(t, 7)
-	w.turnsAway = func(now time.Duration) bool { return now < long && w.random.Float64() < 0.9 }
-	w.turnedFor = refusedAfter
-	w.drains = append(w.drains, 5*second, 15*second, 25*second)
-	for range terms.Dispatchers {
-		w.start(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), terms)
+	const refusing, refusedAfter = 20 * second, 2 * second
+	settings := polledSettings(300)
+	settings.HoldOnRefusal = false // the default
+	f := newFleet(t, 7)
+	f.refuses = func(now time.Duration) bool { return now < refusing && f.random.Float64() < 0.9 }
+	f.refusalDelay = refusedAfter
+	f.drains = append(f.drains, 5*second, 15*second, 25*second)
+	for range settings.Dispatchers {
+		f.addDispatcher(time.Duration(f.random.Int64N(int64(600*time.Millisecond))), settings)
 	}
-	w.watchSends(2 * long)
-	w.run(2 * long)
+	f.checkSends(2 * refusing)
+	f.run(2 * refusing)
 }
 
-// Discovery is down for 8 s, silent or refusing all at once, and open watches end with it. Nobody holds back for
-// that. On its return it has the room that the
-// contract names, half of it, or as much as is asked for: nothing goes to who has drained meanwhile, and all
-// read the list in the end.
-func TestFleetIsBack(t *testing.T) {
+// Discovery is down for 8 s, either silent or refusing all calls at once, and open watches end. No dispatcher stops
+// sending because of that. On its return discovery has the capacity that the contract requires, half of it, or as much
+// as is needed: nothing is sent to workers that have begun to drain meanwhile, and all dispatchers read the list in the
+// end.
+func TestFleetAfterOutage(t *testing.T) {
 	const down, back, end = 10 * second, 18 * second, 60 * second
-	terms := asked(300)
+	settings := polledSettings(300)
 	for _, silent := range []bool{true, false} {
-		for _, room := range []float64{terms.Budget() / 2, terms.Budget(), 1e6} {
-			w := newWorld(t, 8)
+		for _, room := range []float64{settings.Budget() / 2, settings.Budget(), 1e6} {
+			f := newFleet(t, 8)
 			isDown := func(now time.Duration) bool { return now >= down && now < back }
-			w.down = isDown
+			f.isUnreachable = isDown
 			if silent {
-				w.silent = isDown
+				f.isSilent = isDown
 			} else {
-				w.turnsAway, w.brokenAt = isDown, down+100*time.Millisecond
+				f.refuses, f.brokenAt = isDown, down+100*time.Millisecond
 			}
-			w.at(down, func() { w.room = room })
+			f.schedule(down, func() { f.capacity = room })
 			for i := range 60 {
-				w.drains = append(w.drains, time.Duration(i)*second/2)
+				f.drains = append(f.drains, time.Duration(i)*second/2)
 			}
-			for range terms.Dispatchers {
-				w.start(time.Duration(w.random.Int64N(int64(600*time.Millisecond))), terms)
+			for range settings.Dispatchers {
+				f.addDispatcher(time.Duration(f.random.Int64N(int64(600*time.Millisecond))), settings)
 			}
-			w.watchSends(end)
-			w.run(back)
-			for _, n := range w.nodes {
-				require.Zero(t, n.heldFor, "held back while discovery cannot be reached")
+			f.checkSends(end)
+			f.run(back)
+			for _, d := range f.dispatchers {
+				require.Zero(t, d.heldFor, "stale while discovery cannot be reached")
 			}
-			w.run(end)
-			w.report(fmt.Sprintf("down for 8 s, silent %v, then room for %.0f", silent, room),
-				float64(terms.Dispatchers))
-			for at := back + 4*second; at < end; at += second { // those that were given up have been followed by then
-				require.LessOrEqual(t, float64(w.opened[at]), terms.Budget()*1.25)
+			f.run(end)
+			f.report(fmt.Sprintf("down for 8 s, silent %v, then a capacity of %.0f", silent, room),
+				float64(settings.Dispatchers))
+			for at := back + 4*second; at < end; at += second { // calls that timed out have been retried by then
+				require.LessOrEqual(t, float64(f.opened[at]), settings.Budget()*1.25)
 			}
-			for _, n := range w.nodes {
-				require.Equal(t, len(w.drains), n.version)
+			for _, d := range f.dispatchers {
+				require.Equal(t, len(f.drains), d.version)
 			}
 		}
 	}
 }
 
-// Discovery has the room that the contract names, and all start in one moment, or are killed and start again:
-// none is turned away, and nobody holds back.
+// Discovery has the capacity that the contract requires, and all dispatchers start at the same moment, as after a
+// restart of the fleet: no call is refused, and no list becomes stale.
 func TestFleetStartsWithinTheContract(t *testing.T) {
-	terms := asked(300)
-	w := newWorld(t, 9)
-	w.room = terms.Budget()
+	settings := polledSettings(300)
+	f := newFleet(t, 9)
+	f.capacity = settings.Budget()
 	for i := range 20 {
-		w.drains = append(w.drains, time.Duration(i)*second/2)
+		f.drains = append(f.drains, time.Duration(i)*second/2)
 	}
-	for range terms.Dispatchers {
-		w.start(0, terms)
+	for range settings.Dispatchers {
+		f.addDispatcher(0, settings)
 	}
-	w.watchSends(20 * second)
-	w.run(20 * second)
-	w.report("room as in the contract", terms.Budget())
-	for _, n := range w.nodes {
-		require.Equal(t, len(w.drains), n.version)
-		require.Zero(t, n.heldFor)
+	f.checkSends(20 * second)
+	f.run(20 * second)
+	f.report("capacity as in the contract", settings.Budget())
+	for _, d := range f.dispatchers {
+		require.Equal(t, len(f.drains), d.version)
+		require.Zero(t, d.heldFor)
 	}
 }
--- a/internal/decide/refresh/refresh.go
+++ b/internal/decide/refresh/refresh.go
@@ -1,41 +1,45 @@
-// Package refresh decides when a dispatcher calls discovery for the list of workers, how long it waits for
-// the answer, and for how long it may rely on the list that it has. It does no I/O and reads no clock: the
-// time comes in, as a duration since any fixed moment, and chance comes from a source that the caller seeds.
+// Package refresh decides when a dispatcher calls discovery for the list of workers, how long it waits for the answer,
+// and how long it may use the list that it has. It does no I/O and reads no clock: times are durations since a moment
+// that the caller chooses, and randomness comes from a source that the caller seeds.
 //
-// # The bound on staleness
+// A call either opens a watch or continues one. Continuing is a long poll: the call names the list that the dispatcher
+// has and waits for changes.
 //
-// What discovery has counts as told [Told] after discovery had it and could be reached, whether or not it was read. A
-// dispatcher that must ask for its list therefore relies on it until
+// # The staleness bound
 //
-//	HoldAt = unread + min(Told, 4 * AskEvery)
+// By the protocol, a dispatcher counts as notified of a change [NotifiedAfter] after discovery had the change and could
+// be reached, whether or not the dispatcher has read it. A dispatcher that must poll for its list therefore uses the
+// list until
 //
-// where unread is the earliest time at which discovery may have had something that was not read, and could have been
-// reached: the start of the last call that brought a list or, if calls that were opened after it showed that discovery
-// could not be reached, the start of the last of these. Any answer but a refusal shows that it could; from then on
-// unread stays until a list is read. Silence, broken connections and refusals are what a service that is down shows,
-// and the list is relied on for as long as they last: each call after one without an answer is made so early that its
-// failure moves HoldAt on in time, and after a refusal the next call decides. From HoldAt to the next list that is
-// read, nothing new may be sent to any worker. The grace of a drain begins at HoldAt and is left to what is under way
-// then.
+//	StaleAt = unreadSince + min(NotifiedAfter, 4 * AskEvery)
 //
-// A refusal for want of room, as when calls wait for their turn and fail when they have waited too long, cannot be
-// told from one of a service that is down. To hold back for it would leave clients without service for as long as
-// discovery is down; to rely on the list may send to a worker whose drain this dispatcher could not read for longer
-// than the bound. Where discovery refuses only for want of room, [Terms.HoldOnRefusal] says so: a refusal after a wait
-// then shows that it could be reached, and one at once still does not.
+// where unreadSince is the earliest time at which discovery may have had an unread change and could have been reached.
+// That is the start of the last call that brought a list or, if later calls that opened a watch showed that discovery
+// could not be reached, the start of the last of these. Any answer except a refusal shows that discovery could be
+// reached; unreadSince then stays until a list is read. Timeouts, failed connections and refusals are what a service
+// that is down shows, and the list stays in use for as long as they last: after a call without an answer the next call
+// starts so early that its failure moves StaleAt on in time, and after a refusal the next call decides. From StaleAt
+// until the next list is read, nothing new may be sent to any worker. The grace period of a drain begins at StaleAt and
+// is left to the requests that are in progress then.
 //
-// # The budget of the fleet
+// A refusal for lack of capacity, as when calls queue and fail after waiting too long, cannot be told from a refusal by
+// a service that is down. Holding new requests after such a refusal would leave clients without service for as long as
+// discovery is down. Using the list may send requests to a worker whose drain this dispatcher could not read for longer
+// than the bound. [Settings.HoldOnRefusal] says that discovery refuses only for lack of capacity: a refusal after a
+// wait then shows that discovery could be reached. An immediate refusal never shows that.
 //
-// Discovery is one service of fixed room for all dispatchers. What it turns away after a wait has taken room
-// all the same, so that more calls than it has room for bring fewer lists. Outside a watch that goes on,
-// which costs it nothing, one dispatcher begins a call every [Terms.Spacing] on the mean, so that all of them
-// together begin at most [Terms.Budget] calls a second: among many, one each in every [Terms.Interval], and
-// half of that once discovery has turned calls away after a wait. Chance spreads them: a first call, and the
-// first one after a watch broke, over one spacing, each further one over a sixth of it either way. Only while
-// discovery does not answer do calls follow sooner.
+// # The call budget of the fleet
 //
-// Where lists are pushed, the agent on the own machine answers at once and at no cost: there is no budget to
-// keep, and the list is always relied on.
+// Discovery is one service of fixed capacity for all dispatchers. A call that it refuses after a wait has used capacity
+// all the same, so calls beyond its capacity bring fewer lists. Continuing a watch costs discovery nothing. Apart from
+// that, a dispatcher starts a call every [Settings.Spacing] on average, so that all dispatchers together start at most
+// [Settings.Budget] calls a second: in a large fleet each starts one in every [Settings.Interval], and half as many
+// once discovery has refused calls after a wait. Random delays spread the calls: a first call, and the first one after
+// a watch broke, over one spacing, each further one by a sixth of it either way. Calls follow sooner only while
+// discovery does not answer.
+//
+// Where lists are pushed, the agent on the dispatcher's own machine answers at once and at no cost: no budget applies,
+// and the list never becomes stale.
 package refresh
 
 import (
@@ -44,272 +48,276 @@
 )
 
 const (
-	// NotifiedAfter is the time after which what discovery has counts as told, by the protocol.
+	// NotifiedAfter is the time after which the protocol counts a dispatcher as notified of what discovery has.
 	NotifiedAfter = 6 * time.Second
-	// AnswerGrace is what an agent that pushes lists gets beyond the wait of a watch.
+	// AnswerGrace is how long an agent that pushes lists may take to answer beyond the wait of a watch.
 	AnswerGrace = 1500 * time.Millisecond
 
-	watchWait = time.Second             // for news; a silent watch counts as told soon after that
-	callLimit = watchWait + AnswerGrace // a call that is asked for may wait for its turn
-
-	// failedAskEvery is the multiple of AskEvery after which a change counts as told where calls fail, by the
-	// protocol.
-	failedAskEvery = 4
-
-	retrySpacing   = 100 * time.Millisecond // of a lone dispatcher; a watch goes on within 200 ms
-	spacingGrowth  = 4                      // by which failures in a row may lengthen the spacing
-	aloneUpTo      = 4                      // so many dispatchers may call as if each were alone
-	longWait       = 500 * time.Millisecond // a refusal after it shows a line of calls, and no room for more
-	timerSlack     = 100 * time.Millisecond // by which a call is made earlier than the bound wants it
-	leastPause     = 5 * time.Millisecond   // between a call that has failed and the next
-	callsInGrace   = 4                      // within the grace of a drain, to an agent that does not answer
-	leastAgentCall = 10 * time.Millisecond  // between calls to such an agent, however short the grace is
+	watchWait   = time.Second             // for changes; after a silent watch a dispatcher soon counts as notified
+	callTimeout = watchWait + AnswerGrace // a polling call may have to queue
+
+	// askEveryMultiple is the multiple of AskEvery after which the protocol counts a dispatcher as notified where
+	// calls fail.
+	askEveryMultiple = 4
+
+	retrySpacing         = 100 * time.Millisecond // of a single dispatcher; its watch continues within 200 ms
+	maxSpacingFactor     = 4                      // by which consecutive failures may lengthen it
+	maxSmallFleet        = 4                      // so few dispatchers may each call as if alone
+	minQueueWait         = 500 * time.Millisecond // a refusal after it shows a queue at full capacity
+	timerSlack           = 100 * time.Millisecond // by which a call starts earlier than the bound requires
+	minPause             = 5 * time.Millisecond   // between a failed call and the next
+	agentCallsPerGrace   = 4                      // to an unresponsive agent within the grace period of a drain
+	minAgentCallInterval = 10 * time.Millisecond  // between calls to such an agent, however short the grace period is
 )
 
-// Settings are what the settings say of discovery.
+// Settings are the settings that concern discovery.
 type Settings struct {
-	Dispatchers int           // that share it
-	Polled      bool          // lists come only when they are asked for
-	DrainGrace  time.Duration // in which sends to a worker that drains must cease
-	AskEvery    time.Duration // where it must be asked: how often, at least; 0 if that is not said
+	Dispatchers int           // how many share discovery
+	Polled      bool          // lists come only in answer to calls; otherwise an agent pushes them
+	DrainGrace  time.Duration // in which sends to a draining worker must cease
+	AskEvery    time.Duration // longest time between calls that discovery asks for if polled; 0 if it is not set
 
-	// HoldOnRefusal says that discovery turns calls away only for want of room: one that was turned away after a wait
-	// for its turn then shows that discovery could be reached.
+	// HoldOnRefusal says that discovery refuses calls only for lack of capacity: a call that was refused after queueing
+	// then shows that discovery could be reached.
 	HoldOnRefusal bool
 }
 
-// StalenessBound is for how long the list is relied on once discovery may have had news and could be reached.
-func (t Settings) StalenessBound() time.Duration {
-	if t.AskEvery <= 0 {
+// StalenessBound is how long the list is used once discovery may have had a change and could be reached.
+func (s Settings) StalenessBound() time.Duration {
+	if s.AskEvery <= 0 {
 		return NotifiedAfter
 	}
-	return min(NotifiedAfter, failedAskEvery*t.AskEvery)
+	return min(NotifiedAfter, askEveryMultiple*s.AskEvery)
 }
 
-// growth is by how much so many failures in a row lengthen the spacing.
-func growth(failures int) time.Duration {
-	return time.Duration(min(1<<min(max(failures, 1)-1, spacingGrowth), spacingGrowth))
+// spacingFactor returns the factor by which consecutive failures lengthen the spacing.
+func spacingFactor(failures int) time.Duration {
+	return time.Duration(min(1<<min(max(failures, 1)-1, maxSpacingFactor), maxSpacingFactor))
 }
 
-// ofBound is the part of the bound that a time has of Told.
-func (t Settings) ofBound(d time.Duration) time.Duration {
-	if !t.Polled {
+// scaleToBound scales a time that is meant for a bound of NotifiedAfter to the staleness bound in force.
+func (s Settings) scaleToBound(d time.Duration) time.Duration {
+	if !s.Polled {
 		return d
 	}
-	return time.Duration(float64(d) * t.StalenessBound().Seconds() / NotifiedAfter.Seconds())
+	return time.Duration(float64(d) * s.StalenessBound().Seconds() / NotifiedAfter.Seconds())
 }
 
-// WatchWait is how long a watch may wait for news.
-func (t Settings) WatchWait() time.Duration { return t.ofBound(watchWait) }
+// WatchWait is how long a watch may wait for changes.
+func (s Settings) WatchWait() time.Duration { return s.scaleToBound(watchWait) }
 
-// CallTimeout is the time after which a call is given up. Two of them fit into the bound.
-func (t Settings) CallTimeout() time.Duration { return t.ofBound(callLimit) }
+// CallTimeout is the time after which a call is abandoned. Two call timeouts fit into the staleness bound.
+func (s Settings) CallTimeout() time.Duration { return s.scaleToBound(callTimeout) }
 
-// Interval is the time in which each of many dispatchers may begin one call: half of what the contract says that
-// discovery must bear, and short enough for an answer within the bound.
-func (t Settings) Interval() time.Duration {
-	interval := t.StalenessBound() * 5 / 6
-	if t.AskEvery > 0 {
-		interval = min(interval, t.AskEvery/2)
+// Interval is the time in which each dispatcher of a large fleet may start one call. It is half the rate that the
+// contract obliges discovery to serve, and short enough for an answer within the staleness bound.
+func (s Settings) Interval() time.Duration {
+	interval := s.StalenessBound() * 5 / 6
+	if s.AskEvery > 0 {
+		interval = min(interval, s.AskEvery/2)
 	}
-	return max(interval, leastPause)
+	return max(interval, minPause)
 }
 
-// Spacing is the mean time from the start of one call to the start of the next, after so many failures in a row. A
-// discovery that has shown that it has no room is called half as often.
-func (t Settings) Spacing(failures int, noRoom bool) time.Duration {
-	share := time.Duration(t.Dispatchers / aloneUpTo)
+// Spacing is the mean time from the start of one call to the start of the next after a number of consecutive failures.
+// An overloaded discovery is called half as often.
+func (s Settings) Spacing(failures int, overloaded bool) time.Duration {
+	smallFleets := time.Duration(s.Dispatchers / maxSmallFleet)
 	switch {
-	case share <= 1:
-		return min(retrySpacing*growth(failures), t.Interval())
-	case noRoom:
-		return min(retrySpacing*spacingGrowth*share, 2*t.Interval())
+	case smallFleets <= 1:
+		return min(retrySpacing*spacingFactor(failures), s.Interval())
+	case overloaded:
+		return min(retrySpacing*maxSpacingFactor*smallFleets, 2*s.Interval())
 	}
-	return min(retrySpacing*spacingGrowth*share, t.Interval())
+	return min(retrySpacing*maxSpacingFactor*smallFleets, s.Interval())
 }
 
-// Budget is how many calls a second all dispatchers together begin while discovery turns all of them away.
-func (t Settings) Budget() float64 {
-	return float64(max(t.Dispatchers, 1)) / t.Spacing(spacingGrowth, false).Seconds()
+// Budget is how many calls a second all dispatchers together start while discovery refuses all of them.
+func (s Settings) Budget() float64 {
+	return float64(max(s.Dispatchers, 1)) / s.Spacing(maxSpacingFactor, false).Seconds()
 }
 
-// AgentRetryInterval is how often an agent that does not answer is called anew, beside the call that waits for it: it
-// may return at any moment, the call that was open before may stay silent, and the grace of a drain runs from
-// its return. Most of the grace is left for the answer, and for what is under way here.
-func (t Settings) AgentRetryInterval() time.Duration {
-	return max(t.DrainGrace/callsInGrace, leastAgentCall)
+// AgentRetryInterval is how often an agent that does not answer is called again, beside the call that still waits for
+// it. The agent may return at any moment, the earlier call may never be answered, and the grace period of a drain runs
+// from the agent's return. Most of the grace period is left for the answer and for requests in progress.
+func (s Settings) AgentRetryInterval() time.Duration {
+	return max(s.DrainGrace/agentCallsPerGrace, minAgentCallInterval)
 }
 
-// Result says how a call to discovery has ended.
+// Result is the way in which a call to discovery ended.
 type Result int
 
 // The results of a call.
 const (
-	// Read: it brought a list, or changes that apply to the one held.
+	// Read means that the call brought a list, or changes that apply to the current one.
 	Read Result = iota
-	// Answered: it brought what is no list that applies. Discovery could be reached.
+	// UnusableAnswer means that the answer is neither a list nor changes that apply. Discovery could be reached.
 	UnusableAnswer
-	// Silent: it was given up for want of an answer.
+	// TimedOut means that the call was abandoned without an answer.
 	TimedOut
-	// Broken: no connection came up, or it ended before an answer.
+	// ConnectionFailed means that no connection came up, or that it ended before an answer.
 	ConnectionFailed
-	// Refused: it was turned away by a status. What that shows is for [Terms.HoldOnRefusal] to say.
+	// Refused means that discovery answered with a refusing status. [Settings.HoldOnRefusal] says what that shows.
 	Refused
 )
 
-// Schedule is one dispatcher's view of discovery. Its methods are for one goroutine; times must not decrease.
+// Schedule is one dispatcher's view of discovery. It is not safe for concurrent use; times must not decrease.
 type Schedule struct {
-	terms  Settings
-	random *rand.Rand
-
-	following bool          // the last call brought a list, and the next goes on from there
-	begun     time.Duration // of the call under way, or the last one
-	opened    bool          // that call did not go on from the one before
-	failures  int           // in a row
-	noRoom    bool          // discovery has turned a call away after a wait, since the last list was read
-	unread    time.Duration // from when on news may have been missed
-	reachable bool          // discovery has answered since the last list was read; unread stays
+	settings Settings
+	random   *rand.Rand
+
+	watching    bool          // the last call brought a list, and the next continues the watch
+	callStart   time.Duration // start of the call in progress, or of the last one
+	isNewWatch  bool          // that call opened a watch
+	failures    int           // consecutive
+	overloaded  bool          // discovery has refused a call after a wait since the last list was read
+	unreadSince time.Duration // from when on changes may have been missed
+	reachable   bool          // discovery has answered since the last list was read; unreadSince stays
 }
 
-// New returns the schedule of a dispatcher that starts at now. What discovery had before counts as told from then on.
-func New(now time.Duration, terms Settings, random *rand.Rand) *Schedule {
-	return &Schedule{terms: terms, random: random, begun: now, unread: now}
+// New returns the schedule of a dispatcher that starts at now. Changes that discovery had before count as unread from
+// now on.
+func New(now time.Duration, settings Settings, random *rand.Rand) *Schedule {
+	return &Schedule{settings: settings, random: random, callStart: now, unreadSince: now}
 }
 
-// Settings are the terms in force.
-func (s *Schedule) Settings() Settings { return s.terms }
+// Settings returns the settings in force.
+func (s *Schedule) Settings() Settings { return s.settings }
 
-// CallStart is when the call under way, or the last one, began.
-func (s *Schedule) CallStart() time.Duration { return s.begun }
+// CallStart returns when the call in progress, or the last one, started.
+func (s *Schedule) CallStart() time.Duration { return s.callStart }
 
-// Configure puts other terms in force.
-func (s *Schedule) Configure(terms Settings) { s.terms = terms }
+// Configure puts other settings in force.
+func (s *Schedule) Configure(settings Settings) { s.settings = settings }
 
-// Unread says what one dispatcher has not read, for another that takes its place.
+// Unread is the handover state of a schedule: what a predecessor has not read. Its fields are part of the handover
+// format, which matches them by name.
 type Unread struct {
-	For       time.Duration // how long news may have been missed
-	Reachable bool          // discovery has answered meanwhile
+	For       time.Duration // how long changes may have been missed
+	Reachable bool          // discovery has answered in that time
 }
 
-// Unread is what has not been read at now.
-func (s *Schedule) Unread(now time.Duration) Unread { return Unread{now - s.unread, s.reachable} }
+// Unread returns the handover state at now.
+func (s *Schedule) Unread(now time.Duration) Unread { return Unread{now - s.unreadSince, s.reachable} }
 
-// Inherit goes on from a dispatcher in whose place this one starts. It comes before the first call.
-func (s *Schedule) Inherit(u Unread) {
-	s.unread, s.reachable = s.unread-max(u.For, 0), u.Reachable
+// Inherit takes over the state of a predecessor. It must be called before the first call begins.
+func (s *Schedule) Inherit(unread Unread) {
+	s.unreadSince, s.reachable = s.unreadSince-max(unread.For, 0), unread.Reachable
 }
 
-// FirstDelay is how long to wait with a first call, also of a dispatcher that has been told of another address.
-// Without a list there is nothing to wait with, and an agent on the own machine is called at once: its word
-// counts from the first moment. Else all may be starting together.
+// FirstDelay returns how long to wait before the first call, also after discovery's address has changed. A dispatcher
+// without a list calls at once, and so does one with an agent on its own machine, as it counts as notified by the agent
+// from the start. Otherwise the delay is random, because all dispatchers may be starting together.
 func (s *Schedule) FirstDelay(listKnown bool) time.Duration {
-	if !listKnown || !s.terms.Polled || s.terms.Dispatchers < 2*aloneUpTo {
+	if !listKnown || !s.settings.Polled || s.settings.Dispatchers < 2*maxSmallFleet {
 		return 0
 	}
-	wait := s.spread(0, s.terms.Spacing(spacingGrowth, false))
-	if !s.terms.HoldOnRefusal { // the first call has to end before its refusal shows that nothing is to be held back
-		s.unread += wait
+	wait := s.randomBetween(0, s.settings.Spacing(maxSpacingFactor, false))
+	if !s.settings.HoldOnRefusal { // the list must not become stale before the first call can be refused
+		s.unreadSince += wait
 	}
 	return wait
 }
 
-// Begin notes that a call begins, and returns how long it may wait for news. Only one that goes on from the
-// last answer waits: of any other it has to show at once whether it is answered.
+// Begin records the start of a call and returns how long it may wait for changes. Only a call that continues a watch
+// waits: any other must show at once whether discovery answers.
 func (s *Schedule) Begin(now time.Duration, listKnown bool) (wait time.Duration) {
-	s.begun, s.opened = now, !s.following || !listKnown
-	if s.opened {
+	s.callStart, s.isNewWatch = now, !s.watching || !listKnown
+	if s.isNewWatch {
 		return 0
 	}
-	return s.terms.WatchWait()
+	return s.settings.WatchWait()
 }
 
-// AddressChanged notes that discovery is at another address from now on. What was not read by then stays unread.
-func (s *Schedule) AddressChanged() { s.following, s.failures = false, 0 }
+// AddressChanged records that discovery's address has changed. Changes that were unread stay unread.
+func (s *Schedule) AddressChanged() { s.watching, s.failures = false, 0 }
 
-// End notes how the call that began last has ended, and returns the pause before the next one. retryAfter is
-// what a refusal asks for, 0 if nothing.
+// End records how the last call ended and returns the delay before the next one. retryAfter is the delay that a refusal
+// asks for, or 0.
 func (s *Schedule) End(now time.Duration, result Result, retryAfter time.Duration) time.Duration {
-	s.following = result == Read
+	s.watching = result == Read
 	if result == Read {
-		s.failures, s.noRoom, s.unread, s.reachable = 0, false, s.begun, false
+		s.failures, s.overloaded, s.unreadSince, s.reachable = 0, false, s.callStart, false
 		return 0
 	}
 	s.failures++
-	turnedAway := result == Refused && s.opened && now-s.begun >= longWait
-	s.noRoom = s.noRoom || turnedAway
+	refusedAfterWait := result == Refused && s.isNewWatch && now-s.callStart >= minQueueWait
+	s.overloaded = s.overloaded || refusedAfterWait
 	switch {
 	case s.reachable:
-	case result == UnusableAnswer || turnedAway && s.terms.HoldOnRefusal:
+	case result == UnusableAnswer || refusedAfterWait && s.settings.HoldOnRefusal:
 		s.reachable = true
-	case s.opened: // discovery could not be reached when this call began
-		s.unread = s.begun
+	case s.isNewWatch: // discovery could not be reached when this call started
+		s.unreadSince = s.callStart
 	}
-	if s.reachable || !s.terms.Polled || result != Refused || s.terms.HoldOnRefusal {
-		return s.pause(now, result, retryAfter)
+	if s.reachable || !s.settings.Polled || result != Refused || s.settings.HoldOnRefusal {
+		return s.retryDelay(now, result, retryAfter)
 	}
-	// It answers, and so there is no haste; and it shows no more of itself before the next call.
-	pause := s.paced(now, retryAfter)
-	s.unread = max(s.unread, now+pause)
+	// Discovery answers, so there is no need for haste, and nothing more shows before the next call.
+	pause := s.budgetedDelay(now, retryAfter)
+	s.unreadSince = max(s.unreadSince, now+pause)
 	return pause
 }
 
-func (s *Schedule) pause(now time.Duration, result Result, retryAfter time.Duration) time.Duration {
-	if !s.terms.Polled {
-		longest := min(retrySpacing*3/2*growth(s.failures), s.terms.AgentRetryInterval())
-		return s.spread(longest/2, longest)
+// retryDelay returns the delay after a failed call.
+func (s *Schedule) retryDelay(now time.Duration, result Result, retryAfter time.Duration) time.Duration {
+	if !s.settings.Polled {
+		longest := min(retrySpacing*3/2*spacingFactor(s.failures), s.settings.AgentRetryInterval())
+		return s.randomBetween(longest/2, longest)
 	}
-	if !s.reachable { // whether the next call is answered has to show before HoldAt
-		spacing := s.terms.Spacing(s.failures, s.noRoom)
-		holdAt, _ := s.StaleAt()
-		longest := min(spacing, holdAt-s.terms.CallTimeout()-timerSlack-now)
-		if result == Refused && s.opened { // it has answered: there is no haste
-			return max(s.spread(longest*5/6, longest), min(s.putOff(now, retryAfter, spacing), longest))
+	if !s.reachable { // the next call must show before StaleAt whether it is answered
+		spacing := s.settings.Spacing(s.failures, s.overloaded)
+		staleAt, _ := s.StaleAt()
+		longest := min(spacing, staleAt-s.settings.CallTimeout()-timerSlack-now)
+		if result == Refused && s.isNewWatch { // discovery has answered: there is no need for haste
+			return max(s.randomBetween(longest*5/6, longest), min(s.retryAfterDelay(now, retryAfter, spacing), longest))
 		}
-		return s.spread(leastPause, longest)
+		return s.randomBetween(minPause, longest)
 	}
-	return s.paced(now, retryAfter)
+	return s.budgetedDelay(now, retryAfter)
 }
 
-// paced is the pause that keeps to the budget of the fleet.
-func (s *Schedule) paced(now, retryAfter time.Duration) time.Duration {
-	spacing := s.terms.Spacing(s.failures, s.noRoom)
-	if !s.opened { // watches that break may all break in one moment
-		return max(s.spread(leastPause, spacing), s.putOff(now, retryAfter, spacing))
+// budgetedDelay returns the delay that keeps to the call budget of the fleet.
+func (s *Schedule) budgetedDelay(now, retryAfter time.Duration) time.Duration {
+	spacing := s.settings.Spacing(s.failures, s.overloaded)
+	if !s.isNewWatch { // all watches may break at the same moment
+		return max(s.randomBetween(minPause, spacing), s.retryAfterDelay(now, retryAfter, spacing))
 	}
-	pause := max(s.begun+s.spread(spacing*5/6, spacing*7/6)-now, s.spread(leastPause, min(retrySpacing, spacing)))
-	return max(pause, s.putOff(now, retryAfter, spacing))
+	pause := max(s.callStart+s.randomBetween(spacing*5/6, spacing*7/6)-now,
+		s.randomBetween(minPause, min(retrySpacing, spacing)))
+	return max(pause, s.retryAfterDelay(now, retryAfter, spacing))
 }
 
-// putOff is for how long a refusal may put off the next call. What it asks for is kept as long as that leaves
-// time for a whole call before HoldAt; beyond that the budget of the fleet is what spares the service.
-func (s *Schedule) putOff(now, retryAfter, spacing time.Duration) time.Duration {
-	holdAt, _ := s.StaleAt()
-	latest := holdAt - s.terms.CallTimeout() - now
+// retryAfterDelay returns how long a refusal may delay the next call. The requested delay is kept as long as it leaves
+// time for a whole call before StaleAt; beyond that the call budget of the fleet limits the load on discovery.
+func (s *Schedule) retryAfterDelay(now, retryAfter, spacing time.Duration) time.Duration {
+	staleAt, _ := s.StaleAt()
+	latest := staleAt - s.settings.CallTimeout() - now
 	if retryAfter <= 0 || latest <= 0 {
 		return 0
 	}
-	// Those that were told the same at one moment come back at different ones.
+	// Dispatchers that were given the same delay at the same moment return at different times.
 	earliest := min(retryAfter, max(latest-spacing, 0))
-	return s.spread(earliest, min(earliest+spacing, latest))
+	return s.randomBetween(earliest, min(earliest+spacing, latest))
 }
 
-// spread draws a time between least and most.
-func (s *Schedule) spread(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+// randomBetween returns a random time from minimum to maximum.
+func (s *Schedule) randomBetween(minimum, maximum time.Duration) time.Duration {
+	if maximum <= minimum {
+		return minimum
 	}
-	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
+	return minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)+1))
 }
 
-// StaleAt is the time from which on the list may not be relied on, and whether there is one.
+// StaleAt returns the time from which on the list must not be used. bounded is false if there is none.
 func (s *Schedule) StaleAt() (at time.Duration, bounded bool) {
-	if !s.terms.Polled {
+	if !s.settings.Polled {
 		return 0, false
 	}
-	return s.unread + s.terms.StalenessBound(), true
+	return s.unreadSince + s.settings.StalenessBound(), true
 }
 
-// IsStale tells whether nothing new may be sent, as the list may not be relied on.
+// IsStale reports whether the list must not be used, so that nothing new may be sent.
 func (s *Schedule) IsStale(now time.Duration) bool {
 	at, bounded := s.StaleAt()
 	return bounded && now >= at
