--- a/internal/decide/sources/sources.go
+++ b/internal/decide/sources/sources.go
@@ -1,10 +1,11 @@
-// Package sources merges what several sources say of the hosts into the one list that the decision module is given: the
-// roster, which is the inventory's word, and DNS SRV names. It does no I/O and reads no clock; times are microseconds.
+// Package sources merges the host lists of several sources into the one list that the decision module uses. A host is a
+// worker as the network code knows it. The sources are the roster, which is the list that discovery gives, and DNS SRV
+// names. The package does no I/O and reads no clock; times are in microseconds.
 //
-// The most cautious word wins. A host that the roster says drains or is gone gets nothing new though DNS lists it, in
-// whatever order the news came, until the roster says that it is up. Two entries are the same host if they share an
-// address, or if the roster's name of it is the SRV target, with or without its port; the roster's name, place and
-// addresses hold then, and DNS adds nothing to them.
+// The most cautious source decides. A host that is draining or gone in the roster gets no new requests even if DNS
+// lists it, in whatever order the changes came, until the roster lists it as up. Two entries are the same host if they
+// share an address, or if the roster's ID of the host is the SRV target, with or without its port. The roster's name,
+// place and addresses then apply, and DNS adds nothing to them.
 package sources
 
 import (
@@ -19,7 +20,7 @@
 	"topazfall/internal/decide/addresses"
 )
 
-// Entry is one host of a list.
+// Entry is one host in a list of hosts.
 type Entry struct {
 	topazfall.Worker
 	Addr  string
@@ -28,113 +29,114 @@
 
 // Record is one SRV record with the addresses of its target.
 type Record struct {
-	Target    string // in lower case, without the last dot
+	Target    string // in lower case, without the trailing dot
 	Port      uint16
 	Priority  uint16
 	Weight    uint16
 	Addresses []addresses.Address
-	Expires   int64 // when the least lifetime of its chain ends
+	Expires   int64 // when the shortest lifetime in its chain of records ends; a lifetime is a TTL within bounds
 }
 
+// key identifies the record within its SRV name.
 func (r *Record) key() string { return r.Target + ":" + strconv.Itoa(int(r.Port)) }
 
-// Place says where the hosts are whose target ends so.
+// Place gives the zone and the kind of hosts whose target ends in Suffix.
 type Place struct{ Suffix, Zone, Kind string }
 
-// Settings are the knobs.
+// Settings are the settings of a merge.
 type Settings struct {
-	Hold          int64 // how long a list is kept beyond its lifetime while its resolvers fail
-	DrainEvery    int64 // then its hosts drain one by one, with so much between them
-	Confirmations int   // so many authoritative empty answers in a row are believed
-	Flaps         int   // a host that vanished so often within FlapWindow
+	Hold          int64 // how long a list is kept after its lifetime has ended while resolvers fail
+	DrainEvery    int64 // interval at which its hosts then drain one by one
+	Confirmations int   // consecutive authoritative empty answers that are needed to believe them
+	Flaps         int   // disappearances within FlapWindow that make a host flapping
 	FlapWindow    int64
-	FlapHold      int64 // is taken back only after so long on the list, doubled for each time more
+	FlapHold      int64 // how long a flapping host must be listed to be used again; doubles with each further time
 }
 
-// NameSettings is what there is to know of an SRV name beforehand.
+// NameSettings are the settings of one SRV name.
 type NameSettings struct {
-	Zone, Kind string  // of hosts that no place fits
-	Places     []Place // the first that fits counts
-	WeightUnit int     // the SRV weight that means a share of 1
-	WithPort   bool    // hosts are named target:port, else by the target alone
+	Zone, Kind string  // of hosts that match no place
+	Places     []Place // the first that matches applies
+	WeightUnit int     // the SRV weight that stands for a share of 1
+	WithPort   bool    // host IDs are target:port instead of the target alone
 }
 
-// DefaultWeightUnit is the weight that most zones give to an ordinary host.
+// DefaultWeightUnit is the SRV weight that most DNS zones give to an ordinary host.
 const DefaultWeightUnit = 100
 
-// Defaults are sound for lifetimes of seconds to minutes.
+// Defaults suit lifetimes of seconds to minutes.
 var Defaults = Settings{Hold: 300e6, DrainEvery: 5e6, Confirmations: 3, Flaps: 3, FlapWindow: 60e6, FlapHold: 5e6}
 
-// Host is what there is to know of a host of the merged list.
+// Host is a host in the merged list.
 type Host struct {
 	Entry
 	Sources []string // "roster", "srv:NAME"
-	Reason  string   // it gets nothing new, "" if it may
-	Expires int64    // when the last lifetime ends that it rests on, 0 where it has none
+	Reason  string   // why it gets no new requests, "" if it may get them
+	Expires int64    // when the last lifetime of its records ends, 0 if it has none
 }
 
-// listed is what one name says of one record, and has said of late.
-type listed struct {
+// recordState is the state of one record of an SRV name, and its recent history.
+type recordState struct {
 	Record
-	name     string // target:port
-	here     bool
-	since    int64 // listed without a break
-	vanished []int64
-	drained  bool
-	cold     int64 // when it was first listed, if others had been before
-}
-
-// name is one SRV name.
-type name struct {
-	set      NameSettings
-	records  map[string]*listed
-	order    []*listed // by name, nil where that has to be found anew
-	answered bool
-	empties  int
-	fault    string
-	drains   int64 // when the last host was drained for its lifetime's end
-}
-
-// Merger is the state of all sources.
+	name         string // target:port
+	present      bool
+	presentSince int64 // since when it has been listed without a break
+	vanishedAt   []int64
+	drained      bool
+	addedAt      int64 // when it was first listed, 0 if it was known from the start
+}
+
+// nameState is the state of one SRV name.
+type nameState struct {
+	settings     NameSettings
+	records      map[string]*recordState
+	sortedCache  []*recordState // records by name, nil if it must be rebuilt
+	answered     bool
+	emptyAnswers int
+	fault        string
+	lastDrain    int64 // when a host was last drained because its lifetime had ended
+}
+
+// Merger holds the state of all sources and merges them.
 type Merger struct {
-	set    Settings
-	roster map[string]Entry
-	gone   map[string]Entry // of the roster, as last listed
-	buried map[string]int64 // when that last mattered: it came, or DNS listed the host all the same
-	names  map[string]*name
-	out    map[string]Host
+	settings    Settings
+	roster      map[string]Entry
+	removed     map[string]Entry // hosts that the roster has removed, as last listed
+	removedUsed map[string]int64 // when each was removed, or last listed by DNS all the same
+	names       map[string]*nameState
+	merged      map[string]Host
 
-	// What a merge builds is used again by the next: garbage of megabytes would cost whoever runs beside it.
-	spare map[string]Host
-	own   index
-	all   []candidate
+	// Buffers that each merge reuses: megabytes of garbage would slow down everything else that is running.
+	spare      map[string]Host
+	dnsIndex   index
+	candidates []candidate
 }
 
-// candidate is a record while it is merged.
+// candidate is a record during a merge.
 type candidate struct {
-	l     *listed
-	known []string // the roster's hosts that it is
-	why   string
+	record    *recordState
+	rosterIDs []string // hosts in the roster that the record stands for
+	reason    string   // why it gets no new requests, "" if it may get them
 }
 
-// New returns an empty merge.
+// New returns a merger without hosts.
 func New(s Settings) *Merger {
-	return &Merger{set: s, roster: map[string]Entry{}, gone: map[string]Entry{}, buried: map[string]int64{},
-		names: map[string]*name{}, out: map[string]Host{}, spare: map[string]Host{},
-		own: index{map[string]string{}, map[addresses.Address]string{}}}
+	return &Merger{settings: s, roster: map[string]Entry{}, removed: map[string]Entry{},
+		removedUsed: map[string]int64{}, names: map[string]*nameState{}, merged: map[string]Host{},
+		spare: map[string]Host{}, dnsIndex: index{map[string]string{}, map[addresses.Address]string{}}}
 }
 
-// Configure changes the knobs, and the names that are asked for: what others had said is forgotten.
+// Configure changes the settings and the SRV names that are looked up. The records of other names are dropped.
 func (m *Merger) Configure(s Settings, names map[string]NameSettings) {
-	m.set = s
-	maps.DeleteFunc(m.names, func(n string, _ *name) bool { _, asked := names[n]; return !asked })
+	m.settings = s
+	maps.DeleteFunc(m.names, func(n string, _ *nameState) bool { _, asked := names[n]; return !asked })
 	for n, set := range names {
-		m.name(n).set = set
+		m.nameState(n).settings = set
 	}
 }
 
-// UpdateRoster takes news of the inventory. A whole list says of all that it leaves out that they are gone; a stale one, as
-// known from before a restart, says so of none.
+// UpdateRoster applies a list or changes from discovery. A host that a snapshot leaves out is gone. A restored list, as
+// known from before a restart, removes no host.
 func (m *Merger) UpdateRoster(kind topazfall.EventKind, entries []Entry) {
 	if kind == topazfall.ListFailed {
 		return
@@ -143,173 +145,180 @@
 		old := m.roster
 		m.roster = map[string]Entry{}
 		for id, e := range old {
-			m.gone[id] = e
+			m.removed[id] = e
 		}
 	}
 	for _, e := range entries {
 		if e.State == topazfall.Gone {
 			if old, ok := m.roster[e.ID]; ok && e.Addr == "" && len(e.Addrs) == 0 {
-				e.Addr, e.Addrs = old.Addr, old.Addrs // what it was reached by is what DNS may still list
+				e.Addr, e.Addrs = old.Addr, old.Addrs // DNS may still list the addresses by which it was reached
 			}
-			m.gone[e.ID] = e
+			m.removed[e.ID] = e
 			delete(m.roster, e.ID)
 			continue
 		}
 		m.roster[e.ID] = e
-		delete(m.gone, e.ID)
+		delete(m.removed, e.ID)
 	}
 }
 
-func (m *Merger) name(n string) *name {
-	s := m.names[n]
-	if s == nil {
-		s = &name{records: map[string]*listed{}}
-		m.names[n] = s
+// nameState returns the state of an SRV name, which it creates if there is none.
+func (m *Merger) nameState(srvName string) *nameState {
+	state := m.names[srvName]
+	if state == nil {
+		state = &nameState{records: map[string]*recordState{}}
+		m.names[srvName] = state
 	}
-	return s
+	return state
 }
 
-// HandleAnswer takes a good answer for a name. What it leaves out has vanished.
-func (m *Merger) HandleAnswer(now int64, of string, records []Record) {
-	n := m.name(of)
+// HandleAnswer applies a valid answer for an SRV name. Records that it leaves out have vanished.
+func (m *Merger) HandleAnswer(now int64, srvName string, records []Record) {
+	n := m.nameState(srvName)
 	first := !n.answered
-	n.answered, n.empties, n.fault, n.drains = true, 0, "", 0
+	n.answered, n.emptyAnswers, n.fault, n.lastDrain = true, 0, "", 0
 	seen := make(map[string]bool, len(records))
 	for _, r := range records {
-		k := r.key()
-		seen[k] = true
-		l := n.records[k]
-		if l == nil {
-			l = &listed{name: k}
-			n.order = nil
-			if n.records[k] = l; !first {
-				l.cold = now // it may have just started, and nobody says
+		key := r.key()
+		seen[key] = true
+		record := n.records[key]
+		if record == nil {
+			record = &recordState{name: key}
+			n.sortedCache = nil
+			if n.records[key] = record; !first {
+				record.addedAt = now // the host may have just started; DNS does not tell
 			}
 		}
-		if !l.here {
-			l.here, l.since = true, now
+		if !record.present {
+			record.present, record.presentSince = true, now
 		}
-		l.Record, l.drained = r, false
+		record.Record, record.drained = r, false
 	}
-	for k, l := range n.records {
-		if l.here && !seen[k] {
-			l.vanish(now)
+	for key, record := range n.records {
+		if record.present && !seen[key] {
+			record.markVanished(now)
 		}
-		l.vanished = slices.DeleteFunc(l.vanished, func(at int64) bool { return at < now-m.set.FlapWindow })
-		if !l.here && len(l.vanished) == 0 {
-			delete(n.records, k)
-			n.order = nil
+		record.vanishedAt = slices.DeleteFunc(record.vanishedAt,
+			func(at int64) bool { return at < now-m.settings.FlapWindow })
+		if !record.present && len(record.vanishedAt) == 0 {
+			delete(n.records, key)
+			n.sortedCache = nil
 		}
 	}
 }
 
-// sorted returns the records by name.
-func (n *name) sorted() []*listed {
-	if n.order == nil {
-		n.order = slices.AppendSeq(make([]*listed, 0, len(n.records)), maps.Values(n.records))
-		slices.SortFunc(n.order, func(a, b *listed) int { return cmp.Compare(a.name, b.name) })
+// sorted returns the records sorted by name.
+func (n *nameState) sorted() []*recordState {
+	if n.sortedCache == nil {
+		n.sortedCache = slices.AppendSeq(make([]*recordState, 0, len(n.records)), maps.Values(n.records))
+		slices.SortFunc(n.sortedCache, func(a, b *recordState) int { return cmp.Compare(a.name, b.name) })
 	}
-	return n.order
+	return n.sortedCache
 }
 
-func (l *listed) vanish(now int64) {
-	l.here = false
-	if l.vanished = append(l.vanished, now); len(l.vanished) > 16 {
-		l.vanished = l.vanished[1:]
+// markVanished records that the record is no longer listed. It keeps the last 16 times, as many as Flaps may be.
+func (r *recordState) markVanished(now int64) {
+	r.present = false
+	if r.vanishedAt = append(r.vanishedAt, now); len(r.vanishedAt) > 16 {
+		r.vanishedAt = r.vanishedAt[1:]
 	}
 }
 
-// Restore takes records that were known before a restart: better than none until there is an answer. They are held from now
-// on, whenever their lifetime has ended.
-func (m *Merger) Restore(now int64, of string, records []Record) {
-	n := m.name(of)
+// Restore takes records that were known before a restart, to be used until there is an answer. The hold of those whose
+// lifetime has already ended begins now.
+func (m *Merger) Restore(now int64, srvName string, records []Record) {
+	n := m.nameState(srvName)
 	for _, r := range records {
 		if n.records[r.key()] == nil {
 			r.Expires = max(r.Expires, now)
-			n.records[r.key()] = &listed{Record: r, name: r.key(), here: true, since: now}
-			n.order = nil
+			n.records[r.key()] = &recordState{Record: r, name: r.key(), present: true, presentSince: now}
+			n.sortedCache = nil
 		}
 	}
 	n.fault = "known from before"
 }
 
-// HandleEmptyAnswer takes an authoritative answer that the name has no hosts. It is believed once it has come often enough in a
-// row; it tells whether it is.
-func (m *Merger) HandleEmptyAnswer(now int64, of string) bool {
-	n := m.name(of)
-	if n.empties++; n.empties < m.set.Confirmations {
-		n.fault = fmt.Sprintf("empty, %d of %d times", n.empties, m.set.Confirmations)
+// HandleEmptyAnswer applies an authoritative answer that an SRV name has no hosts. It is believed after enough
+// consecutive empty answers; the result reports whether it is.
+func (m *Merger) HandleEmptyAnswer(now int64, srvName string) bool {
+	n := m.nameState(srvName)
+	if n.emptyAnswers++; n.emptyAnswers < m.settings.Confirmations {
+		n.fault = fmt.Sprintf("empty, %d of %d times", n.emptyAnswers, m.settings.Confirmations)
 		return false
 	}
 	n.answered, n.fault = true, ""
-	for _, l := range n.records {
-		if l.here {
-			l.vanish(now)
+	for _, record := range n.records {
+		if record.present {
+			record.markVanished(now)
 		}
 	}
 	return true
 }
 
-// HandleFailure notes that no resolver answers for a name: what it last said stays, for as long as it may.
-func (m *Merger) HandleFailure(of, fault string) {
-	n := m.name(of)
-	n.fault, n.empties = fault, 0
+// HandleFailure records that no resolver answers for an SRV name. Its records stay until their lifetime and the hold
+// have ended.
+func (m *Merger) HandleFailure(srvName, fault string) {
+	n := m.nameState(srvName)
+	n.fault, n.emptyAnswers = fault, 0
 }
 
-// flapping tells until when a record is not believed to be back.
-func (l *listed) flapping(s *Settings) int64 {
-	if len(l.vanished) < s.Flaps || s.Flaps == 0 {
+// flapHoldEnd returns until when a flapping record is not used, or 0 if it is not flapping. The hold doubles at most
+// four times.
+func (r *recordState) flapHoldEnd(s *Settings) int64 {
+	if len(r.vanishedAt) < s.Flaps || s.Flaps == 0 {
 		return 0
 	}
-	return l.since + s.FlapHold<<min(len(l.vanished)-s.Flaps, 4)
+	return r.presentSince + s.FlapHold<<min(len(r.vanishedAt)-s.Flaps, 4)
 }
 
-// NextChange is when time alone changes the list, or 0.
+// NextChange returns the next time at which the merged list changes without a change of any source, or 0 if there is
+// none.
 func (m *Merger) NextChange(now int64) (next int64) {
-	sooner := func(at int64) {
+	consider := func(at int64) {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
 	}
 	for _, n := range m.names {
-		for _, l := range n.records {
-			if !l.here {
+		for _, record := range n.records {
+			if !record.present {
 				continue
 			}
-			sooner(l.flapping(&m.set))
-			if !l.drained {
-				sooner(max(l.Expires+m.set.Hold, n.drains+m.set.DrainEvery))
+			consider(record.flapHoldEnd(&m.settings))
+			if !record.drained {
+				consider(max(record.Expires+m.settings.Hold, n.lastDrain+m.settings.DrainEvery))
 			}
 		}
 	}
 	return next
 }
 
-// expire drains, of each name, one host whose list has outlived its lifetime and the hold, if it is time for one.
-func (m *Merger) expire(now int64) {
+// drainExpired drains, for each SRV name, at most one host whose lifetime and hold have ended, once per DrainEvery.
+func (m *Merger) drainExpired(now int64) {
 	for _, n := range m.names {
-		if n.drains != 0 && now < n.drains+m.set.DrainEvery {
+		if n.lastDrain != 0 && now < n.lastDrain+m.settings.DrainEvery {
 			continue
 		}
-		var oldest *listed
-		for _, l := range n.records {
-			if l.here && !l.drained && l.Expires+m.set.Hold <= now && (oldest == nil ||
-				cmp.Or(cmp.Compare(l.Expires, oldest.Expires), cmp.Compare(l.name, oldest.name)) < 0) {
-				oldest = l
+		var oldest *recordState
+		for _, record := range n.records {
+			if record.present && !record.drained && record.Expires+m.settings.Hold <= now && (oldest == nil ||
+				cmp.Or(cmp.Compare(record.Expires, oldest.Expires), cmp.Compare(record.name, oldest.name)) < 0) {
+				oldest = record
 			}
 		}
 		if oldest != nil {
-			oldest.drained, n.drains = true, now
+			oldest.drained, n.lastDrain = true, now
 		}
 	}
 }
 
-// index finds the roster's entries by what an SRV record may share with them.
+// index finds the IDs of hosts by what an SRV record may share with them.
 type index struct {
 	byName    map[string]string
 	byAddress map[addresses.Address]string
 }
 
+// newIndex indexes entries of the roster.
 func newIndex(entries map[string]Entry) index {
 	x := index{map[string]string{}, map[addresses.Address]string{}}
 	for _, id := range slices.Sorted(maps.Keys(entries)) {
@@ -330,17 +339,17 @@
 	return x
 }
 
-// find returns all entries that a record may be.
-func (x index) find(r *listed) (ids []string) {
+// find returns the IDs of all hosts that a record may stand for.
+func (x index) find(record *recordState) (ids []string) {
 	if len(x.byName) == 0 {
 		return nil
 	}
-	for _, n := range []string{r.Target, r.name} {
+	for _, n := range []string{record.Target, record.name} {
 		if id, ok := x.byName[n]; ok && !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
 	}
-	for _, a := range r.Addresses {
+	for _, a := range record.Addresses {
 		if id, ok := x.byAddress[a]; ok && !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
@@ -348,43 +357,43 @@
 	return ids
 }
 
-// reasons for which a host gets nothing new
+// Reasons why a host gets no new requests. Operators see them.
 const (
-	whyDrains   = "the roster says that it drains"
-	whyExpired  = "its lifetime and the hold are over"
-	whyStandby  = "a lower priority has hosts"
-	whyFlapping = "it vanished too often of late"
-	whyAddress  = "it has no address"
+	reasonDraining  = "the roster says that it drains"
+	reasonExpired   = "its lifetime and the hold are over"
+	reasonStandby   = "a lower priority has hosts"
+	reasonFlapping  = "it vanished too often of late"
+	reasonNoAddress = "it has no address"
 )
 
-// Merge settles what holds now. It returns the entries that changed since the last call, those first that get nothing
-// new any more; what is gone has that state.
+// Merge computes the merged list as of now. It returns the entries that changed since the last call, first those that
+// get no new requests any more; hosts that are gone have that state.
 func (m *Merger) Merge(now int64) (changed []Entry) {
-	m.expire(now)
+	m.drainExpired(now)
 	out := m.spare
 	clear(out)
 	for id, e := range m.roster {
-		i := Host{Entry: e, Sources: []string{"roster"}}
+		host := Host{Entry: e, Sources: []string{"roster"}}
 		if e.State != topazfall.Ready {
-			i.Reason = whyDrains
+			host.Reason = reasonDraining
 		}
-		out[id] = i
+		out[id] = host
 	}
-	known := indexes{roster: newIndex(m.roster), gone: newIndex(m.gone), own: m.own}
-	clear(known.own.byName)
-	clear(known.own.byAddress)
-	for _, of := range slices.Sorted(maps.Keys(m.names)) {
-		n := m.names[of]
-		m.add(now, of, n, known, out)
+	hosts := indexes{roster: newIndex(m.roster), removed: newIndex(m.removed), dnsOnly: m.dnsIndex}
+	clear(hosts.dnsOnly.byName)
+	clear(hosts.dnsOnly.byAddress)
+	for _, srvName := range slices.Sorted(maps.Keys(m.names)) {
+		n := m.names[srvName]
+		m.mergeName(now, srvName, n, hosts, out)
 	}
-	m.forget(now)
-	for id, i := range out { // most are as they were
-		if old, had := m.out[id]; !had || !same(old.Entry, i.Entry) {
-			changed = append(changed, i.Entry)
+	m.pruneRemoved(now)
+	for id, host := range out { // most are unchanged
+		if old, had := m.merged[id]; !had || !sameEntry(old.Entry, host.Entry) {
+			changed = append(changed, host.Entry)
 		}
 	}
-	for id, old := range m.out {
-		if _, has := out[id]; !has {
+	for id, old := range m.merged {
+		if _, kept := out[id]; !kept {
 			e := old.Entry
 			e.State = topazfall.Gone
 			changed = append(changed, e)
@@ -393,144 +402,146 @@
 	slices.SortFunc(changed, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(b.State, a.State), cmp.Compare(a.ID, b.ID))
 	})
-	m.spare, m.out = m.out, out
+	m.spare, m.merged = m.merged, out
 	return changed
 }
 
-// The roster's word that a host is gone is kept for so long after it last mattered, and of so many hosts.
+// Bounds on the hosts that are remembered as removed from the roster.
 const (
-	goneFor = 3600e6
-	goneOf  = 10_000
+	removedRetention = 3600e6 // microseconds since it was removed, or last listed by DNS
+	maxRemoved       = 10_000
 )
 
-func (m *Merger) forget(now int64) {
-	for id := range m.gone {
-		at, dated := m.buried[id]
-		if !dated {
-			m.buried[id] = now
-		} else if at < now-goneFor {
-			delete(m.gone, id)
+// pruneRemoved forgets removed hosts beyond these bounds, the oldest first.
+func (m *Merger) pruneRemoved(now int64) {
+	for id := range m.removed {
+		at, known := m.removedUsed[id]
+		if !known {
+			m.removedUsed[id] = now
+		} else if at < now-removedRetention {
+			delete(m.removed, id)
 		}
 	}
-	maps.DeleteFunc(m.buried, func(id string, _ int64) bool { _, is := m.gone[id]; return !is })
-	if over := len(m.gone) - goneOf; over > 0 {
-		oldest := slices.SortedFunc(maps.Keys(m.gone),
-			func(a, b string) int { return cmp.Compare(m.buried[a], m.buried[b]) })
-		for _, id := range oldest[:over] {
-			delete(m.gone, id)
-			delete(m.buried, id)
+	maps.DeleteFunc(m.removedUsed, func(id string, _ int64) bool { _, kept := m.removed[id]; return !kept })
+	if excess := len(m.removed) - maxRemoved; excess > 0 {
+		oldest := slices.SortedFunc(maps.Keys(m.removed),
+			func(a, b string) int { return cmp.Compare(m.removedUsed[a], m.removedUsed[b]) })
+		for _, id := range oldest[:excess] {
+			delete(m.removed, id)
+			delete(m.removedUsed, id)
 		}
 	}
 }
 
-// indexes are those of all hosts that a record may be.
+// indexes find the hosts that a record may stand for.
 type indexes struct {
-	roster index // hosts that the roster lists
-	gone   index // hosts that the roster has removed
-	own    index // hosts that DNS alone names
-}
-
-// add adds the hosts of one name.
-func (m *Merger) add(now int64, of string, n *name, hosts indexes, out map[string]Host) {
-	all := m.all[:0]
-	alone := []string{"srv:" + of} // of the hosts that no other source names; never appended to in place
-	lowest, positive := -1, false
-	for _, l := range n.sorted() {
-		if !l.here {
+	roster  index // hosts in the roster
+	removed index // hosts that the roster has removed
+	dnsOnly index // hosts that DNS alone names
+}
+
+// mergeName adds the hosts of one SRV name to out.
+func (m *Merger) mergeName(now int64, srvName string, n *nameState, hosts indexes, out map[string]Host) {
+	candidates := m.candidates[:0]
+	srvSource := []string{"srv:" + srvName} // shared by hosts that no other source lists; never appended to in place
+	lowest, anyWeight := -1, false
+	for _, record := range n.sorted() {
+		if !record.present {
 			continue
 		}
-		c := candidate{l: l, known: hosts.roster.find(l)}
-		buried := hosts.gone.find(l)
-		for _, id := range buried {
-			m.buried[id] = now
+		c := candidate{record: record, rosterIDs: hosts.roster.find(record)}
+		removed := hosts.removed.find(record)
+		for _, id := range removed {
+			m.removedUsed[id] = now
 		}
 		switch {
-		case len(buried) > 0:
+		case len(removed) > 0:
 			continue
-		case len(c.known) > 0:
-			for _, id := range c.known {
+		case len(c.rosterIDs) > 0:
+			for _, id := range c.rosterIDs {
 				if m.roster[id].State != topazfall.Ready {
-					c.why = whyDrains
+					c.reason = reasonDraining
 				}
 			}
-		case len(l.Addresses) == 0:
-			c.why = whyAddress
-		case l.drained:
-			c.why = whyExpired
-		case l.flapping(&m.set) > now:
-			c.why = whyFlapping
-		}
-		if c.why == "" && (lowest < 0 || int(l.Priority) < lowest) {
-			lowest = int(l.Priority)
-		}
-		positive = positive || l.Weight > 0
-		all = append(all, c)
-	}
-	m.all = all
-	for _, c := range all {
-		l := c.l
-		if len(c.known) > 0 {
-			for _, id := range c.known {
-				i := out[id]
-				i.Sources = append(slices.Clip(i.Sources), alone...)
-				i.Expires = max(i.Expires, l.Expires)
-				out[id] = i
+		case len(record.Addresses) == 0:
+			c.reason = reasonNoAddress
+		case record.drained:
+			c.reason = reasonExpired
+		case record.flapHoldEnd(&m.settings) > now:
+			c.reason = reasonFlapping
+		}
+		if c.reason == "" && (lowest < 0 || int(record.Priority) < lowest) {
+			lowest = int(record.Priority)
+		}
+		anyWeight = anyWeight || record.Weight > 0
+		candidates = append(candidates, c)
+	}
+	m.candidates = candidates
+	for _, c := range candidates {
+		record := c.record
+		if len(c.rosterIDs) > 0 {
+			for _, id := range c.rosterIDs {
+				host := out[id]
+				host.Sources = append(slices.Clip(host.Sources), srvSource...)
+				host.Expires = max(host.Expires, record.Expires)
+				out[id] = host
 			}
 			continue
 		}
-		if c.why == "" && int(l.Priority) != lowest {
-			c.why = whyStandby
+		if c.reason == "" && int(record.Priority) != lowest {
+			c.reason = reasonStandby
 		}
-		if c.why == whyFlapping || c.why == whyAddress {
+		if c.reason == reasonFlapping || c.reason == reasonNoAddress {
 			continue
 		}
-		id := n.set.id(l, hosts.own)
-		i, had := out[id]
+		id := n.settings.hostID(record, hosts.dnsOnly)
+		host, had := out[id]
 		if !had {
-			zone, kind := n.set.place(l.Target)
-			i = Host{Entry: Entry{Addrs: l.Addresses,
-				Worker: topazfall.Worker{ID: id, Zone: zone, Kind: kind, Weight: n.set.weight(l, positive),
-					State: topazfall.Draining, StartedAt: l.cold}}, Reason: c.why}
+			zone, kind := n.settings.place(record.Target)
+			host = Host{Entry: Entry{Addrs: record.Addresses,
+				Worker: topazfall.Worker{ID: id, Zone: zone, Kind: kind, Weight: n.settings.weight(record, anyWeight),
+					State: topazfall.Draining, StartedAt: record.addedAt}}, Reason: c.reason}
 		}
-		if c.why == "" { // of several names one that offers it is enough
-			i.State, i.Reason = topazfall.Ready, ""
+		if c.reason == "" { // one of several SRV names that offers the host is enough
+			host.State, host.Reason = topazfall.Ready, ""
 		}
 		if had {
-			i.Sources = append(slices.Clip(i.Sources), alone...)
+			host.Sources = append(slices.Clip(host.Sources), srvSource...)
 		} else {
-			i.Sources = alone
+			host.Sources = srvSource
 		}
-		i.Expires = max(i.Expires, l.Expires)
-		out[id] = i
+		host.Expires = max(host.Expires, record.Expires)
+		out[id] = host
 	}
 }
 
-// id names a host that DNS alone names. One that shares an address with another is that one.
-func (s *NameSettings) id(l *listed, own index) string {
-	id, known := own.byName[l.name]
-	for _, a := range l.Addresses {
+// hostID returns the ID of a host that only DNS lists. A record that shares an address with another is the same host.
+func (s *NameSettings) hostID(record *recordState, dnsOnly index) string {
+	id, known := dnsOnly.byName[record.name]
+	for _, a := range record.Addresses {
 		if !known {
-			id, known = own.byAddress[a]
+			id, known = dnsOnly.byAddress[a]
 		}
 	}
 	if !known {
-		id = l.Target
-		if _, other := own.byName[id]; s.WithPort || other { // another port of the same target is another host
-			id = l.name
+		id = record.Target
+		if _, other := dnsOnly.byName[id]; s.WithPort || other { // another port of the same target is another host
+			id = record.name
 		}
 	}
-	own.byName[l.name] = id
+	dnsOnly.byName[record.name] = id
 	if !s.WithPort {
-		own.byName[l.Target] = id
+		dnsOnly.byName[record.Target] = id
 	}
-	for _, a := range l.Addresses {
-		if _, taken := own.byAddress[a]; !taken {
-			own.byAddress[a] = id
+	for _, a := range record.Addresses {
+		if _, taken := dnsOnly.byAddress[a]; !taken {
+			dnsOnly.byAddress[a] = id
 		}
 	}
 	return id
 }
 
+// place returns the zone and the kind of a target.
 func (s *NameSettings) place(target string) (zone, kind string) {
 	for _, p := range s.Places {
 		if strings.HasSuffix(target, p.Suffix) {
@@ -540,44 +551,44 @@
 	return s.Zone, s.Kind
 }
 
-// weight is the share of a host. Where all weights are 0 they say nothing (RFC 2782); among others 0 is next to
-// nothing.
-func (s *NameSettings) weight(l *listed, positive bool) float64 {
-	if !positive {
+// weight returns the share of a host. If all weights are 0 they carry no information (RFC 2782); among other weights 0
+// stands for a tiny share.
+func (s *NameSettings) weight(record *recordState, anyWeight bool) float64 {
+	if !anyWeight {
 		return 1
 	}
-	return max(float64(l.Weight), 0.01) / float64(max(s.WeightUnit, 1))
+	return max(float64(record.Weight), 0.01) / float64(max(s.WeightUnit, 1))
 }
 
-func same(a, b Entry) bool {
+func sameEntry(a, b Entry) bool {
 	return a.Worker == b.Worker && a.Addr == b.Addr && slices.Equal(a.Addrs, b.Addrs)
 }
 
-// Hosts returns the merged list, as last settled, by name.
+// Hosts returns the list of the last merge, sorted by ID.
 func (m *Merger) Hosts() (list []Host) {
-	for _, id := range slices.Sorted(maps.Keys(m.out)) {
-		list = append(list, m.out[id])
+	for _, id := range slices.Sorted(maps.Keys(m.merged)) {
+		list = append(list, m.merged[id])
 	}
 	return list
 }
 
-// Records returns the records of a name that are listed now, for a process that comes after.
-func (m *Merger) Records(of string) (records []Record) {
-	if n := m.names[of]; n != nil {
-		for _, l := range n.sorted() {
-			if l.here {
-				records = append(records, l.Record)
+// Records returns the records of an SRV name that are listed now, for a successor process.
+func (m *Merger) Records(srvName string) (records []Record) {
+	if n := m.names[srvName]; n != nil {
+		for _, record := range n.sorted() {
+			if record.present {
+				records = append(records, record.Record)
 			}
 		}
 	}
 	return records
 }
 
-// Faults returns what is wrong with each name now, "" for nothing.
+// Faults returns the fault of each SRV name, "" if it has none.
 func (m *Merger) Faults() map[string]string {
 	f := map[string]string{}
-	for of, n := range m.names {
-		f[of] = n.fault
+	for srvName, n := range m.names {
+		f[srvName] = n.fault
 	}
 	return f
 }
