--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -14,12 +14,12 @@
 const ms = int64(1000)
 
 var (
-	local = must("unix:/run/w.sock")
-	six   = must("[::1]:9000")
-	four  = must("127.0.0.1:9000")
+	local = mustParse("unix:/run/w.sock")
+	six   = mustParse("[::1]:9000")
+	four  = mustParse("127.0.0.1:9000")
 )
 
-func must(text string) Address {
+func mustParse(text string) Address {
 	a, err := Parse(text)
 	if err != nil {
 		panic(err)
@@ -42,7 +42,7 @@
 		a, err := Parse(text)
 		require.NoError(t, err, text)
 		require.Equal(t, want, a.String())
-		require.Equal(t, a, must(a.String()))
+		require.Equal(t, a, mustParse(a.String()))
 	}
 	for _, text := range []string{"", "localhost:9000", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:65536", "::1:9000",
 		"0.0.0.0:1",
@@ -52,8 +52,8 @@
 	}
 }
 
-// A bad entry costs that entry only, and a hostile list neither room nor log lines.
-func TestList(t *testing.T) {
+// An invalid entry is left out. The results for a long list of entries are bounded.
+func TestParseList(t *testing.T) {
 	texts := []string{"127.0.0.1:1", "odd", "[::ffff:127.0.0.1]:1"}
 	for i := range 1000 {
 		texts = append(texts, fmt.Sprintf("127.0.0.1:%d", i+1))
@@ -63,12 +63,12 @@
 	require.Equal(t, "127.0.0.1:8", list[7].String())
 	require.Len(t, faults, 2*MaxAddresses)
 	require.Equal(t, "odd", faults[0].Text)
-	require.Equal(t, errTwice, faults[1].Err)
-	require.Equal(t, errMore, faults[len(faults)-1].Err)
+	require.Equal(t, errDuplicate, faults[1].Err)
+	require.Equal(t, errTooMany, faults[len(faults)-1].Err)
 }
 
-func TestOrder(t *testing.T) {
-	a, b, c, d := must("10.0.0.1:1"), must("10.0.0.2:1"), must("[fd00::1]:1"), must("[fd00::2]:1")
+func TestInterleave(t *testing.T) {
+	a, b, c, d := mustParse("10.0.0.1:1"), mustParse("10.0.0.2:1"), mustParse("[fd00::1]:1"), mustParse("[fd00::2]:1")
 	require.Equal(t, []Address{local, a, c, b, d}, Interleave([]Address{a, b, c, local, d}))
 	require.Equal(t, []Address{c, a, d, b}, Interleave([]Address{c, d, a, b}))
 	require.Empty(t, Interleave(nil))
@@ -80,23 +80,23 @@
 	c.Set("a", []Address{four, local}, "")
 	changed, conflicts := c.Resolve()
 	require.Equal(t, []string{"a", "b"}, changed)
-	require.Equal(t, []Conflict{{four, "b", "a"}}, conflicts, "of two that are new the order of names decides")
+	require.Equal(t, []Conflict{{four, "b", "a"}}, conflicts, "of two new hosts the first by name owns the address")
 	own, listed := c.Usable("b")
 	require.True(t, listed)
 	require.Equal(t, []Address{six}, own)
 
 	changed, conflicts = c.Resolve()
 	require.Empty(t, changed)
-	require.Empty(t, conflicts, "said once")
+	require.Empty(t, conflicts, "a conflict is reported once")
 
-	c.Set("0", []Address{four}, "") // would come before a, but a has it
+	c.Set("0", []Address{four}, "") // sorts before a, but a already owns it
 	_, conflicts = c.Resolve()
 	require.Equal(t, []Conflict{{four, "0", "a"}}, conflicts)
 	own, listed = c.Usable("0")
 	require.True(t, listed)
-	require.Empty(t, own, "a host without an address of its own is there, and cannot be reached")
+	require.Empty(t, own, "a host that owns no address stays listed without a usable one")
 
-	c.Set("b", []Address{four, six}, "") // a move within one list, the new owner's news first
+	c.Set("b", []Address{four, six}, "") // the address moves within one list; the new owner is set first
 	c.Remove("0")
 	c.Set("a", []Address{local}, "")
 	changed, _ = c.Resolve()
@@ -104,7 +104,7 @@
 	own, _ = c.Usable("b")
 	require.Equal(t, []Address{four, six}, own)
 
-	c.Set("d", nil, "[::1]:9000") // what is named by dial alone stays exactly as it was
+	c.Set("d", nil, "[::1]:9000") // a host with a dial address alone owns that address
 	changed, conflicts = c.Resolve()
 	require.Equal(t, []string{"b"}, changed)
 	require.Equal(t, []Conflict{{six, "b", "d"}}, conflicts)
@@ -113,49 +113,50 @@
 	require.Len(t, c.Hosts(), 3)
 }
 
-// first is the address that a race begins with, which then comes up or fails.
-func first(t *testing.T, s *Set, now int64, once bool, why Failure) Address {
+// raceFirst runs a race whose first connection comes up or fails, and returns its address.
+func raceFirst(t *testing.T, s *Set, now int64, once bool, failure Failure) Address {
 	r := s.NewRace(now, now+250*ms, once)
 	step := r.Step(now)
 	require.Equal(t, Open, step.Action)
-	if why != NoFailure {
-		r.Failed(now+ms, step.Address, why)
+	if failure != NoFailure {
+		r.Failed(now+ms, step.Address, failure)
 		return step.Address
 	}
 	require.True(t, r.Opened(now+ms, step.Address, ms, false))
 	require.Equal(t, Step{Action: Use, Address: step.Address}, r.Step(now+ms))
-	require.Equal(t, Wait, r.Step(now+ms).Action, "used once")
+	require.Equal(t, Wait, r.Step(now+ms).Action, "Use is returned once")
 	r.Finish()
 	return step.Address
 }
 
-// While the first address is good there is no race, and it is kept to; a failure is passed by, and rests.
-func TestStickyAndRest(t *testing.T) {
+// While the first address is good it is used without a race. A failed address is skipped and stays in backoff.
+func TestPreferenceAndBackoff(t *testing.T) {
 	s := newSet(1, six, four)
-	require.Equal(t, six, first(t, s, ms, true, ConnectionRefused))
-	require.Equal(t, four, first(t, s, 3*ms, true, NoFailure))
-	for now := 10 * ms; now < 200*ms; now += 10 * ms { // while it rests
-		require.Equal(t, four, first(t, s, now, now%20 == 0, NoFailure))
-		a, how := s.NextTrial(now)
-		require.Equal(t, NoTrial, how, a)
+	require.Equal(t, six, raceFirst(t, s, ms, true, ConnectionRefused))
+	require.Equal(t, four, raceFirst(t, s, 3*ms, true, NoFailure))
+	for now := 10 * ms; now < 200*ms; now += 10 * ms { // during the backoff
+		require.Equal(t, four, raceFirst(t, s, now, now%20 == 0, NoFailure))
+		a, kind := s.NextTrial(now)
+		require.Equal(t, NoTrial, kind, a)
 	}
-	// Its rest is over: it is tried by a connection, and then a message that may be repeated, before any other.
-	a, how := s.NextTrial(600 * ms)
+	// After its backoff it is tested by a connection and then by a repeatable request before other requests use it.
+	a, kind := s.NextTrial(600 * ms)
 	require.Equal(t, six, a)
-	require.Equal(t, ConnectTrial, how)
-	_, how = s.NextTrial(600 * ms)
-	require.Equal(t, NoTrial, how, "one trial at a time")
-	require.Equal(t, four, first(t, s, 600*ms, false, NoFailure))
+	require.Equal(t, ConnectTrial, kind)
+	_, kind = s.NextTrial(600 * ms)
+	require.Equal(t, NoTrial, kind, "one trial at a time")
+	require.Equal(t, four, raceFirst(t, s, 600*ms, false, NoFailure))
 	s.TrialEnded(601*ms, six, ConnectTrial, 600*ms, NoFailure)
-	require.Equal(t, four, first(t, s, 602*ms, true, NoFailure), "a connection is no proof for what must not run twice")
-	require.Equal(t, six, first(t, s, 603*ms, false, NoFailure))
+	require.Equal(t, four, raceFirst(t, s, 602*ms, true, NoFailure),
+		"a connection is not enough for a request that must not run twice")
+	require.Equal(t, six, raceFirst(t, s, 603*ms, false, NoFailure))
 	s.Answered(605*ms, six, 603*ms, false)
-	require.Equal(t, six, first(t, s, 606*ms, true, NoFailure), "back in use")
+	require.Equal(t, six, raceFirst(t, s, 606*ms, true, NoFailure), "back in use")
 }
 
-// Many messages that meet the same trouble are one failure; failures in a row rest ever longer, within bounds, and an
-// address that goes up and down keeps its count.
-func TestRestsGrow(t *testing.T) {
+// Many requests that fail for the same cause count as one failure. The backoff grows with consecutive failures, within
+// bounds, and an address that keeps failing and recovering keeps its count.
+func TestBackoffGrows(t *testing.T) {
 	s := newSet(1, four)
 	b := s.find(four)
 	now := ms
@@ -172,46 +173,46 @@
 		}
 		require.Equal(t, i+1, b.failures)
 		rest := min(Defaults.MinBackoff<<i, Defaults.MaxBackoff)
-		require.GreaterOrEqual(t, b.rest, now+ms+rest/2)
-		require.LessOrEqual(t, b.rest, now+ms+rest)
-		now = b.rest + ms
-		first(t, s, now, false, NoFailure) // up again for a second
+		require.GreaterOrEqual(t, b.backoffUntil, now+ms+rest/2)
+		require.LessOrEqual(t, b.backoffUntil, now+ms+rest)
+		now = b.backoffUntil + ms
+		raceFirst(t, s, now, false, NoFailure) // good again for a second
 		s.Answered(now, four, now-1, false)
 		now += 1000 * ms
 	}
 	s.Answered(now+Defaults.CalmPeriod, four, now, false)
-	require.Zero(t, b.failures, "calm for long enough")
+	require.Zero(t, b.failures, "good for the whole calm period")
 }
 
-// All rest: the one whose rest ends first is tried, one for each relay, and never none.
-func TestAllRest(t *testing.T) {
+// If all addresses are in backoff, each relay tries one, the one whose backoff ends first.
+func TestAllInBackoff(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, false, ConnectionRefused)
-	first(t, s, 2*ms, false, ConnectionRefused)
-	s.find(six).rest, s.find(four).rest = 900*ms, 800*ms
+	raceFirst(t, s, ms, false, ConnectionRefused)
+	raceFirst(t, s, 2*ms, false, ConnectionRefused)
+	s.find(six).backoffUntil, s.find(four).backoffUntil = 900*ms, 800*ms
 	r := s.NewRace(10*ms, 260*ms, true)
 	require.Equal(t, Step{Action: Open, Address: four}, r.Step(10*ms))
 	r.Failed(11*ms, four, ConnectionRefused)
 	require.Equal(t, GiveUp, r.Step(11*ms).Action)
 }
 
-// A silent address holds nobody up for longer than the delay, and while its first connect is still pending the next
-// message does not begin with it.
+// A silent address delays a request by the attempt delay at most, and while its first connect attempt is pending the
+// next request does not start with it.
 func TestSilent(t *testing.T) {
 	s := newSet(1, six, four)
 	r := s.NewRace(0, 250*ms, false)
 	require.Equal(t, Step{Action: Open, Address: six}, r.Step(0))
 	require.Equal(t, Step{Action: Wait, Until: 50 * ms}, r.Step(ms))
 	require.Equal(t, Step{Action: Open, Address: four}, r.Step(50*ms))
-	require.Equal(t, four, first(t, s, 51*ms, false, NoFailure), "six is late")
+	require.Equal(t, four, raceFirst(t, s, 51*ms, false, NoFailure), "six has exceeded its attempt delay")
 	require.True(t, r.Opened(52*ms, four, 2*ms, false))
 	require.Equal(t, Use, r.Step(52*ms).Action)
 	r.Failed(250*ms, six, ConnectTimeout)
 	require.Equal(t, Silent, s.find(six).state)
-	require.Zero(t, s.find(six).late)
-	require.Equal(t, four, first(t, s, 251*ms, false, NoFailure))
+	require.Zero(t, s.find(six).lateConnects)
+	require.Equal(t, four, raceFirst(t, s, 251*ms, false, NoFailure))
 
-	// A late one that comes up after all is a loser, and good.
+	// A late connection that comes up after all loses the race, and its address is good.
 	s = newSet(1, six, four)
 	r = s.NewRace(0, 250*ms, false)
 	r.Step(0)
@@ -219,17 +220,17 @@
 	require.True(t, r.Opened(51*ms, four, ms, false))
 	require.False(t, r.Opened(60*ms, six, 60*ms, false))
 	require.Equal(t, Good, s.find(six).state)
-	// The winner turns out to be dead before anything is written: the loser's connection is taken.
+	// The winner's connection turns out to be closed before anything is written: the loser's connection is used.
 	require.Equal(t, Use, r.Step(61*ms).Action)
 	r.Failed(61*ms, four, ConnectionRefused)
 	require.Equal(t, Step{Action: Open, Address: six}, r.Step(61*ms))
 }
 
-// The time is shared among the addresses that remain, so that the last is still tried.
-func TestDelayLeavesTime(t *testing.T) {
+// The remaining time is shared among the remaining addresses, so that the last one is still tried.
+func TestDelaySharesTheTime(t *testing.T) {
 	var list []Address
 	for i := range MaxAddresses {
-		list = append(list, must(fmt.Sprintf("10.0.0.%d:1", i+1)))
+		list = append(list, mustParse(fmt.Sprintf("10.0.0.%d:1", i+1)))
 	}
 	s, now, opened := newSet(1, list...), int64(0), 0
 	r := s.NewRace(0, 250*ms, false)
@@ -249,20 +250,22 @@
 	require.Equal(t, 250*ms, now)
 }
 
-// What has reset a request gets nothing that must not run twice, whatever a connection says, until a message that may
-// be repeated, and began after the reset, was answered.
+// An address that has reset a request gets no request that must not run twice, even if connections come up, until a
+// repeatable request that started after the reset was answered.
 func TestReset(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, true, NoFailure)
+	raceFirst(t, s, ms, true, NoFailure)
 	s.RequestReset(5*ms, six, 2*ms, true)
-	require.Equal(t, four, first(t, s, 6*ms, true, NoFailure))
+	require.Equal(t, four, raceFirst(t, s, 6*ms, true, NoFailure))
 	s.RequestReset(7*ms, four, 6*ms, true)
-	require.Equal(t, GiveUp, s.NewRace(10*ms, 260*ms, true).Step(10*ms).Action, "rather no host than a second run")
+	require.Equal(t, GiveUp, s.NewRace(10*ms, 260*ms, true).Step(10*ms).Action,
+		"no address is used where a request may run twice")
 	s.Answered(11*ms, six, 4*ms, false)
 	require.Equal(t, GiveUp, s.NewRace(11*ms, 261*ms, true).Step(11*ms).Action,
-		"an answer to what began before says nothing")
+		"the answer to a request that started before the reset does not count")
 	s.Answered(11*ms, six, 8*ms, true)
-	require.Equal(t, GiveUp, s.NewRace(11*ms, 261*ms, true).Step(11*ms).Action, "what must not run twice is no proof")
+	require.Equal(t, GiveUp, s.NewRace(11*ms, 261*ms, true).Step(11*ms).Action,
+		"the answer to a request that must not run twice does not count")
 
 	now := 2000 * ms
 	r := s.NewRace(now, now+250*ms, false)
@@ -271,45 +274,45 @@
 	require.Equal(t, Resetting, s.find(six).state)
 	require.Equal(t, GiveUp, s.NewRace(now+ms, now+250*ms, true).Step(now+ms).Action)
 	s.Answered(now+5*ms, six, now+2*ms, false)
-	require.Equal(t, six, first(t, s, now+6*ms, true, NoFailure))
+	require.Equal(t, six, raceFirst(t, s, now+6*ms, true, NoFailure))
 
 	s.SetLimits(func() Limits { l := Defaults; l.CanProbe = true; return l }())
 	s.RequestReset(now+10*ms, six, now+6*ms, true)
-	a, how := s.NextTrial(now + 11*ms)
-	require.Equal(t, four, a, "six rests")
-	require.Equal(t, ProbeTrial, how)
-	now = s.find(six).rest
-	a, how = s.NextTrial(now)
+	a, kind := s.NextTrial(now + 11*ms)
+	require.Equal(t, four, a, "six is in backoff")
+	require.Equal(t, ProbeTrial, kind)
+	now = s.find(six).backoffUntil
+	a, kind = s.NextTrial(now)
 	require.Equal(t, six, a)
-	require.Equal(t, ProbeTrial, how)
+	require.Equal(t, ProbeTrial, kind)
 	s.TrialEnded(now+ms, six, ProbeTrial, now, NoFailure)
-	require.Equal(t, six, first(t, s, now+2*ms, true, NoFailure))
+	require.Equal(t, six, raceFirst(t, s, now+2*ms, true, NoFailure))
 }
 
-// 48 dispatchers that lose an address at one moment do not come back to it at one moment.
-func TestReturnsAreSpread(t *testing.T) {
+// 48 dispatchers that lose an address at the same moment return to it at different moments.
+func TestBackoffIsSpread(t *testing.T) {
 	var at []int64
 	for seed := range uint64(48) {
 		s := newSet(seed, six, four)
-		first(t, s, ms, false, ConnectionRefused)
-		at = append(at, s.find(six).rest)
+		raceFirst(t, s, ms, false, ConnectionRefused)
+		at = append(at, s.find(six).backoffUntil)
 	}
 	slices.Sort(at)
 	for i := 0; i+8 < len(at); i++ {
-		require.Greater(t, at[i+8]-at[i], 10*ms, "nine within 10 ms")
+		require.Greater(t, at[i+8]-at[i], 10*ms, "nine backoffs end within 10 ms")
 	}
 }
 
-// What was learned goes on in another process, and nonsense of it does not.
+// A successor takes over the memory of its predecessor, except invalid entries.
 func TestMemory(t *testing.T) {
 	s := newSet(1, six, four)
-	first(t, s, ms, true, NoFailure)
+	raceFirst(t, s, ms, true, NoFailure)
 	s.RequestReset(5*ms, six, 2*ms, true)
-	young := newSet(2, four, six)
-	young.Inherit(6*ms, append(s.Memory(), Memory{Address: "nobody"}, Memory{Address: four.String(), State: 99}))
-	require.ElementsMatch(t, s.Memory(), young.Memory())
-	require.Equal(t, four, first(t, young, 7*ms, true, NoFailure))
-	s.Update([]Address{four}) // the address that goes takes its memory with it
+	successor := newSet(2, four, six)
+	successor.Inherit(6*ms, append(s.Memory(), Memory{Address: "nobody"}, Memory{Address: four.String(), State: 99}))
+	require.ElementsMatch(t, s.Memory(), successor.Memory())
+	require.Equal(t, four, raceFirst(t, successor, 7*ms, true, NoFailure))
+	s.Update([]Address{four}) // an address that is removed loses its status
 	require.False(t, s.Has(six))
 	s.Update([]Address{four, six})
 	require.Equal(t, Untried, s.find(six).state)
@@ -322,83 +325,85 @@
 	require.ErrorContains(t, l.Check(), "rest_most is 1")
 }
 
-// Whatever happens: a race uses one connection at a time and moves on only after nothing was written; it opens each
-// address once, unless its connection was spare; of those that rest one; what must not run twice never goes where a
-// reset is not disproved; as long as an address may be used, something is tried; and every race ends in time.
+// With random events: a race uses one connection at a time, and another only if nothing was written; it opens each
+// address once, unless its connection was spare, and at most one address in backoff; a request that must not run twice
+// is never sent to an address that has reset one and was not tested since; if any address may be used, one is tried;
+// and every race ends in time.
 func TestProperties(t *testing.T) {
-	addresses := []Address{local, six, four, must("10.0.0.1:1"), must("[fd00::1]:1")}
+	addresses := []Address{local, six, four, mustParse("10.0.0.1:1"), mustParse("[fd00::1]:1")}
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet(rapid.Uint64().Draw(t, "seed"), addresses...)
-		p := &properties{T: t, set: s, addresses: addresses, limits: Defaults, now: 1,
-			bad: map[Address]bool{}, lost: map[Address]int{}}
+		p := &propertyTest{T: t, set: s, addresses: addresses, limits: Defaults, now: 1,
+			hasReset: map[Address]bool{}, onceResets: map[Address]int{}}
 		p.limits.CanProbe = rapid.Bool().Draw(t, "probe")
 		s.SetLimits(p.limits)
 		for range rapid.IntRange(1, 40).Draw(t, "messages") {
 			p.now += rapid.Int64Range(1, 3e6).Draw(t, "pause")
-			p.try()
+			p.trial()
 			p.race()
 		}
 	})
 }
 
-// properties plays messages against a set of addresses, and checks each move.
-type properties struct {
+// propertyTest sends requests over a set of addresses and checks each action.
+type propertyTest struct {
 	*rapid.T
-	set       *Set
-	addresses []Address
-	limits    Limits
-	now       int64
-	bad       map[Address]bool // has reset a request, by this test's own books
-	lost      map[Address]int  // requests that must not run twice and were reset
+	set        *Set
+	addresses  []Address
+	limits     Limits
+	now        int64
+	hasReset   map[Address]bool // has reset a request, as counted by this test
+	onceResets map[Address]int  // requests that must not run twice and that were reset
 }
 
-// try proves an address if the set asks for it.
-func (p *properties) try() {
-	a, how := p.set.NextTrial(p.now)
-	if how == NoTrial {
+// trial tests an address if the set asks for it.
+func (p *propertyTest) trial() {
+	a, kind := p.set.NextTrial(p.now)
+	if kind == NoTrial {
 		return
 	}
-	why := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout}).Draw(p.T, "trial")
-	p.set.TrialEnded(p.now+1, a, how, p.now, why)
-	if why == NoFailure && how == ProbeTrial {
-		delete(p.bad, a)
+	failure := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout}).Draw(p.T, "trial")
+	p.set.TrialEnded(p.now+1, a, kind, p.now, failure)
+	if failure == NoFailure && kind == ProbeTrial {
+		delete(p.hasReset, a)
 	}
 }
 
-// raced is what has happened so far in one race.
-type raced struct {
+// raceState is the state of one race.
+type raceState struct {
 	*Race
-	began, by int64
-	once      bool // its request must not run twice
-	opens     map[Address]int
-	used      int
-	resting   int
-	pending   []Address // connections under way
+	start, deadline int64
+	once            bool // its request must not run twice
+	openCounts      map[Address]int
+	useCount        int
+	backoffOpens    int
+	pending         []Address // connect attempts in progress
 }
 
 // race sends one request.
-func (p *properties) race() {
+func (p *propertyTest) race() {
 	once := rapid.Bool().Draw(p.T, "once")
-	by := p.now + 250*ms
-	r := &raced{Race: p.set.NewRace(p.now, by, once), began: p.now, by: by, once: once, opens: map[Address]int{}}
+	deadline := p.now + 250*ms
+	r := &raceState{Race: p.set.NewRace(p.now, deadline, once), start: p.now, deadline: deadline, once: once,
+		openCounts: map[Address]int{}}
 	for p.move(r) {
 	}
-	for _, a := range r.pending { // what the race left behind comes back all the same
-		r.Failed(by, a, ConnectTimeout)
+	for _, a := range r.pending { // pending attempts end after the race as well
+		r.Failed(deadline, a, ConnectTimeout)
 	}
-	for _, b := range p.set.list {
-		if b.late != 0 {
-			p.Fatalf("%s stays late", b.Address)
+	for _, b := range p.set.statuses {
+		if b.lateConnects != 0 {
+			p.Fatalf("%s keeps late connect attempts", b.Address)
 		}
-		if b.rest > p.now+p.limits.MaxBackoff+250*ms {
-			p.Fatalf("%s rests too long", b.Address)
+		if b.backoffUntil > p.now+p.limits.MaxBackoff+250*ms {
+			p.Fatalf("%s stays in backoff too long", b.Address)
 		}
 	}
-	p.now = max(p.now, by)
+	p.now = max(p.now, deadline)
 }
 
-// move takes the race's next step, and tells whether the race goes on.
-func (p *properties) move(r *raced) bool {
+// move performs the race's next action and reports whether the race continues.
+func (p *propertyTest) move(r *raceState) bool {
 	step := r.Step(p.now)
 	switch step.Action {
 	case GiveUp:
@@ -408,17 +413,17 @@
 		p.opened(r, step.Address)
 	case Use:
 		p.used(r, step.Address)
-		if p.unwritten(r, step.Address) {
+		if p.requestOutcome(r, step.Address) {
 			return true
 		}
 		r.Finish()
 		if r.Step(p.now).Action == Use {
-			p.Fatal("used twice")
+			p.Fatal("the connection is used twice")
 		}
 		return false
 	case Wait:
-		if step.Until > r.by || step.Until <= p.now {
-			p.Fatalf("waits until %d at %d of %d", step.Until, p.now, r.by)
+		if step.Until > r.deadline || step.Until <= p.now {
+			p.Fatalf("waits until %d at %d with deadline %d", step.Until, p.now, r.deadline)
 		}
 		p.now += rapid.Int64Range(1, step.Until-p.now).Draw(p.T, "time")
 	}
@@ -426,56 +431,56 @@
 	return true
 }
 
-func (p *properties) gaveUp(r *raced) {
-	if len(r.opens) > 0 {
+func (p *propertyTest) gaveUp(r *raceState) {
+	if len(r.openCounts) > 0 {
 		return
 	}
 	for _, a := range p.addresses {
-		if !r.once || !p.bad[a] {
-			p.Fatalf("nothing was tried though %s may be used", a)
+		if !r.once || !p.hasReset[a] {
+			p.Fatalf("no address was tried although %s may be used", a)
 		}
 	}
 }
 
-func (p *properties) opened(r *raced, a Address) {
-	r.opens[a]++
-	if r.opens[a] > 1 && r.used == 0 {
-		p.Fatalf("%s is opened again", a)
+func (p *propertyTest) opened(r *raceState, a Address) {
+	r.openCounts[a]++
+	if r.openCounts[a] > 1 && r.useCount == 0 {
+		p.Fatalf("%s is opened a second time", a)
 	}
-	if p.set.find(a).rest > p.now {
-		r.resting++
+	if p.set.find(a).backoffUntil > p.now {
+		r.backoffOpens++
 	}
-	if r.resting > 1 {
-		p.Fatalf("a second one that rests: %s", a)
+	if r.backoffOpens > 1 {
+		p.Fatalf("a second address in backoff is opened: %s", a)
 	}
 	r.pending = append(r.pending, a)
 }
 
-func (p *properties) used(r *raced, a Address) {
-	r.used++
-	if r.once && p.bad[a] {
-		p.Fatalf("%s has reset a request", a)
+func (p *propertyTest) used(r *raceState, a Address) {
+	r.useCount++
+	if r.once && p.hasReset[a] {
+		p.Fatalf("%s is used after it has reset a request", a)
 	}
 }
 
-// unwritten draws what becomes of a request on the connection to a, and tells whether nothing of it was written.
-func (p *properties) unwritten(r *raced, a Address) bool {
+// requestOutcome draws the outcome of a request on the connection to a and reports whether nothing was written.
+func (p *propertyTest) requestOutcome(r *raceState, a Address) bool {
 	switch rapid.IntRange(0, 3).Draw(p.T, "fate") {
 	case 0: // answered
 		p.set.Answered(p.now+1, a, p.now, r.once)
 		if !r.once {
-			delete(p.bad, a)
+			delete(p.hasReset, a)
 		}
 	case 1:
 		p.set.RequestReset(p.now+1, a, p.now, r.once)
-		p.bad[a] = true
+		p.hasReset[a] = true
 		if r.once {
-			p.lost[a]++
+			p.onceResets[a]++
 		}
-		if p.lost[a] > mostLost {
-			p.Fatalf("%s has reset %d that must not run twice", a, p.lost[a])
+		if p.onceResets[a] > maxOnceResets {
+			p.Fatalf("%s has reset %d requests that must not run twice", a, p.onceResets[a])
 		}
-	case 2: // called off
+	case 2: // cancelled
 	case 3: // nothing was written
 		r.Failed(p.now, a, rapid.SampledFrom([]Failure{ConnectionRefused, Unrelated}).Draw(p.T, "unwritten"))
 		return true
@@ -483,17 +488,18 @@
 	return false
 }
 
-// connect may let the oldest connection under way come up or fail.
-func (p *properties) connect(r *raced) {
+// connect may let the oldest connect attempt succeed or fail.
+func (p *propertyTest) connect(r *raceState) {
 	if len(r.pending) == 0 || !rapid.Bool().Draw(p.T, "event") {
 		return
 	}
 	a := r.pending[0]
 	r.pending = r.pending[1:]
-	why := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout, Unrelated}).Draw(p.T, "connect")
-	if why == NoFailure {
-		r.Opened(p.now, a, p.now-r.began, false)
+	failure := rapid.SampledFrom([]Failure{NoFailure, ConnectionRefused, ConnectTimeout, Unrelated}).
+		Draw(p.T, "connect")
+	if failure == NoFailure {
+		r.Opened(p.now, a, p.now-r.start, false)
 	} else {
-		r.Failed(p.now, a, why)
+		r.Failed(p.now, a, failure)
 	}
 }
--- a/internal/decide/addresses/claims.go
+++ b/internal/decide/addresses/claims.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-// Claims says which host each address belongs to. An address reaches one host: where two list it, one of them is wrong,
-// and a message sent over it may run where nobody expects it. The host that had it first keeps it as long as it lists
-// it. One that is named by its dial alone has that, whoever else lists it.
+// Claims decides which host owns each address. An address reaches one host: where two hosts list it, one of them is
+// wrong, and a request that is sent to it may run on the wrong host. The host that owned an address first keeps it as
+// long as it lists it. A host that has a dial address alone owns that address, whatever other hosts list.
 //
-// What changes costs as much as it touches, whatever the number of hosts.
+// The cost of a change depends on the addresses and hosts that it affects, not on the number of hosts.
 type Claims struct {
-	listed map[string][]Address // by host, of those that list any
-	dial   map[string]Address   // by host, of those that are named by dial alone
-	wants  map[Address]*claim
-	usable map[string][]Address // as last settled
+	listed map[string][]Address // by host; hosts that list addresses
+	dialed map[string]Address   // by host; hosts that have a dial address alone
+	claims map[Address]*addressClaim
+	usable map[string][]Address // by host, as of the last Resolve
 
-	addresses map[Address]bool // to be settled
-	hosts     map[string]bool
+	changedAddresses map[Address]bool // since the last Resolve
+	changedHosts     map[string]bool
 }
 
-// claim is who lists an address, and who has it.
-type claim struct {
-	listing []string // in the order of names
-	dialing []string
-	owner   string
-	said    map[string]string // by host that goes without it: whom it was told to have it
+// addressClaim holds the hosts that list an address, and the one that owns it.
+type addressClaim struct {
+	listing       []string // sorted
+	dialing       []string
+	owner         string
+	reportedOwner map[string]string // owner that was reported as a conflict, by host that does not own the address
 }
 
-// Conflict is an address that a host lists and another host has.
+// Conflict is an address that a host lists and another host owns.
 type Conflict struct {
 	Address Address
 	Host    string
 	Owner   string
 }
 
-// NewClaims returns claims of nobody.
+// NewClaims returns an empty set of claims.
 func NewClaims() *Claims {
-	return &Claims{listed: map[string][]Address{}, dial: map[string]Address{}, wants: map[Address]*claim{},
-		usable: map[string][]Address{}, addresses: map[Address]bool{}, hosts: map[string]bool{}}
+	return &Claims{listed: map[string][]Address{}, dialed: map[string]Address{}, claims: map[Address]*addressClaim{},
+		usable: map[string][]Address{}, changedAddresses: map[Address]bool{}, changedHosts: map[string]bool{}}
 }
 
-// Set notes what a host lists now, or the dial of one that lists nothing.
+// Set records the addresses that a host lists, or the dial address of a host that lists none.
 func (c *Claims) Set(host string, listed []Address, dial string) {
-	old, dialed := c.dial[host]
+	old, dialed := c.dialed[host]
 	if len(listed) > 0 && !dialed && slices.Equal(c.listed[host], listed) ||
 		len(listed) == 0 && dialed && old.text == dial && c.listed[host] == nil {
 		return
@@ -53,29 +53,30 @@
 	if len(listed) > 0 {
 		c.listed[host] = listed
 		for _, a := range listed {
-			w := c.want(a)
-			w.listing = insert(w.listing, host)
+			claim := c.claimOf(a)
+			claim.listing = insertSorted(claim.listing, host)
 		}
 		return
 	}
 	if a, err := Parse(dial); err == nil {
-		c.dial[host] = a
-		w := c.want(a)
-		w.dialing = insert(w.dialing, host)
+		c.dialed[host] = a
+		claim := c.claimOf(a)
+		claim.dialing = insertSorted(claim.dialing, host)
 	}
 }
 
-func (c *Claims) want(a Address) *claim {
-	c.addresses[a] = true
-	w := c.wants[a]
-	if w == nil {
-		w = &claim{}
-		c.wants[a] = w
+// claimOf returns the claim on an address and marks the address as changed.
+func (c *Claims) claimOf(a Address) *addressClaim {
+	c.changedAddresses[a] = true
+	claim := c.claims[a]
+	if claim == nil {
+		claim = &addressClaim{}
+		c.claims[a] = claim
 	}
-	return w
+	return claim
 }
 
-func insert(list []string, host string) []string {
+func insertSorted(list []string, host string) []string {
 	i, found := slices.BinarySearch(list, host)
 	if found {
 		return list
@@ -83,70 +84,71 @@
 	return slices.Insert(list, i, host)
 }
 
-func without(list []string, host string) []string {
+func removeSorted(list []string, host string) []string {
 	if i, found := slices.BinarySearch(list, host); found {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// Remove forgets a host.
+// Remove removes a host.
 func (c *Claims) Remove(host string) {
 	for _, a := range c.listed[host] {
-		w := c.want(a)
-		w.listing = without(w.listing, host)
+		claim := c.claimOf(a)
+		claim.listing = removeSorted(claim.listing, host)
 	}
-	if a, ok := c.dial[host]; ok {
-		w := c.want(a)
-		w.dialing = without(w.dialing, host)
+	if a, ok := c.dialed[host]; ok {
+		claim := c.claimOf(a)
+		claim.dialing = removeSorted(claim.dialing, host)
 	}
 	delete(c.listed, host)
-	delete(c.dial, host)
-	c.hosts[host] = true
+	delete(c.dialed, host)
+	c.changedHosts[host] = true
 }
 
-// Hosts returns the hosts that claims are known of.
+// Hosts returns the hosts that have claims, in no particular order.
 func (c *Claims) Hosts() []string {
-	return slices.Concat(slices.Collect(maps.Keys(c.listed)), slices.Collect(maps.Keys(c.dial)))
+	return slices.Concat(slices.Collect(maps.Keys(c.listed)), slices.Collect(maps.Keys(c.dialed)))
 }
 
-// settle decides who has an address.
-func (w *claim) settle() (owner string) {
-	_, keeps := slices.BinarySearch(w.listing, w.owner)
+// chooseOwner returns the host that owns the address, "" if there is none.
+func (c *addressClaim) chooseOwner() (owner string) {
+	_, stillListed := slices.BinarySearch(c.listing, c.owner)
 	switch {
-	case len(w.dialing) > 0:
-		return w.dialing[0]
-	case keeps:
-		return w.owner
-	case len(w.listing) > 0:
-		return w.listing[0]
+	case len(c.dialing) > 0:
+		return c.dialing[0]
+	case stillListed:
+		return c.owner
+	case len(c.listing) > 0:
+		return c.listing[0]
 	}
 	return ""
 }
 
-// Resolve is called once all news of one list are set: an address may move from one host to another within it. It
-// returns the hosts whose usable addresses have changed, in order, and the conflicts that were not there before.
+// Resolve decides the owners of all changed addresses. It must be called after all changes of one list are set, because
+// an address may move from one host to another within a list. It returns the hosts whose usable addresses have changed,
+// sorted, and the new conflicts.
 func (c *Claims) Resolve() (changed []string, conflicts []Conflict) {
-	for a := range c.addresses {
-		w := c.wants[a]
-		owner := w.settle()
-		c.hosts[w.owner], c.hosts[owner] = true, true
-		w.owner = owner
-		said := map[string]string{}
-		for _, host := range w.listing {
+	for a := range c.changedAddresses {
+		claim := c.claims[a]
+		owner := claim.chooseOwner()
+		c.changedHosts[claim.owner], c.changedHosts[owner] = true, true
+		claim.owner = owner
+		reported := map[string]string{}
+		for _, host := range claim.listing {
 			if host == owner {
 				continue
 			}
-			c.hosts[host] = true
-			if said[host] = owner; w.said[host] != owner {
+			c.changedHosts[host] = true
+			if reported[host] = owner; claim.reportedOwner[host] != owner {
 				conflicts = append(conflicts, Conflict{a, host, owner})
 			}
 		}
-		if w.said = said; owner == "" {
-			delete(c.wants, a)
+		if claim.reportedOwner = reported; owner == "" {
+			delete(c.claims, a)
 		}
 	}
-	for host := range c.hosts {
+	for host := range c.changedHosts {
 		old, had := c.usable[host]
 		list, lists := c.listed[host]
 		if !lists {
@@ -158,7 +160,7 @@
 		}
 		own := make([]Address, 0, len(list))
 		for _, a := range list {
-			if c.wants[a].owner == host {
+			if c.claims[a].owner == host {
 				own = append(own, a)
 			}
 		}
@@ -167,8 +169,8 @@
 			changed = append(changed, host)
 		}
 	}
-	clear(c.addresses)
-	clear(c.hosts)
+	clear(c.changedAddresses)
+	clear(c.changedHosts)
 	slices.Sort(changed)
 	slices.SortFunc(conflicts, func(a, b Conflict) int {
 		return cmp.Or(cmp.Compare(a.Host, b.Host), cmp.Compare(a.Address.text, b.Address.text))
@@ -176,7 +178,7 @@
 	return changed, conflicts
 }
 
-// Usable returns the addresses that are the host's own, in its order of preference. The second result is false for a
+// Usable returns the listed addresses that the host owns, in its order of preference. The second result is false for a
 // host that lists none.
 func (c *Claims) Usable(host string) ([]Address, bool) {
 	list, ok := c.usable[host]
--- a/internal/decide/addresses/fuzz_test.go
+++ b/internal/decide/addresses/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzParse: what is read is canonical, and fits what connects to it.
+// FuzzParse checks that Parse returns canonical addresses, and that socket paths can be connected to.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"127.0.0.1:9000", "[::1]:9000", "unix:/run/w1.sock", "[::ffff:1.2.3.4]:80",
 		"unix:/../a",
@@ -16,10 +16,10 @@
 		}
 		again, err := Parse(a.String())
 		if err != nil || again != a {
-			t.Fatalf("%q is read as %q, and that as %q (%v)", text, a, again, err)
+			t.Fatalf("%q is parsed as %q, and that as %q (%v)", text, a, again, err)
 		}
-		if a.Network() == "unix" && (len(a.Target()) > longestPath || a.Target()[0] != '/') {
-			t.Fatalf("%q is no path of a socket", a.Target())
+		if a.Network() == "unix" && (len(a.Target()) > maxPathLength || a.Target()[0] != '/') {
+			t.Fatalf("%q is not a valid socket path", a.Target())
 		}
 	})
 }
--- a/internal/decide/addresses/race.go
+++ b/internal/decide/addresses/race.go
@@ -2,212 +2,217 @@
 
 import "slices"
 
-// Race is one relay's way to a connection over which it may be written. It opens connections and no more: exactly one
-// of them is used. While the first address is good it is no race: the next is begun only when that one fails, or does
-// not come up within the attempt delay.
+// Race finds a connection for one relay, which is one attempt to send a request to a worker. It opens connections to
+// several addresses and uses exactly one of them (Happy Eyeballs, RFC 8305). While the first address is good there is
+// no actual race: the next connect attempt starts only when the first fails or exceeds the attempt delay.
 type Race struct {
-	set     *Set
-	once    bool
-	by      int64 // when it must have found one
-	order   []*belief
-	runs    []*run
-	next    int64 // when the next address may be begun
-	rested  bool  // one that rests was tried
-	winner  *run
-	over    bool
-	claimed bool // the winner was given out
-	proof   *belief
+	set            *Set
+	once           bool
+	deadline       int64            // when it must have found a connection
+	queue          []*addressStatus // addresses that are still to be tried
+	attempts       []*connectAttempt
+	nextAt         int64 // when the next connect attempt may start
+	triedBackoff   bool  // an address in backoff was tried
+	winner         *connectAttempt
+	over           bool
+	winnerReturned bool           // Step has returned the winner
+	trialTarget    *addressStatus // address that this request may test, or nil
 }
 
-type run struct {
-	b       *belief
-	began   int64
+// connectAttempt is one attempt to connect to an address.
+type connectAttempt struct {
+	status  *addressStatus
+	start   int64
 	pending bool
-	late    bool
-	proves  bool // this message is to prove the address
+	late    bool // it has exceeded its attempt delay
+	isTrial bool // the request of this race tests the address
 	spare   bool // the connection came up and is not used
 }
 
-// Action is what a race asks for.
+// Action is what the caller of a race must do next.
 type Action uint8
 
-// The moves.
+// The actions.
 const (
-	Wait   Action = iota // until Step.Until, or until something is told
-	Open                 // a connection to Step.Address, kept or new, and tell Opened or Failed
-	Use                  // write on the connection to Step.Address, or tell Failed if nothing was written
-	GiveUp               // there is no connection to be had
+	Wait   Action = iota // until Step.Until or the next event
+	Open                 // take a kept connection to Step.Address or open one, then call Opened or Failed
+	Use                  // write the request to the connection to Step.Address, or call Failed if nothing was written
+	GiveUp               // no connection can be found
 )
 
-// Step is a move, and what it is about.
+// Step is an action and its arguments.
 type Step struct {
 	Action  Action
 	Address Address
 	Until   int64
 }
 
-// NewRace begins a race for a message, which must not run twice if once is set, that ends at a time.
-func (s *Set) NewRace(now, by int64, once bool) *Race {
-	r := &Race{set: s, once: once, by: by, order: s.order(now, once)}
+// NewRace starts a race for a request, which must find a connection by the deadline. If once is set the request must
+// not run twice.
+func (s *Set) NewRace(now, deadline int64, once bool) *Race {
+	r := &Race{set: s, once: once, deadline: deadline, queue: s.ranked(now, once)}
 	if !once {
-		if r.proof = s.proving(now); r.proof != nil {
-			r.order = append([]*belief{r.proof}, r.order...)
+		if r.trialTarget = s.messageTrial(now); r.trialTarget != nil {
+			r.queue = append([]*addressStatus{r.trialTarget}, r.queue...)
 		}
 	}
 	return r
 }
 
-// Step says what to do next. It is asked again after each Open, and after each event, until it says Use or GiveUp.
+// Step returns the next action. The caller calls it again after each Open and after each event until it returns Use or
+// GiveUp.
 func (r *Race) Step(now int64) Step {
 	switch {
 	case r.over:
 		return Step{Action: GiveUp}
 	case r.winner != nil:
-		if r.claimed {
-			return Step{Action: Wait, Until: r.by}
+		if r.winnerReturned {
+			return Step{Action: Wait, Until: r.deadline}
 		}
-		r.claimed = true
-		return Step{Action: Use, Address: r.winner.b.Address}
-	case now >= r.by:
+		r.winnerReturned = true
+		return Step{Action: Use, Address: r.winner.status.Address}
+	case now >= r.deadline:
 		r.over = true
 		return Step{Action: GiveUp}
 	}
-	if n := len(r.runs); n > 0 && r.runs[n-1].pending {
-		last := r.runs[n-1]
-		if now < r.next {
-			return Step{Action: Wait, Until: min(r.next, r.by)}
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].pending {
+		last := r.attempts[n-1]
+		if now < r.nextAt {
+			return Step{Action: Wait, Until: min(r.nextAt, r.deadline)}
 		}
 		if !last.late {
 			last.late = true
-			last.b.late++
+			last.status.lateConnects++
 		}
 	}
-	if b := r.candidate(now); b != nil {
-		t := &run{b: b, began: now, pending: true, proves: b == r.proof && !b.trial}
-		b.trial = b.trial || t.proves
-		r.runs = append(r.runs, t)
-		r.next = now + r.set.delay(b, r.by-now, r.remaining(now))
-		return Step{Action: Open, Address: b.Address}
-	}
-	for _, t := range r.runs {
-		if t.pending {
-			return Step{Action: Wait, Until: r.by}
+	if status := r.nextCandidate(now); status != nil {
+		attempt := &connectAttempt{status: status, start: now, pending: true,
+			isTrial: status == r.trialTarget && !status.inTrial}
+		status.inTrial = status.inTrial || attempt.isTrial
+		r.attempts = append(r.attempts, attempt)
+		r.nextAt = now + r.set.attemptDelay(status, r.deadline-now, r.remaining(now))
+		return Step{Action: Open, Address: status.Address}
+	}
+	for _, attempt := range r.attempts {
+		if attempt.pending {
+			return Step{Action: Wait, Until: r.deadline}
 		}
 	}
 	r.over = true
 	return Step{Action: GiveUp}
 }
 
-// candidate takes the next address. Of those that rest a race tries one at the most: the one whose rest ends first. It
-// is better than none, and all of them for each message would be no rest.
-func (r *Race) candidate(now int64) *belief {
-	for len(r.order) > 0 {
-		b := r.order[0]
-		r.order = r.order[1:]
-		if r.find(b.Address) != nil || r.set.find(b.Address) != b || b.bars(r.once) {
+// nextCandidate takes the next address from the queue. A race tries at most one address in backoff, the one whose
+// backoff ends first: that is better than none, but if each request tried all of them there would be no backoff.
+func (r *Race) nextCandidate(now int64) *addressStatus {
+	for len(r.queue) > 0 {
+		status := r.queue[0]
+		r.queue = r.queue[1:]
+		if r.find(status.Address) != nil || r.set.find(status.Address) != status || status.isBarred(r.once) {
 			continue
 		}
-		if b.rest > now {
-			if r.rested {
+		if status.backoffUntil > now {
+			if r.triedBackoff {
 				continue
 			}
-			r.rested = true
+			r.triedBackoff = true
 		}
-		return b
+		return status
 	}
 	return nil
 }
 
-// remaining is how many more addresses may be tried.
+// remaining returns how many more addresses may be tried.
 func (r *Race) remaining(now int64) (n int) {
-	rested := r.rested
-	for _, b := range r.order {
-		if r.find(b.Address) == nil && (b.rest <= now || !rested) {
-			rested = rested || b.rest > now
+	triedBackoff := r.triedBackoff
+	for _, status := range r.queue {
+		if r.find(status.Address) == nil && (status.backoffUntil <= now || !triedBackoff) {
+			triedBackoff = triedBackoff || status.backoffUntil > now
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Race) find(a Address) *run {
-	for _, t := range r.runs {
-		if t.b.Address == a {
-			return t
+func (r *Race) find(a Address) *connectAttempt {
+	for _, attempt := range r.attempts {
+		if attempt.status.Address == a {
+			return attempt
 		}
 	}
 	return nil
 }
 
-func (r *Race) end(a Address) *run {
-	t := r.find(a)
-	if t == nil || !t.pending {
+// end ends the pending attempt to connect to an address, nil if there is none.
+func (r *Race) end(a Address) *connectAttempt {
+	attempt := r.find(a)
+	if attempt == nil || !attempt.pending {
 		return nil
 	}
-	t.pending = false
-	if t.late {
-		t.b.late--
+	attempt.pending = false
+	if attempt.late {
+		attempt.status.lateConnects--
 	}
-	return t
+	return attempt
 }
 
-// Opened tells that a connection is up: a kept one, or a new one that took so long. It says whether it is the one to
-// use, by the next Step; if not, nothing may be written for this race on it.
-func (r *Race) Opened(now int64, a Address, took int64, kept bool) (first bool) {
-	t := r.end(a)
-	if t == nil {
+// Opened records that a connection is up: a kept one, or a new one with its connect time. It reports whether the
+// connection is the winner, which the next Step returns; if not, this race must not write to it.
+func (r *Race) Opened(now int64, a Address, connectTime int64, kept bool) (first bool) {
+	attempt := r.end(a)
+	if attempt == nil {
 		return false
 	}
 	if !kept {
-		t.b.opened(now, took)
+		attempt.status.connected(now, connectTime)
 	}
-	if r.over || r.winner != nil || r.set.find(a) != t.b || t.b.bars(r.once) {
-		t.spare = true
-		t.let()
+	if r.over || r.winner != nil || r.set.find(a) != attempt.status || attempt.status.isBarred(r.once) {
+		attempt.spare = true
+		attempt.cancelTrial()
 		return false
 	}
-	r.winner = t
+	r.winner = attempt
 	return true
 }
 
-// Failed tells that a connection did not come up or, of the one to use, that it was not used: nothing was written on
-// it, and the race goes on.
-func (r *Race) Failed(now int64, a Address, why Failure) {
-	t := r.end(a)
-	if t == nil {
-		if t = r.winner; t == nil || t.b.Address != a {
+// Failed records that a connection did not come up or, for the winner, that nothing was written to it. The race then
+// continues.
+func (r *Race) Failed(now int64, a Address, failure Failure) {
+	attempt := r.end(a)
+	if attempt == nil {
+		if attempt = r.winner; attempt == nil || attempt.status.Address != a {
 			return
 		}
-		r.winner, r.claimed = nil, false
-		r.again()
+		r.winner, r.winnerReturned = nil, false
+		r.requeueSpares()
 	}
-	t.let()
-	r.set.failed(t.b, now, t.began, why)
+	attempt.cancelTrial()
+	r.set.recordFailure(attempt.status, now, attempt.start, failure)
 }
 
-// again puts the addresses first whose connections came up and were not needed then.
-func (r *Race) again() {
-	var spare []*belief
-	r.runs = slices.DeleteFunc(r.runs, func(t *run) bool {
-		if t.spare {
-			spare = append(spare, t.b)
+// requeueSpares puts the addresses whose connections came up without being needed at the front of the queue.
+func (r *Race) requeueSpares() {
+	var spare []*addressStatus
+	r.attempts = slices.DeleteFunc(r.attempts, func(attempt *connectAttempt) bool {
+		if attempt.spare {
+			spare = append(spare, attempt.status)
 		}
-		return t.spare
+		return attempt.spare
 	})
-	r.order = append(spare, r.order...)
+	r.queue = append(spare, r.queue...)
 }
 
-// let ends the proving of an address without a word on it.
-func (t *run) let() {
-	if t.proves {
-		t.b.trial, t.proves = false, false
+// cancelTrial ends the test of an address without a result.
+func (a *connectAttempt) cancelTrial() {
+	if a.isTrial {
+		a.status.inTrial, a.isTrial = false, false
 	}
 }
 
-// Finish ends the race whose connection was used, after what was to be said of the address: its message may have been
-// called off without an answer.
+// Finish ends a race whose connection was used. It must be called after the outcome was recorded; if there is none, as
+// when the request was cancelled without an answer, it ends the test of the address.
 func (r *Race) Finish() {
 	if r.winner != nil {
-		r.winner.let()
+		r.winner.cancelTrial()
 	}
 }
--- a/internal/decide/addresses/set.go
+++ b/internal/decide/addresses/set.go
@@ -7,27 +7,28 @@
 	"slices"
 )
 
-// Limits are the knobs, all times in microseconds.
+// Limits are the settings of the address selection; all times are in microseconds.
 type Limits struct {
-	// After so long without an outcome the next address is begun beside a pending one. The delay follows the connect
-	// times measured; DelayFirst holds while there are none. RFC 8305, section 5, asks for 10 ms at least.
+	// The attempt delay is how long a connect attempt may be pending before the next one starts beside it. It follows
+	// the measured connect times between MinDelay and MaxDelay; InitialDelay applies while there are none. RFC 8305,
+	// section 5, requires at least 10 ms.
 	MinDelay, InitialDelay, MaxDelay int64
-	// A failed address rests for between a half and the whole of RestLeast; each further failure in a row doubles that,
-	// up to RestMost.
+	// A failed address stays in backoff for a random time between half of MinBackoff and all of it; each further
+	// consecutive failure doubles both, up to MaxBackoff.
 	MinBackoff, MaxBackoff int64
-	// Failures are in a row unless the address was good for so long between them.
+	// Failures are consecutive unless the address was good for CalmPeriod between them.
 	CalmPeriod int64
-	// Probe says that the host may be asked for its load over an address to prove it.
+	// CanProbe says that an address may be tested by a request for the host's load.
 	CanProbe bool
 }
 
-// Defaults are sound for hosts within a few milliseconds.
+// Defaults suit hosts within a few milliseconds.
 var Defaults = Limits{MinDelay: 30e3, InitialDelay: 50e3, MaxDelay: 100e3, MinBackoff: 500e3, MaxBackoff: 10e6,
 	CalmPeriod: 30e6}
 
-// Check names the first knob that is out of its bounds, and its value.
+// Check returns an error that names the first setting that is out of its bounds, and its value.
 func (l Limits) Check() error {
-	for _, k := range []struct {
+	for _, limit := range []struct {
 		name              string
 		value, least, top int64
 	}{
@@ -35,23 +36,24 @@
 		{"delay_first", l.InitialDelay, l.MinDelay, l.MaxDelay}, {"rest_least", l.MinBackoff, 10e3, 60e6},
 		{"rest_most", l.MaxBackoff, l.MinBackoff, 600e6}, {"calm", l.CalmPeriod, 0, 3600e6},
 	} {
-		if k.value < k.least || k.value > k.top {
-			return fmt.Errorf("%s is %d, not within %d to %d microseconds", k.name, k.value, k.least, k.top)
+		if limit.value < limit.least || limit.value > limit.top {
+			return fmt.Errorf("%s is %d, not within %d to %d microseconds", limit.name, limit.value, limit.least,
+				limit.top)
 		}
 	}
 	return nil
 }
 
-// State is what is believed of an address.
+// State is the state of an address. Its values are part of the handover format.
 type State uint8
 
 // The states.
 const (
 	Untried   State = iota
-	Good            // a connection came up, and nothing spoke against it since
+	Good            // a connection came up, and nothing has failed since
 	Refusing        // connections are refused, or end before anything is written
 	Silent          // connections do not come up
-	Resetting       // it takes connections and ends them with the request on them
+	Resetting       // connections come up and end after a request was written
 )
 
 var states = [...]string{"untried", "good", "refusing", "silent", "resetting"}
@@ -62,205 +64,215 @@
 
 func (d Doubt) String() string { return doubts[d] }
 
-// Doubt is how far an address is trusted with a message that must not run twice, beside its state.
+// Doubt says, in addition to the state, whether an address is trusted with a request that must not run twice. Its
+// values are part of the handover format.
 type Doubt uint8
 
 // The degrees of doubt.
 const (
 	NoDoubt     Doubt = iota
-	MildDoubt         // it had failed: where another is good, a message that may be repeated goes first
-	SevereDoubt       // it has reset a request: none of them goes there before another message was answered over it
+	MildDoubt         // it has failed; if another address is good, a repeatable request tests it first
+	SevereDoubt       // it has reset a request; unused for such requests until another was answered over it
 )
 
-// belief is what is believed of one address.
-type belief struct {
+// addressStatus is what is known of one address.
+type addressStatus struct {
 	Address
-	state    State
-	doubt    Doubt
-	failures int
-	failed   int64 // when it last did
-	reset    int64 // when it last reset a request
-	lost     int   // messages that must not run twice which it has reset
-	rest     int64 // until when it is left alone
-	good     int64 // since when
-	trial    bool  // one is under way to prove it
-	late     int   // connections that are being opened and are over their attempt delay
-	mean     int64 // of the connect times, 0 where none is known
-	spread   int64 // their mean deviation
-	told     told  // what News has said of it
+	state            State
+	doubt            Doubt
+	failures         int
+	lastFailure      int64         // when it last failed
+	lastReset        int64         // when it last reset a request
+	onceResets       int           // requests that must not run twice and that it has reset
+	backoffUntil     int64         // end of its backoff
+	goodSince        int64         // when it became good
+	inTrial          bool          // a test of it is in progress
+	lateConnects     int           // pending connect attempts that have exceeded their attempt delay
+	meanConnect      int64         // mean connect time, 0 if none is known
+	connectDeviation int64         // mean deviation of the connect time
+	reported         reportedState // what Changes has reported
 }
 
-type told struct {
+// reportedState is the part of a status whose changes are reported.
+type reportedState struct {
 	state State
 	doubt Doubt
 }
 
-// Set is what is believed of the addresses of one host. Its caller serializes the calls.
+// Set holds the status of each address of one host. It is not safe for concurrent use.
 type Set struct {
-	limits Limits
-	chance *rand.Rand
-	list   []*belief // in the order of preference
+	limits   Limits
+	random   *rand.Rand
+	statuses []*addressStatus // in the order of preference
 }
 
-// NewSet returns a set without addresses. Chance spreads the rests of many dispatchers.
-func NewSet(l Limits, chance *rand.Rand) *Set { return &Set{limits: l, chance: chance} }
+// NewSet returns a set without addresses. The random source spreads the backoff of many dispatchers.
+func NewSet(l Limits, random *rand.Rand) *Set { return &Set{limits: l, random: random} }
 
-// SetLimits changes the knobs. Rests that have begun stay as they are.
+// SetLimits changes the settings. A backoff in progress stays as it is.
 func (s *Set) SetLimits(l Limits) { s.limits = l }
 
-// Update takes the host's list as it is now. What is known of the addresses that stay is kept.
+// Update replaces the host's address list. Addresses that remain keep their status.
 func (s *Set) Update(list []Address) {
-	old := s.list
-	s.list = nil
+	old := s.statuses
+	s.statuses = nil
 	for _, a := range Interleave(list[:min(len(list), MaxAddresses)]) {
-		b := &belief{Address: a}
-		if i := slices.IndexFunc(old, func(b *belief) bool { return b.Address == a }); i >= 0 {
-			b = old[i]
+		status := &addressStatus{Address: a}
+		if i := slices.IndexFunc(old, func(status *addressStatus) bool { return status.Address == a }); i >= 0 {
+			status = old[i]
 		}
-		s.list = append(s.list, b)
+		s.statuses = append(s.statuses, status)
 	}
 }
 
-// Has tells whether the host has this address now.
+// Has reports whether the host has this address now.
 func (s *Set) Has(a Address) bool { return s.find(a) != nil }
 
-func (s *Set) find(a Address) *belief {
-	for _, b := range s.list {
-		if b.Address == a {
-			return b
+func (s *Set) find(a Address) *addressStatus {
+	for _, status := range s.statuses {
+		if status.Address == a {
+			return status
 		}
 	}
 	return nil
 }
 
-// mostLost is how many messages that must not run twice an address may reset until none of them goes there any more.
-// What proves it good again, a probe or a message that may be repeated, is then known to say nothing of them.
-const mostLost = 3
+// maxOnceResets is how many requests that must not run twice an address may reset before no further one is sent there.
+// By then it has shown that successful tests, by a probe or by a repeatable request, do not protect such requests.
+const maxOnceResets = 3
 
-// bars tells whether the address must not be used for a message, which must not run twice if once is set.
-func (b *belief) bars(once bool) bool { return once && (b.doubt == SevereDoubt || b.lost >= mostLost) }
+// isBarred reports whether the address must not be used for a request. If once is set the request must not run twice.
+func (st *addressStatus) isBarred(once bool) bool {
+	return once && (st.doubt == SevereDoubt || st.onceResets >= maxOnceResets)
+}
 
-// resting is the rank of the addresses that are left alone.
-const resting = 5
+// Ranks of addresses: a lower one is tried sooner.
+const (
+	rankGood    = 0
+	rankUntried = 1
+	rankDoubted = 2
+	rankFailing = 3
+	rankLate    = 4
+	rankBackoff = 5
+)
 
-// rank sorts the addresses for a message: the lower, the sooner. The second result is false for one that must not be
-// used for it.
-func (b *belief) rank(now int64, once bool) (int, bool) {
+// rank returns the rank of the address for a request. The second result is false if it must not be used.
+func (st *addressStatus) rank(now int64, once bool) (int, bool) {
 	switch {
-	case b.bars(once):
+	case st.isBarred(once):
 		return 0, false
-	case b.rest > now:
-		return resting, true
-	case b.late > 0:
-		return 4, true
-	case b.state == Refusing || b.state == Silent:
-		return 3, true
-	case b.doubt != NoDoubt:
-		return 2, true
-	case b.state == Good:
-		return 0, true
+	case st.backoffUntil > now:
+		return rankBackoff, true
+	case st.lateConnects > 0:
+		return rankLate, true
+	case st.state == Refusing || st.state == Silent:
+		return rankFailing, true
+	case st.doubt != NoDoubt:
+		return rankDoubted, true
+	case st.state == Good:
+		return rankGood, true
 	}
-	return 1, true
+	return rankUntried, true
 }
 
-// order returns the addresses for a message in the order in which they are to be tried; those that rest come last, the
-// one whose rest ends first before the others.
-func (s *Set) order(now int64, once bool) (list []*belief) {
-	for _, b := range s.list {
+// ranked returns the addresses for a request in the order in which they are tried. Those in backoff come last, sorted
+// by the end of their backoff.
+func (s *Set) ranked(now int64, once bool) (list []*addressStatus) {
+	for _, b := range s.statuses {
 		if _, ok := b.rank(now, once); ok {
 			list = append(list, b)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *belief) int {
+	slices.SortStableFunc(list, func(a, b *addressStatus) int {
 		ra, _ := a.rank(now, once)
 		rb, _ := b.rank(now, once)
-		if ra == rb && ra == resting {
-			return cmp.Compare(a.rest, b.rest)
+		if ra == rb && ra == rankBackoff {
+			return cmp.Compare(a.backoffUntil, b.backoffUntil)
 		}
 		return ra - rb
 	})
 	return list
 }
 
-// proving is the address that a message which may be repeated is to prove: one that can be connected to but is doubted,
-// and is preferred to all that are good. One message at a time does so, and none where a probe may.
-func (s *Set) proving(now int64) *belief {
-	for _, b := range s.list {
+// messageTrial returns the address that a repeatable request is to test: one that accepts connections but is in doubt,
+// and that is preferred to all good ones. Only one request at a time tests an address, and none does if a probe can.
+func (s *Set) messageTrial(now int64) *addressStatus {
+	for _, status := range s.statuses {
 		switch {
-		case b.rest > now || b.trial || b.late > 0:
-		case b.doubt != NoDoubt:
-			if !s.limits.CanProbe && (b.state == Good || b.state == Resetting) {
-				return b
+		case status.backoffUntil > now || status.inTrial || status.lateConnects > 0:
+		case status.doubt != NoDoubt:
+			if !s.limits.CanProbe && (status.state == Good || status.state == Resetting) {
+				return status
 			}
-		case b.state == Good:
+		case status.state == Good:
 			return nil
 		}
 	}
 	return nil
 }
 
-// TrialKind is how an address is to be proved beside the messages.
+// TrialKind is the way in which an address is tested outside of requests.
 type TrialKind uint8
 
-// The ways to prove an address.
+// The kinds of trials.
 const (
 	NoTrial      TrialKind = iota
-	ConnectTrial           // by a connection that nothing is written to
-	ProbeTrial             // by a probe of the host, whose answer counts as that to a message
+	ConnectTrial           // a connection to which nothing is written
+	ProbeTrial             // a probe of the host, whose answer counts as one to a request
 )
 
-// NextTrial says which address is to be proved now, and how. It is asked whenever there is something to send; Tried must
-// follow. An address is proved when its rest is over and no message would: because one that is less preferred, but
-// good, takes them, or because it has reset a request.
+// NextTrial returns the address that is to be tested now, and how. It is called whenever there is a request to send,
+// and TrialEnded must follow. An address is tested when its backoff is over and no request would test it: because a
+// less preferred but good address gets the requests, or because it has reset a request.
 func (s *Set) NextTrial(now int64) (Address, TrialKind) {
-	for _, b := range s.list {
-		if b.rest > now || b.trial || b.late > 0 {
+	for _, status := range s.statuses {
+		if status.backoffUntil > now || status.inTrial || status.lateConnects > 0 {
 			continue
 		}
-		if b.state == Good && b.doubt == NoDoubt {
+		if status.state == Good && status.doubt == NoDoubt {
 			break
 		}
 		switch {
-		case b.doubt == SevereDoubt && !s.limits.CanProbe: // a connection would prove nothing
+		case status.doubt == SevereDoubt && !s.limits.CanProbe: // a connection would show nothing
 			continue
-		case b.doubt != SevereDoubt && (b.state == Good || !s.anyGood(now)): // the next message will show
+		case status.doubt != SevereDoubt && (status.state == Good || !s.hasGood(now)): // the next message will show
 			continue
 		}
-		b.trial = true
-		b.doubt = max(b.doubt, MildDoubt)
+		status.inTrial = true
+		status.doubt = max(status.doubt, MildDoubt)
 		if s.limits.CanProbe {
-			return b.Address, ProbeTrial
+			return status.Address, ProbeTrial
 		}
-		return b.Address, ConnectTrial
+		return status.Address, ConnectTrial
 	}
 	return Address{}, NoTrial
 }
 
-func (s *Set) anyGood(now int64) bool {
-	return slices.ContainsFunc(s.list, func(b *belief) bool {
-		return b.state == Good && b.doubt == NoDoubt && b.rest <= now && b.late == 0
+func (s *Set) hasGood(now int64) bool {
+	return slices.ContainsFunc(s.statuses, func(status *addressStatus) bool {
+		return status.state == Good && status.doubt == NoDoubt && status.backoffUntil <= now && status.lateConnects == 0
 	})
 }
 
-// TrialEnded ends a trial that began at a time: by a connection that came up after so long, or a probe that was answered,
-// where failure is Fine, and else by what went wrong.
-func (s *Set) TrialEnded(now int64, a Address, how TrialKind, began int64, failure Failure) {
-	b := s.find(a)
-	if b == nil {
+// TrialEnded records the outcome of a trial and when it started. NoFailure means that the connection came up now or
+// that the probe was answered.
+func (s *Set) TrialEnded(now int64, a Address, kind TrialKind, start int64, failure Failure) {
+	status := s.find(a)
+	if status == nil {
 		return
 	}
-	b.trial = false
+	status.inTrial = false
 	switch {
 	case failure != NoFailure:
-		s.failed(b, now, began, failure)
-	case how == ProbeTrial:
-		s.Answered(now, a, began, false)
+		s.recordFailure(status, now, start, failure)
+	case kind == ProbeTrial:
+		s.Answered(now, a, start, false)
 	default:
-		b.opened(now, now-began)
+		status.connected(now, now-start)
 	}
 }
 
-// Failure is what went wrong with an address.
+// Failure is the way in which the use of an address failed.
 type Failure uint8
 
 // The failures.
@@ -268,156 +280,161 @@
 	NoFailure         Failure = iota
 	ConnectionRefused         // the connection was refused
 	ConnectTimeout            // the connection did not come up in time
-	ConnectionReset           // it came up and ended without an answer, with a request on it, in part or whole, or none
-	Unrelated                 // what failed has nothing to do with the address: there was no room, or it is the host's no more
+	ConnectionReset           // it came up and ended without an answer, whether or not a request was written
+	Unrelated                 // not the fault of the address: no local resources, or the host no longer has it
 )
 
-// opened notes a connection that came up.
-func (b *belief) opened(now, took int64) {
-	if b.state != Good {
-		b.good = now
+// connected records that a connection came up, and its connect time.
+func (st *addressStatus) connected(now, connectTime int64) {
+	if st.state != Good {
+		st.goodSince = now
 	}
-	if b.doubt == SevereDoubt {
-		b.state = Resetting // whatever a connection says
+	if st.doubt == SevereDoubt {
+		st.state = Resetting // a connection alone does not clear it
 	} else {
-		b.state, b.rest = Good, min(b.rest, now)
+		st.state, st.backoffUntil = Good, min(st.backoffUntil, now)
 	}
-	took = max(took, 1)
-	if b.mean == 0 {
-		b.mean, b.spread = took, took/2
+	connectTime = max(connectTime, 1)
+	if st.meanConnect == 0 {
+		st.meanConnect, st.connectDeviation = connectTime, connectTime/2
 		return
 	}
-	// The estimate of TCP's round-trip times (RFC 6298, section 2).
-	b.spread += (max(took-b.mean, b.mean-took) - b.spread) / 4
-	b.mean += (took - b.mean) / 8
+	// The moving averages by which TCP estimates round-trip times (RFC 6298, section 2).
+	st.connectDeviation += (max(connectTime-st.meanConnect, st.meanConnect-connectTime) - st.connectDeviation) / 4
+	st.meanConnect += (connectTime - st.meanConnect) / 8
 }
 
-// failed notes a failure of something that began at a time. What had begun before the last failure says nothing new:
-// of many messages that meet the same trouble the first counts.
-func (s *Set) failed(b *belief, now, began int64, why Failure) {
-	if why == Unrelated {
+// recordFailure records the failure of a connection or request, and when that started. If it started before the last
+// failure it adds no information: of many requests that fail for the same cause only the first counts.
+func (s *Set) recordFailure(status *addressStatus, now, start int64, failure Failure) {
+	if failure == Unrelated {
 		return
 	}
-	calm := b.state == Good && now-b.good >= s.limits.CalmPeriod
-	if why == ConnectionReset {
-		b.reset = now
-		b.doubt = SevereDoubt
+	wasStable := status.state == Good && now-status.goodSince >= s.limits.CalmPeriod
+	if failure == ConnectionReset {
+		status.lastReset = now
+		status.doubt = SevereDoubt
 	} else {
-		b.doubt = max(b.doubt, MildDoubt)
+		status.doubt = max(status.doubt, MildDoubt)
 	}
-	if b.failures > 0 && began <= b.failed {
+	if status.failures > 0 && start <= status.lastFailure {
 		return
 	}
-	if calm {
-		b.failures = 0
+	if wasStable {
+		status.failures = 0
 	}
-	b.state = [...]State{ConnectionRefused: Refusing, ConnectTimeout: Silent, ConnectionReset: Resetting}[why]
-	rest := min(s.limits.MinBackoff<<min(b.failures, 20), s.limits.MaxBackoff)
-	b.failures++
-	b.failed = now
-	b.rest = now + rest/2 + s.chance.Int64N(rest/2+1)
+	status.state = [...]State{ConnectionRefused: Refusing, ConnectTimeout: Silent, ConnectionReset: Resetting}[failure]
+	backoff := min(s.limits.MinBackoff<<min(status.failures, 20), s.limits.MaxBackoff)
+	status.failures++
+	status.lastFailure = now
+	status.backoffUntil = now + backoff/2 + s.random.Int64N(backoff/2+1)
 }
 
-// Answered notes that a request which began at a time was answered over the address, whatever the answer was. Only of a
-// message that may run again, or of a probe, it takes a severe doubt away: what must not run twice must not be the
-// proof.
-func (s *Set) Answered(now int64, a Address, began int64, once bool) {
-	b := s.find(a)
-	if b == nil || began <= b.reset && b.doubt == SevereDoubt || once && b.doubt == SevereDoubt {
+// Answered records that a request was answered over the address, whatever the answer, and when the request started.
+// Only the answer to a repeatable request or to a probe clears a severe doubt, because a request that must not run
+// twice must not be the test.
+func (s *Set) Answered(now int64, a Address, start int64, once bool) {
+	status := s.find(a)
+	if status == nil || start <= status.lastReset && status.doubt == SevereDoubt ||
+		once && status.doubt == SevereDoubt {
 		return
 	}
-	if b.state != Good {
-		b.good = now
+	if status.state != Good {
+		status.goodSince = now
 	}
-	b.state, b.doubt, b.rest, b.trial = Good, NoDoubt, 0, false
-	if now-b.good >= s.limits.CalmPeriod {
-		b.failures = 0
+	status.state, status.doubt, status.backoffUntil, status.inTrial = Good, NoDoubt, 0, false
+	if now-status.goodSince >= s.limits.CalmPeriod {
+		status.failures = 0
 	}
 }
 
-// RequestReset notes that a connection ended, without an answer, when a request was on it that began at a time: part of it or
-// all. Once is set if it must not run twice.
-func (s *Set) RequestReset(now int64, a Address, began int64, once bool) {
-	if b := s.find(a); b != nil {
-		b.trial = false
+// RequestReset records that a connection ended without an answer after all or part of a request was written, and when
+// the request started. once is set if the request must not run twice.
+func (s *Set) RequestReset(now int64, a Address, start int64, once bool) {
+	if status := s.find(a); status != nil {
+		status.inTrial = false
 		if once {
-			b.lost++
+			status.onceResets++
 		}
-		s.failed(b, now, began, ConnectionReset)
+		s.recordFailure(status, now, start, ConnectionReset)
 	}
 }
 
-// KeptConnectionClosed notes that a kept connection ended, without an answer, when a request was on it. Hosts close idle ones, so that
-// it says little: another address that is good goes first until this one has answered again.
+// KeptConnectionClosed records that a kept connection ended without an answer after a request was written. That is weak
+// evidence, as hosts close idle connections: other good addresses are preferred until this one has answered again.
 func (s *Set) KeptConnectionClosed(a Address) {
-	if b := s.find(a); b != nil {
-		b.doubt = max(b.doubt, MildDoubt)
+	if status := s.find(a); status != nil {
+		status.doubt = max(status.doubt, MildDoubt)
 	}
 }
 
-// delay is how long to wait for this address before the next is begun beside it: as long as its connections have taken
-// but for outliers, and no longer than leaves all that remain a share of the time.
-func (s *Set) delay(b *belief, left int64, remaining int) int64 {
-	d := s.limits.InitialDelay
-	if b.mean > 0 {
-		d = b.mean + 4*b.spread
+// attemptDelay returns how long to wait for this address before the next connect attempt starts beside it: the usual
+// connect time plus a margin for its deviation, and at most a share of the remaining time that leaves an equal one to
+// each remaining address.
+func (s *Set) attemptDelay(status *addressStatus, remainingTime int64, remainingAddresses int) int64 {
+	delay := s.limits.InitialDelay
+	if status.meanConnect > 0 {
+		delay = status.meanConnect + 4*status.connectDeviation
 	}
-	d = min(max(d, s.limits.MinDelay), s.limits.MaxDelay)
-	return min(d, left/int64(remaining+1))
+	delay = min(max(delay, s.limits.MinDelay), s.limits.MaxDelay)
+	return min(delay, remainingTime/int64(remainingAddresses+1))
 }
 
-// Memory is what another process, or an operator, is told of an address.
+// Memory is the status of an address as handed over to a successor process and logged for operators. Its fields are
+// part of the handover format, which matches them by name.
 type Memory struct {
 	Address  string
 	State    State
 	Doubt    Doubt
 	Failures int
-	Failed   int64 // when it last did, 0 for never
+	Failed   int64 // when it last failed, 0 for never
 	Reset    int64 // when it last reset a request
-	Lost     int   // messages that must not run twice which it has reset
-	Rest     int64 // until when it is left alone
-	Good     int64 // since when, if it is
-	Connect  int64 // mean connect time, 0 where none is known
-	Spread   int64 // its mean deviation
+	Lost     int   // requests that must not run twice and that it has reset
+	Rest     int64 // end of its backoff
+	Good     int64 // since when it has been good, if it is
+	Connect  int64 // mean connect time, 0 if none is known
+	Spread   int64 // mean deviation of the connect time
 }
 
-func (b *belief) memory() Memory {
-	return Memory{b.String(), b.state, b.doubt, b.failures, b.failed, b.reset, b.lost, b.rest, b.good, b.mean, b.spread}
+func (st *addressStatus) memory() Memory {
+	return Memory{st.String(), st.state, st.doubt, st.failures, st.lastFailure, st.lastReset, st.onceResets,
+		st.backoffUntil, st.goodSince, st.meanConnect, st.connectDeviation}
 }
 
-// Changes returns the addresses of which something else is believed than when it was last asked.
-func (s *Set) Changes() (m []Memory) {
-	for _, b := range s.list {
-		if now := (told{b.state, b.doubt}); now != b.told {
-			b.told = now
-			m = append(m, b.memory())
+// Changes returns the addresses whose state or doubt has changed since the last call.
+func (s *Set) Changes() (memories []Memory) {
+	for _, status := range s.statuses {
+		if current := (reportedState{status.state, status.doubt}); current != status.reported {
+			status.reported = current
+			memories = append(memories, status.memory())
 		}
 	}
-	return m
+	return memories
 }
 
-// Memory returns what is believed, in the order of preference.
-func (s *Set) Memory() (m []Memory) {
-	for _, b := range s.list {
-		m = append(m, b.memory())
+// Memory returns the status of all addresses, in the order of preference.
+func (s *Set) Memory() (memories []Memory) {
+	for _, status := range s.statuses {
+		memories = append(memories, status.memory())
 	}
-	return m
+	return memories
 }
 
-// Inherit goes on with another process's memory of the addresses that are there. A rest of that process is bound by the
-// limits here: its clock may have been another.
-func (s *Set) Inherit(now int64, m []Memory) {
-	for _, k := range m {
-		a, err := Parse(k.Address)
-		if err != nil || int(k.State) >= len(states) || k.Doubt > SevereDoubt {
+// Inherit takes over a predecessor's memory of the addresses that the set has. A backoff is bounded by the limits here,
+// because the predecessor's clock may have differed.
+func (s *Set) Inherit(now int64, memories []Memory) {
+	for _, memory := range memories {
+		a, err := Parse(memory.Address)
+		if err != nil || int(memory.State) >= len(states) || memory.Doubt > SevereDoubt {
 			continue
 		}
-		if b := s.find(a); b != nil {
-			b.state, b.doubt, b.failures = k.State, k.Doubt, min(max(k.Failures, 0), 64)
-			b.failed, b.reset, b.good = min(k.Failed, now), min(k.Reset, now), min(k.Good, now)
-			b.lost = min(max(k.Lost, 0), mostLost)
-			b.rest = min(k.Rest, now+s.limits.MaxBackoff)
-			b.mean, b.spread = max(k.Connect, 0), max(k.Spread, 0)
+		if status := s.find(a); status != nil {
+			status.state, status.doubt, status.failures = memory.State, memory.Doubt, min(max(memory.Failures, 0), 64)
+			status.lastFailure, status.lastReset, status.goodSince = min(memory.Failed, now), min(memory.Reset, now),
+				min(memory.Good, now)
+			status.onceResets = min(max(memory.Lost, 0), maxOnceResets)
+			status.backoffUntil = min(memory.Rest, now+s.limits.MaxBackoff)
+			status.meanConnect, status.connectDeviation = max(memory.Connect, 0), max(memory.Spread, 0)
 		}
 	}
 }
