--- a/internal/decide/affinity/affinity.go
+++ b/internal/decide/affinity/affinity.go
@@ -1,8 +1,10 @@
-// Package affinity says which hosts should hold what the jobs of a key need. It does no I/O and reads no clock.
+// Package affinity decides which hosts should hold the programs or data that the jobs of a key need. A host is a worker
+// as the network code knows it. The package does no I/O and reads no clock.
 //
-// A host keeps the programs or data of some keys, and fetches those of others while a job waits for them. Dispatchers
-// that share hosts and see a key now and then cannot learn who holds it, so all go by the same rule: of the hosts that
-// are there each key has those with its highest hashes. When hosts come or go only their own keys move.
+// A host keeps the programs or data of some keys and fetches those of others while a job waits. Dispatchers that share
+// hosts and see a key only now and then cannot learn which hosts hold it, so all use rendezvous hashing: each key
+// belongs to those of the available hosts that have its highest hashes. When a host comes or goes only its own keys
+// move.
 package affinity
 
 import (
@@ -11,35 +13,35 @@
 	"topazfall/internal/decide/mix"
 )
 
-// PreferredHosts appends to out the places of the key's hosts, most hosts at most. name gives a host's own number and whether it
-// may be chosen, for places from 0 to n-1.
-func PreferredHosts(key uint64, n, most int, name func(int) (uint32, bool), out []int) []int {
-	first := len(out)
+// PreferredHosts appends to out the indexes of the key's hosts, the highest hash first, at most maxHosts of them and at
+// most eight. host returns the ID of the host at an index from 0 to n-1, and whether the host may be chosen.
+func PreferredHosts(key uint64, n, maxHosts int, host func(int) (uint32, bool), out []int) []int {
+	start := len(out)
 	var scores [8]uint64
-	most = min(most, len(scores))
+	maxHosts = min(maxHosts, len(scores))
 	for i := range n {
-		id, may := name(i)
-		if !may {
+		id, eligible := host(i)
+		if !eligible {
 			continue
 		}
 		score, at := mix.Bits(key^mix.Bits(uint64(id)+1)), len(out)
-		for at > first && scores[at-first-1] < score {
+		for at > start && scores[at-start-1] < score {
 			at--
 		}
-		if at-first >= most {
+		if at-start >= maxHosts {
 			continue
 		}
-		if len(out)-first < most {
+		if len(out)-start < maxHosts {
 			out = append(out, 0)
 		}
 		copy(out[at+1:], out[at:])
-		copy(scores[at-first+1:most], scores[at-first:])
-		out[at], scores[at-first] = i, score
+		copy(scores[at-start+1:maxHosts], scores[at-start:])
+		out[at], scores[at-start] = i, score
 	}
 	return out
 }
 
-// HashKey is a key as a number, the same at every dispatcher; 0 stands for none.
+// HashKey returns the hash of a key, which is the same at every dispatcher, or 0 for the empty key.
 func HashKey(text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,11 +1,11 @@
 // Package gossip decides what dispatchers tell each other about the workers that they share, which peers they tell, and
-// how long a message counts. It does no I/O and reads no clock; times are microseconds of a clock that all machines
-// have in common.
+// how long a gossip message is valid. It does no I/O and reads no clock; times are in microseconds of a clock that all
+// machines have in common. A host is a worker as the network code knows it.
 //
-// A message says that the sender has sent a job to a worker, that a job has ended there, or that the worker has failed
-// one. The worker list gives the load of each worker as it was some time ago; it cannot tell what the few dispatchers
-// that share a worker have done since then. A message that is lost, duplicated or forged makes a worker look one job
-// more or less loaded until the next list, and no worker is ever used because of a message.
+// A gossip message says that the sender has sent a job to a worker, that a job has ended there, or that the worker has
+// failed one. The worker list gives the load of each worker as it was some time ago; it cannot tell what the few
+// dispatchers that share a worker have done since then. A message that is lost, duplicated or forged makes a worker
+// look one job more or less loaded until the next list, and no worker is ever used because of a message.
 package gossip
 
 import (
@@ -15,108 +15,111 @@
 	"math"
 )
 
-// Op is what has happened.
+// Op is the event that a message reports.
 type Op byte
 
-// The ops. What is not one of them is not understood.
+// The ops. Parse rejects all others.
 const (
-	Sent   Op = 1 + iota // a message went to the host
-	Ended                // it has ended there
-	Failed               // the host has failed one that another might have served
+	Sent   Op = 1 + iota // a job was sent to the host
+	Ended                // a job has ended there
+	Failed               // the host has failed a job that another host might have served
 )
 
-// MessageSize is the length of an encoded word in bytes; up to 16 a datagram has the same price, at each that hears it.
+// MessageSize is the length of an encoded message in bytes. Datagrams of up to 16 bytes cost each receiver the same.
 const MessageSize = 8
 
-// MaxAge is the age in microseconds beyond which a word says nothing of now.
+// MaxAge is the age in microseconds beyond which a message says nothing about the present.
 const MaxAge = 2e6
 
 const (
-	version = 2
-	step    = 16_000   // microseconds: what times are rounded down to
-	ahead   = 3 * step // by which clocks may differ
-	most    = 64       // happenings kept of a host
+	formatVersion = 2
+	timeStep      = 16_000       // microseconds; times are rounded down to multiples of it
+	maxClockSkew  = 3 * timeStep // microseconds by which clocks may differ
+	maxEvents     = 64           // events that are kept for one host
 )
 
-// Message is one thing that a dispatcher tells.
+// Message is one event that a dispatcher reports to a peer.
 type Message struct {
 	Op   Op
-	At   int64  // when it happened
-	Host uint32 // see Name
-	Work int64  // microseconds of it that are expected, where there is a message; 65.5 s at most
+	At   int64  // time of the event
+	Host uint32 // hash of the host ID, see HostHash
+	Work int64  // expected work of the job in microseconds, 65.5 s at most; 0 if there is none
 }
 
-// HostHash stands for a host's id in a word. Two of 200 hosts have the same one in 5 fleets of a million; of 16 bits it
-// would be in 26 of a hundred, and the sound one would be blamed with the other.
+// HostHash returns the hash that stands for a host ID in a message. Two of 200 hosts share a hash in 5 fleets of a
+// million. With 16 bits it would be in 26 of a hundred, and a healthy host would be blamed for the failures of another.
 func HostHash(host string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(host))
 	return h.Sum32()
 }
 
-// Append appends the bytes of a word: version and op, the lower 8 bits of the time in steps, the work in milliseconds,
-// the host.
-func (w Message) Append(b []byte) []byte {
-	b = append(b, version<<4|byte(w.Op), byte(w.At/step))
-	b = binary.BigEndian.AppendUint16(b, uint16(min(max(w.Work, 0)/1000, math.MaxUint16)))
-	return binary.BigEndian.AppendUint32(b, w.Host)
+// Append appends the encoded message: format version and op, the lower 8 bits of the time in steps, the work in
+// milliseconds, the host.
+func (m Message) Append(b []byte) []byte {
+	b = append(b, formatVersion<<4|byte(m.Op), byte(m.At/timeStep))
+	b = binary.BigEndian.AppendUint16(b, uint16(min(max(m.Work, 0)/1000, math.MaxUint16)))
+	return binary.BigEndian.AppendUint32(b, m.Host)
 }
 
-// Parse reads a word that came now. The error names what is wrong with it: its length, version, op or age. An age is
-// known but for whole multiples of 4 s.
+// Parse decodes a message that arrived now. The error names what is invalid: the length, version, op or age. As a
+// message has only the lower bits of its time, its age is ambiguous by multiples of about 4 s.
 func Parse(data []byte, now int64) (Message, error) {
 	if len(data) != MessageSize {
-		return Message{}, fmt.Errorf("word: length is %d, not %d", len(data), MessageSize)
+		return Message{}, fmt.Errorf("gossip message: length is %d, not %d", len(data), MessageSize)
 	}
-	if data[0]>>4 != version {
-		return Message{}, fmt.Errorf("word: version is %d, not %d", data[0]>>4, version)
+	if data[0]>>4 != formatVersion {
+		return Message{}, fmt.Errorf("gossip message: version is %d, not %d", data[0]>>4, formatVersion)
 	}
 	op := Op(data[0] & 15)
 	if op < Sent || op > Failed {
-		return Message{}, fmt.Errorf("word: op %d is unknown", op)
+		return Message{}, fmt.Errorf("gossip message: op %d is unknown", op)
 	}
-	age := int64(int8(byte(now/step)-data[1])) * step
-	if age > MaxAge || age < -ahead {
-		return Message{}, fmt.Errorf("word: age is %d us, not within %d to %d", age, -ahead, int64(MaxAge))
+	age := int64(int8(byte(now/timeStep)-data[1])) * timeStep
+	if age > MaxAge || age < -maxClockSkew {
+		return Message{}, fmt.Errorf("gossip message: age is %d us, not within %d to %d", age, -maxClockSkew,
+			int64(MaxAge))
 	}
 	return Message{Op: op, At: now - max(age, 0), Host: binary.BigEndian.Uint32(data[4:]),
 		Work: int64(binary.BigEndian.Uint16(data[2:])) * 1000}, nil
 }
 
-// SubsetStart is where a dispatcher's share of n ranked hosts begins.
+// SubsetStart returns the place among n ranked hosts at which a dispatcher's subset of hosts begins.
 func SubsetStart(me, dispatchers, n int) int { return (2*me + 1) * n / (2 * dispatchers) }
 
-// ForEachSharer calls tell for each other dispatcher whose share, of so many hosts, holds the one at this place of n.
-func ForEachSharer(place, n, size, me, dispatchers int, tell func(peer int)) {
+// ForEachSharer calls visit for each other dispatcher whose subset, of size hosts, contains the host at a place among
+// n.
+func ForEachSharer(place, n, size, me, dispatchers int, visit func(peer int)) {
 	for d := range dispatchers {
 		if d != me && n > 0 && (place-SubsetStart(d, dispatchers, n)+n)%n < size {
-			tell(d)
+			visit(d)
 		}
 	}
 }
 
-// PeerLoad is what has happened at one host of late by others' doing.
-type PeerLoad struct{ happened []happening }
+// PeerLoad counts the recent changes of one host's load that peers have reported.
+type PeerLoad struct{ events []event }
 
-type happening struct {
-	at int64
-	by int
+// event is a change of the number of jobs at a time.
+type event struct {
+	at   int64
+	jobs int
 }
 
-// Add counts n messages more, or less, at a host from this time on.
-func (t *PeerLoad) Add(at int64, n int) {
-	if len(t.happened) >= most {
-		t.happened = append(t.happened[:0], t.happened[1:]...)
+// Add counts a number of jobs more, or fewer if negative, at the host from a time on.
+func (t *PeerLoad) Add(at int64, jobs int) {
+	if len(t.events) >= maxEvents {
+		t.events = append(t.events[:0], t.events[1:]...)
 	}
-	t.happened = append(t.happened, happening{at, n})
+	t.events = append(t.events, event{at, jobs})
 }
 
-// Since is how many messages more there are than at that time.
-func (t *PeerLoad) Since(at int64) (n int) {
-	for _, h := range t.happened {
-		if h.at > at {
-			n += h.by
+// Since returns by how many jobs the load has grown since a time.
+func (t *PeerLoad) Since(at int64) (jobs int) {
+	for _, e := range t.events {
+		if e.at > at {
+			jobs += e.jobs
 		}
 	}
-	return n
+	return jobs
 }
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -9,7 +9,7 @@
 
 const noon = int64(1_800_000_000_000_000)
 
-func TestWordsComeAsTheyWent(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, op := range []Op{Sent, Ended, Failed} {
 		for _, age := range []int64{0, 1_000, 40_000, 1_900_000} {
 			data := Message{Op: op, At: noon - age, Host: HostHash("s-1"), Work: age + 70_000}.Append(nil)
@@ -19,30 +19,30 @@
 			require.Equal(t, op, got.Op)
 			require.Equal(t, HostHash("s-1"), got.Host)
 			require.Equal(t, age+70_000, got.Work)
-			require.InDelta(t, noon-age, got.At, step)
+			require.InDelta(t, noon-age, got.At, timeStep)
 			require.LessOrEqual(t, got.At, noon)
 		}
 	}
 }
 
-func TestOddWordsAreErrors(t *testing.T) {
+func TestParseRejectsInvalidMessages(t *testing.T) {
 	good := Message{Op: Sent, At: noon, Host: 7}.Append(nil)
 	for name, data := range map[string][]byte{
 		"length is 0":      nil,
 		"length is 3":      good[:3],
 		"length is 9":      append(good[:MessageSize:MessageSize], 0),
 		"version is 1":     {1<<4 | byte(Sent), good[1], 0, 0, 0, 0, 0, 7},
-		"op 0 is unknown":  {version << 4, good[1], 0, 0, 0, 0, 0, 7},
-		"op 15 is unknown": {version<<4 | 15, good[1], 0, 0, 0, 0, 0, 7},
-		"age is 2016000":   Message{Op: Sent, At: noon - MaxAge - step, Host: 7}.Append(nil),
-		"age is -64000":    Message{Op: Sent, At: noon + ahead + step, Host: 7}.Append(nil),
+		"op 0 is unknown":  {formatVersion << 4, good[1], 0, 0, 0, 0, 0, 7},
+		"op 15 is unknown": {formatVersion<<4 | 15, good[1], 0, 0, 0, 0, 0, 7},
+		"age is 2016000":   Message{Op: Sent, At: noon - MaxAge - timeStep, Host: 7}.Append(nil),
+		"age is -64000":    Message{Op: Sent, At: noon + maxClockSkew + timeStep, Host: 7}.Append(nil),
 	} {
 		_, err := Parse(data, noon)
 		require.ErrorContains(t, err, name)
 	}
 }
 
-// Work that no word can hold is the most that it can, and never wraps round to little.
+// Work that exceeds the field of the message is capped and does not overflow.
 func TestWorkIsBounded(t *testing.T) {
 	for work, want := range map[int64]int64{-1: 0, 999: 0, 65_535_999: 65_535_000, 1 << 62: 65_535_000} {
 		got, err := Parse(Message{Op: Sent, At: noon, Work: work}.Append(nil), noon)
@@ -51,8 +51,8 @@
 	}
 }
 
-// A word names one host of the fleet. With 16 bits of the name two of 200 coincide in one fleet of four.
-func TestNamesOfALargeFleetDiffer(t *testing.T) {
+// A hash identifies one host of a fleet. With 16 bits two of 200 hosts would collide in one fleet of four.
+func TestHostHashesOfALargeFleetDiffer(t *testing.T) {
 	for fleet := range 50 {
 		names := map[uint32]bool{}
 		for host := range 200 {
@@ -62,15 +62,15 @@
 	}
 }
 
-// Who is told of a host is who has it in its share, and nobody else pays for it.
-func TestSharers(t *testing.T) {
+// A message about a host goes to all dispatchers that have the host in their subset, and to no others.
+func TestForEachSharer(t *testing.T) {
 	for _, c := range []struct{ dispatchers, hosts, size int }{{1, 5, 5}, {3, 9, 9}, {80, 60, 6}, {80, 78, 7},
 		{5, 200, 120}} {
-		told := 0
+		visited := 0
 		for me := range c.dispatchers {
 			for place := range c.hosts {
 				ForEachSharer(place, c.hosts, c.size, me, c.dispatchers, func(peer int) {
-					told++
+					visited++
 					holds := false
 					for i := range c.size {
 						holds = holds || (SubsetStart(peer, c.dispatchers, c.hosts)+i)%c.hosts == place
@@ -79,30 +79,31 @@
 				})
 			}
 		}
-		require.Equal(t, (c.dispatchers-1)*c.dispatchers*c.size, told)
+		require.Equal(t, (c.dispatchers-1)*c.dispatchers*c.size, visited)
 	}
-	ForEachSharer(-1, 0, 6, 0, 80, func(int) { t.Fatal("of no hosts") })
+	ForEachSharer(-1, 0, 6, 0, 80, func(int) { t.Fatal("visited a dispatcher although there are no hosts") })
 }
 
-func TestTally(t *testing.T) {
+func TestPeerLoad(t *testing.T) {
 	var l PeerLoad
 	l.Add(10, 1)
 	l.Add(20, 1)
 	l.Add(30, -1)
 	require.Equal(t, []int{1, 0, -1, 0}, []int{l.Since(0), l.Since(10), l.Since(20), l.Since(30)})
-	for i := range int64(10_000) { // a flood costs no more than it may
+	for i := range int64(10_000) { // many events use bounded memory
 		l.Add(100+i, 1)
 	}
-	require.Equal(t, most, l.Since(0))
-	require.Less(t, cap(l.happened), 4*most)
+	require.Equal(t, maxEvents, l.Since(0))
+	require.Less(t, cap(l.events), 4*maxEvents)
 }
 
-// FuzzParse: whatever comes is an error, or a word of a known op that is neither old nor of the future.
+// FuzzParse checks that any input is an error, or a message with a known op that is neither too old nor from the
+// future.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{}, noon)
 	f.Add(Message{Op: Failed, At: noon, Host: 1}.Append(nil), noon)
 	f.Add(Message{Op: Ended, At: noon - 3e6, Host: 65535}.Append(nil), noon)
-	f.Add([]byte{version<<4 | 9, 0, 0, 0, 0, 0, 0, 0}, int64(0))
+	f.Add([]byte{formatVersion<<4 | 9, 0, 0, 0, 0, 0, 0, 0}, int64(0))
 	f.Add([]byte("a datagram of somebody else's"), noon)
 	f.Fuzz(func(t *testing.T, data []byte, now int64) {
 		if now < 0 {
--- a/internal/decide/ramp/place.go
+++ b/internal/decide/ramp/place.go
@@ -6,63 +6,64 @@
 	"topazfall/internal/decide/mix"
 )
 
-// Rotation is the order in which dispatchers take turns at the workers that have just started. It follows from their
-// number alone: dispatchers whose lists of workers differ find the same order. The zero value is not valid.
+// Rotation is the circular order in which dispatchers take turns at cold workers, which are workers that have just
+// started. It depends only on the number of dispatchers, so dispatchers whose worker lists differ compute the same
+// order. The zero value is not valid.
 type Rotation struct{ dispatchers, stride, inverse int64 }
 
-// Turn is the time in which a few dispatchers may use a worker: those at so many places of the circle, from the first
-// on. Places are counted round the circle, so that any number is one. Of two turns with the same first place, the one
-// with fewer users has no user that the other has not.
+// Turn is a period in which a few dispatchers may use a worker: those at Users consecutive places of the rotation, from
+// First on. Places wrap around, so any number is a place. Of two turns with the same first place, the users of the
+// smaller are a subset of those of the larger.
 type Turn struct {
 	First, Users int64
 	Start        int64 // in microseconds
 }
 
-// TurnAt is the turn at a time, without its users. Turns follow each other at all workers alike, one a length, and
-// from one to the next the first place moves on by one: else a window that touches two would have the jobs of twice
-// as many users. Each worker has places of its own, by its salt, lest those that start together hang on the same
-// users.
+// TurnAt returns the turn at a time, without its number of users. Turns of the given length follow each other, at the
+// same times at all workers. From one turn to the next the first place moves on by only one; otherwise a window that
+// overlaps two turns would have the jobs of twice as many users. The salt of a worker shifts its places, so that
+// workers that start together do not depend on the same users.
 func TurnAt(now, length, salt int64) Turn {
 	length = max(length, 1)
-	own := int64(mix.Bits(uint64(salt)) >> 2) // so far below the greatest number that time adds nothing that overflows
-	return Turn{First: own + now/length, Start: now / length * length}
+	offset := int64(mix.Bits(uint64(salt)) >> 2) // shifted so that adding the time cannot overflow
+	return Turn{First: offset + now/length, Start: now / length * length}
 }
 
-// NewRotation orders the dispatchers 0 to n-1; n is at least 1. Neighbours by number, who may share a zone and its
-// traffic, are kept apart: from place to place the number moves on by about the golden section of n, which spreads
-// any few places in a row evenly.
+// NewRotation orders the dispatchers 0 to n-1; n is at least 1. Dispatchers with neighbouring numbers may share a zone
+// and its traffic, so they are kept apart: from place to place the number moves on by about the golden section of n,
+// which spreads any few consecutive places evenly.
 func NewRotation(n int) Rotation {
-	c := Rotation{dispatchers: int64(n)}
-	c.stride = int64(math.Round(float64(n) / math.Phi))
-	for !c.coversAll() {
-		c.stride++
+	r := Rotation{dispatchers: int64(n)}
+	r.stride = int64(math.Round(float64(n) / math.Phi))
+	for !r.visitsAll() {
+		r.stride++
 	}
-	return c
+	return r
 }
 
-// coversAll tells whether steps of the stride meet every dispatcher, and then notes the step from one dispatcher to
-// the next, counted in places.
-func (c *Rotation) coversAll() bool {
-	c.inverse = 0
-	for at := c.stride % c.dispatchers; at != 1%c.dispatchers; at = (at + c.stride) % c.dispatchers {
-		if c.inverse++; c.inverse >= c.dispatchers {
+// visitsAll reports whether steps of the stride visit every dispatcher. If so, it stores the inverse of the stride: the
+// number of places from one dispatcher to the next by number.
+func (r *Rotation) visitsAll() bool {
+	r.inverse = 0
+	for at := r.stride % r.dispatchers; at != 1%r.dispatchers; at = (at + r.stride) % r.dispatchers {
+		if r.inverse++; r.inverse >= r.dispatchers {
 			return false
 		}
 	}
-	c.inverse++
+	r.inverse++
 	return true
 }
 
-// Has tells whether a dispatcher is one of a turn's users.
-func (c Rotation) Has(t Turn, dispatcher int) bool {
-	place := (int64(dispatcher)*c.inverse - t.First%c.dispatchers) % c.dispatchers
-	return (place+c.dispatchers)%c.dispatchers < t.Users
+// Has reports whether a dispatcher is one of the users of a turn.
+func (r Rotation) Has(t Turn, dispatcher int) bool {
+	place := (int64(dispatcher)*r.inverse - t.First%r.dispatchers) % r.dispatchers
+	return (place+r.dispatchers)%r.dispatchers < t.Users
 }
 
-// Each visits the users of a turn, each once.
-func (c Rotation) Each(t Turn, visit func(dispatcher int)) {
-	first := (t.First%c.dispatchers + c.dispatchers) % c.dispatchers
-	for i := range min(t.Users, c.dispatchers) {
-		visit(int((first + i) * c.stride % c.dispatchers))
+// Each calls visit once for each user of a turn.
+func (r Rotation) Each(t Turn, visit func(dispatcher int)) {
+	first := (t.First%r.dispatchers + r.dispatchers) % r.dispatchers
+	for i := range min(t.Users, r.dispatchers) {
+		visit(int((first + i) * r.stride % r.dispatchers))
 	}
 }
--- a/internal/decide/ramp/place_test.go
+++ b/internal/decide/ramp/place_test.go
@@ -8,38 +8,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holders lists who has a turn.
-func holders(c Rotation, t Turn, n int) (have []int) {
+// usersOf returns the dispatchers that are users of a turn.
+func usersOf(r Rotation, t Turn, n int) (users []int) {
 	for me := range n {
-		if c.Has(t, me) {
-			have = append(have, me)
+		if r.Has(t, me) {
+			users = append(users, me)
 		}
 	}
-	return have
+	return users
 }
 
-// Just as many have a turn as may, in every turn and at every worker, and Each visits these, once each.
-func TestJustAsManyWhereAllShare(t *testing.T) {
+// Every turn has exactly its number of users, and Each visits each of them once.
+func TestTurnHasExactlyItsUsers(t *testing.T) {
 	for n := 1; n < 80; n++ {
-		circle := NewRotation(n)
+		rotation := NewRotation(n)
 		for _, first := range []int64{-3, 0, 1, 4_000_000_007, 1_700_000_000_007} {
-			for users := 1; users <= n+2; users += 1 + n/5 {
-				turn := Turn{First: first, Users: int64(users)}
-				have := holders(circle, turn, n)
-				require.Len(t, have, min(users, n), "%d of %d", users, n)
+			for size := 1; size <= n+2; size += 1 + n/5 {
+				turn := Turn{First: first, Users: int64(size)}
+				users := usersOf(rotation, turn, n)
+				require.Len(t, users, min(size, n), "%d of %d", size, n)
 				var visited []int
-				circle.Each(turn, func(d int) { visited = append(visited, d) })
+				rotation.Each(turn, func(d int) { visited = append(visited, d) })
 				slices.Sort(visited)
-				require.Equal(t, have, visited, "%d of %d", users, n)
+				require.Equal(t, users, visited, "%d of %d", size, n)
 			}
 		}
 	}
 }
 
-// Of those in a row by number no more have a turn than their part of all, but for two; on the mean it is their part.
+// Of dispatchers with consecutive numbers, on average their proportion of all users have a turn, and at most two
+// more.
 func TestNeighboursAreSpread(t *testing.T) {
 	for _, n := range []int{25, 30, 80, 200, 300} {
-		circle := NewRotation(n)
+		rotation := NewRotation(n)
 		for _, row := range []int{5, 6, 10, 22, 44} {
 			for _, users := range []int{1, 2, 3, 5, 9, 22} {
 				if row > n || users > n {
@@ -47,11 +48,11 @@
 				}
 				part := float64(row*users) / float64(n)
 				sum, rows := 0.0, 0.0
-				for _, first := range []int64{0, 7} { // by another first place all numbers move on alike
-					have := holders(circle, Turn{First: first, Users: int64(users)}, n)
+				for _, first := range []int64{0, 7} { // another first place shifts all numbers equally
+					turnUsers := usersOf(rotation, Turn{First: first, Users: int64(users)}, n)
 					for from := range n {
 						in := 0.0
-						for _, me := range have {
+						for _, me := range turnUsers {
 							if (me-from+n)%n < row {
 								in++
 							}
@@ -66,31 +67,31 @@
 	}
 }
 
-// Those who don't agree on how many may use a worker have no more turns together than those who take it for most.
-func TestTurnsOutliveChangesOfTheList(t *testing.T) {
+// Dispatchers that disagree on the number of users of a worker have no more users in total than the largest number.
+func TestFewerUsersAreASubset(t *testing.T) {
 	const n = 300
-	circle := NewRotation(n)
+	rotation := NewRotation(n)
 	for first := range int64(n) {
-		most := holders(circle, Turn{First: first, Users: 20}, n)
+		largest := usersOf(rotation, Turn{First: first, Users: 20}, n)
 		for users := int64(1); users <= 20; users++ {
-			for _, me := range holders(circle, Turn{First: first, Users: users}, n) {
-				require.Contains(t, most, me)
+			for _, me := range usersOf(rotation, Turn{First: first, Users: users}, n) {
+				require.Contains(t, largest, me)
 			}
 		}
 	}
 }
 
-// All but one of those who have a turn keep it in the next, whose first place is one further, and in time everybody
-// has one.
+// From one turn to the next, whose first place is one further, all users but one remain. Over time every dispatcher has
+// a turn.
 func TestTurnsMoveSlowly(t *testing.T) {
 	const n, users = 300, 10
-	circle := NewRotation(n)
+	rotation := NewRotation(n)
 	had := map[int]bool{}
 	for first := range int64(n) {
 		kept := 0
-		for _, me := range holders(circle, Turn{First: first, Users: users}, n) {
+		for _, me := range usersOf(rotation, Turn{First: first, Users: users}, n) {
 			had[me] = true
-			if circle.Has(Turn{First: first + 1, Users: users}, me) {
+			if rotation.Has(Turn{First: first + 1, Users: users}, me) {
 				kept++
 			}
 		}
@@ -99,15 +100,15 @@
 	require.Len(t, had, n)
 }
 
-// Workers whose names are nearly alike, and that start together, have users of their own.
-func TestWorkersThatStartTogetherHaveUsersOfTheirOwn(t *testing.T) {
+// Workers that start together and have similar names have different users.
+func TestWorkersStartedTogetherHaveDifferentUsers(t *testing.T) {
 	const n, users, workers = 300, 6, 300
-	circle := NewRotation(n)
+	rotation := NewRotation(n)
 	turns := make([]int, n)
 	for salt := range int64(workers) {
 		turn := TurnAt(1_700_000_000_000_000, 3_000_000, salt)
 		turn.Users = users
-		circle.Each(turn, func(d int) { turns[d]++ })
+		rotation.Each(turn, func(d int) { turns[d]++ })
 	}
 	for d, held := range turns {
 		require.Less(t, held, 5*users, d)
--- a/internal/decide/ramp/ramp.go
+++ b/internal/decide/ramp/ramp.go
@@ -1,32 +1,33 @@
-// Package ramp counts the work that was sent to a worker within a sliding window, for the bound on what a cold
-// worker may get. It does no I/O and reads no clock; times and work are microseconds.
+// Package ramp counts the work that was sent to a worker within a sliding window, which bounds what a cold worker may
+// get during its slow start, and decides which dispatchers may use a cold worker at a time. It does no I/O and reads no
+// clock; times and work are in microseconds.
 //
-// A count that begins anew at fixed times lets twice its bound through around each of them. Here every window
-// of the length is bounded, wherever it begins.
+// A count that restarts at fixed times lets through twice its bound around each of them. Here every window of the given
+// length is bounded, wherever it begins.
 package ramp
 
-// parts is how many a window is cut into. What is sent in one part counts as sent with the last of it: a log takes
-// a bounded place, however many words others send, and its sum is never too small, nor that of more than one part
-// more than the window.
-const parts = 32
+// windowParts is the number of parts of a window. Work that is sent within one part counts as sent with the last of it.
+// The memory of a log is therefore bounded, however many gossip messages arrive. Its sum is never too small, and it
+// covers at most one part more than the window.
+const windowParts = 32
 
-// Sent is work that was sent to a worker.
+// Sent is work that was sent to a worker. Its fields are part of the handover format, which matches them by name.
 type Sent struct {
-	At   int64
+	At   int64 // when it was sent
 	Work float64
-	Own  bool // by this dispatcher
+	Own  bool // sent by this dispatcher
 }
 
-// Log holds what was sent to one worker of late, the oldest first. Its zero value is empty.
+// Log holds the work that was recently sent to one worker, oldest first. Its zero value is empty.
 type Log []Sent
 
-// Add counts what was sent at a time, and forgets what is older than the window. A time before the last one counts
-// as the last one: clocks don't run backwards here.
+// Add adds work that was sent and drops what is older than the window. A time before the last one counts as the last
+// one, so that a clock that goes back has no effect.
 func (l *Log) Add(s Sent, window int64) {
 	if n := len(*l); n > 0 {
 		s.At = max(s.At, (*l)[n-1].At)
 	}
-	part := max(window/parts, 1)
+	part := max(window/windowParts, 1)
 	kept := (*l)[:0]
 	for _, old := range *l {
 		switch {
@@ -40,7 +41,7 @@
 	*l = append(kept, s)
 }
 
-// Since sums up the work that was sent later than a time: by all, and by this dispatcher.
+// Since returns the work that was sent after a time, by all dispatchers and by this one.
 func (l Log) Since(at int64) (all, own float64) {
 	for _, s := range l {
 		if s.At > at {
--- a/internal/decide/ramp/ramp_test.go
+++ b/internal/decide/ramp/ramp_test.go
@@ -7,9 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whatever was sent within the window is in the sum, and nothing that is older than it by more than a part.
+// The sum contains all work that was sent within the window, and no work that is older by more than one part.
 func TestWindow(t *testing.T) {
-	for name, gap := range map[string]int64{"a few in a window": 5000, "hundreds in a window": 300, "a flood": 3} {
+	for name, gap := range map[string]int64{
+		"a few in a window": 5000, "hundreds in a window": 300, "thousands in a window": 3,
+	} {
 		random := rand.New(rand.NewPCG(1, 2))
 		const window = 32_000
 		var log Log
@@ -32,17 +34,17 @@
 			log.Add(s, window)
 			sends = append(sends, s)
 			all, own := log.Since(now - window)
-			leastAll, leastOwn := sum(now - window)
-			mostAll, mostOwn := sum(now - window - window/parts)
-			require.True(t, all >= leastAll && all <= mostAll, "%s: %v, not %v to %v", name, all, leastAll, mostAll)
-			require.True(t, own >= leastOwn && own <= mostOwn, "%s: %v, not %v to %v", name, own, leastOwn, mostOwn)
-			require.LessOrEqual(t, len(log), 2*(parts+1), name)
+			minAll, minOwn := sum(now - window)
+			maxAll, maxOwn := sum(now - window - window/windowParts)
+			require.True(t, all >= minAll && all <= maxAll, "%s: %v, not %v to %v", name, all, minAll, maxAll)
+			require.True(t, own >= minOwn && own <= maxOwn, "%s: %v, not %v to %v", name, own, minOwn, maxOwn)
+			require.LessOrEqual(t, len(log), 2*(windowParts+1), name)
 		}
 	}
 }
 
-// A time that goes back neither shortens the window nor loses what is in it.
-func TestTimeThatGoesBack(t *testing.T) {
+// A clock that goes back neither shortens the window nor loses work in it.
+func TestClockGoesBack(t *testing.T) {
 	var log Log
 	log.Add(Sent{At: 5000, Work: 2, Own: true}, 1000)
 	log.Add(Sent{At: 10, Work: 3}, 1000)
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A tenant at its share or under it is hardly ever over it, by chance alone; one at five times its share is for what is
-// beyond it, and no tenant suffers by another. So it is at a dispatcher that sees the mean, and at one that sees
-// several times as much. One of hundreds, that sees a message now and then, judges nobody.
+// A tenant that keeps to its share is rarely beyond it, by random variation alone. A tenant at five times its share is
+// beyond it for the excess, and no tenant affects another. The same holds at a dispatcher that sees the mean traffic
+// and at one that sees several times as much. One of hundreds that sees few messages takes all of them to be within
+// their shares.
 func TestShares(t *testing.T) {
 	for name, c := range map[string]struct{ part, seen float64 }{
 		"one of two": {0.5, 0.5}, "twice the mean": {0.25, 0.5}, "one of 300": {1. / 300, 4. / 300},
@@ -22,7 +23,7 @@
 		for end := now + seconds*1e6; now < end; now += random.ExpFloat64() * 1e6 / (c.seen * (20*0.9 + 20*5 + 1)) {
 			tenant := 0
 			if x := random.Float64() * (20*0.9 + 20*5 + 1); x >= 20*0.9+20*5 {
-				tenant = 2 // without a bound
+				tenant = 2 // without a limit
 			} else if x >= 20*0.9 {
 				tenant = 1
 			}
@@ -37,13 +38,13 @@
 			require.Equal(t, all[1], within[1], name)
 			continue
 		}
-		// Of the flooding one, its own share, at most as much more as all traffic is over all shares.
+		// The tenant beyond its share gets its share, and more in proportion as traffic exceeds all shares.
 		require.InDelta(t, 0.2, within[1]/all[1], 0.02+0.2*(s.rate/40/c.part-1), name)
 	}
 }
 
-func TestOddTenants(t *testing.T) {
-	s := Shares{Quotas: []float64{1, math.Inf(-1), 0}, Fraction: 1, seen: proof}
+func TestUnknownAndUnboundedTenants(t *testing.T) {
+	s := Shares{Quotas: []float64{1, math.Inf(-1), 0}, Fraction: 1, seen: minSeenPerDispatcher}
 	for _, tenant := range []int{-1, 3, 1, 2} {
 		for range 100 {
 			require.True(t, s.IsWithin(5, tenant))
@@ -54,7 +55,7 @@
 			ok = s.IsWithin(5, 0)
 		}
 		return ok
-	}(), "a hundred at one moment")
-	require.True(t, s.IsWithin(100e6, 0), "saved up again")
-	require.True(t, s.IsWithin(1, 0), "a clock that goes back")
+	}(), "a hundred messages at the same moment")
+	require.True(t, s.IsWithin(100e6, 0), "the bucket is full again")
+	require.True(t, s.IsWithin(1, 0), "the clock goes back")
 }
