--- a/internal/decide/ownership/ownership.go
+++ b/internal/decide/ownership/ownership.go
@@ -1,17 +1,17 @@
-// Package ownership decides which dispatcher may do what with a message whose dispatcher may die. It does no I/O and
-// reads no clock.
+// Package ownership decides which dispatcher may do what with a message, which is a client's request, when dispatchers
+// may fail. It does no I/O and reads no clock.
 //
-// Each message has three keepers among the instances of an installation (see Keepers). A keeper holds a register for
-// the message: its progress as reported by the owner. An owner changes the register by a Write that two of the three
-// keepers acknowledge; it must have done so before the first byte of a relay that must not run twice leaves, and before
-// the first byte of a final answer. Another instance takes over by a Claim with a higher epoch: two keepers promise to
-// accept nothing of a lower epoch any more, and return what they hold. The latest of these is how far the message had
-// got. As any two quorums of two out of three have a keeper in common, the new owner sees whatever the old one was
-// permitted, and the old one is permitted nothing more, wherever it was stopped.
+// Each message has three replicas among the instances of an installation (see ReplicasOf). A replica holds a register
+// for the message: its progress as reported by the owner. An owner changes the register by a Write that two of the
+// three replicas acknowledge. It must have done so before the first byte of a relay that must not run twice leaves, and
+// before the first byte of a final answer. Another instance takes over by a Claim with a higher epoch: two replicas
+// promise to accept nothing of a lower epoch any more, and return what they hold. The latest of these records is how
+// far the message had got. As any two quorums of two out of three have a replica in common, the new owner sees every
+// step that the old one was permitted, and the old one is permitted nothing more, wherever it was stopped.
 //
-// A keeper that restarts has forgotten what it acknowledged. It is a new incarnation, and does not vote until both
-// other keepers have told it what they hold. From then on they report it as a new incarnation, so that an
-// acknowledgement of its previous life is not counted beside a later one of theirs.
+// A replica that restarts has lost what it acknowledged. It is a new incarnation, and does not vote until both other
+// replicas have sent it what they hold. From then on they report the new incarnation, so that an acknowledgement of the
+// previous one is not counted together with a later one of theirs.
 package ownership
 
 import (
@@ -23,54 +23,55 @@
 // Node names an instance of the installation.
 type Node string
 
-// Of is how many keepers a message has; Enough of them are asked for each step.
+// NumReplicas is how many replicas a message has; Quorum of them must agree to each step.
 const (
 	NumReplicas = 3
 	Quorum      = 2
 )
 
-// ReplicasOf finds the keepers of a message in the roster, by rendezvous hashing: whoever asks finds the same, and a
-// change of the roster by one instance moves the messages of that one only. A roster of fewer than three keeps nothing.
-func ReplicasOf(roster []Node, id string) (keepers [NumReplicas]Node, ok bool) {
+// ReplicasOf returns the replicas of a message by rendezvous hashing over the roster of instances. All instances
+// compute the same result, and a change of the roster by one instance moves only the messages of that instance. ok is
+// false for a roster of fewer than three.
+func ReplicasOf(roster []Node, id string) (replicas [NumReplicas]Node, ok bool) {
 	if len(roster) < NumReplicas {
-		return keepers, false
+		return replicas, false
 	}
 	weight := func(n Node) uint64 {
-		h := fnv.New64a()
-		h.Write([]byte(n))
-		h.Write([]byte{0})
-		h.Write([]byte(id))
-		return mix(h.Sum64())
+		hash := fnv.New64a()
+		hash.Write([]byte(n))
+		hash.Write([]byte{0})
+		hash.Write([]byte(id))
+		return mix(hash.Sum64())
 	}
 	ranked := slices.Clone(roster)
 	slices.SortFunc(ranked, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a, b))
 	})
-	copy(keepers[:], ranked)
-	return keepers, true
+	copy(replicas[:], ranked)
+	return replicas, true
 }
 
-// mix spreads the bits of a hash whose last bytes were alike (the finalizer of MurmurHash3).
+// mix mixes the bits of a hash whose last input bytes were similar (the finalizer of MurmurHash3).
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// Epoch orders those who own a message one after the other. Who takes a message that it holds to be new does so in
-// epoch 1, unasked; whoever claims it later has a higher one.
+// Epoch orders the successive owners of a message. An owner that takes a message as new does so in epoch 1, without
+// asking for a promise; an owner that claims it later uses a higher epoch.
 type Epoch struct {
 	Number uint32
 	Node   Node
 }
 
-// Compare orders epochs by number, and those of one number by who made them. Two that take a message at one time are
-// equal: no promise was asked for, and at most one of them gets two keepers.
-func (e Epoch) Compare(o Epoch) int {
-	if e.Number == 1 && o.Number == 1 {
+// Compare orders epochs by number, and epochs of the same number by node. Epochs of number 1 are equal: there was no
+// promise, and of several owners that take a message at the same time at most one gets a quorum.
+func (e Epoch) Compare(other Epoch) int {
+	if e.Number == 1 && other.Number == 1 {
 		return 0
 	}
-	return cmp.Or(cmp.Compare(e.Number, o.Number), cmp.Compare(e.Node, o.Node))
+	return cmp.Or(cmp.Compare(e.Number, other.Number), cmp.Compare(e.Node, other.Node))
 }
 
 // Version orders the writes to a register.
@@ -79,10 +80,12 @@
 	Seq   uint32
 }
 
-// Compare orders versions by epoch, and those of one epoch by their sequence. Of several that take a message at one
-// time only the one that got it goes on to a second write: by who it is alone, another's first write would hide that.
-func (v Version) Compare(o Version) int {
-	return cmp.Or(v.Epoch.Compare(o.Epoch), cmp.Compare(v.Seq, o.Seq), cmp.Compare(v.Epoch.Node, o.Epoch.Node))
+// Compare orders versions by epoch, then by sequence number, then by node. Of several owners that take a message at the
+// same time only the one with a quorum makes a second write. If versions were ordered by node before sequence, another
+// owner's first write could hide the second one.
+func (v Version) Compare(other Version) int {
+	return cmp.Or(v.Epoch.Compare(other.Epoch), cmp.Compare(v.Seq, other.Seq),
+		cmp.Compare(v.Epoch.Node, other.Epoch.Node))
 }
 
 // Phase is how far a message has got.
@@ -91,58 +94,58 @@
 // The phases, in their order.
 const (
 	Unknown  Phase = iota
-	Taken          // an owner has it, and nothing was sent
-	Sending        // an attempt may be on its way: it may have run
-	Answered       // its final answer is settled
+	Taken          // an owner has the message; no attempt was made
+	Sending        // an attempt may be in progress, so the message may have run
+	Answered       // the final answer is decided
 )
 
-// Record is what a register says of a message.
+// Record is the progress of a message as stored in a register.
 type Record struct {
 	Phase   Phase
-	Attempt uint32 // the latest that may be on its way
-	Host    string // where that goes
-	Verdict uint8  // of Answered: what the caller makes of it
+	Attempt uint32 // number of the latest attempt that may be in progress
+	Host    string // worker of that attempt
+	Verdict uint8  // set if Phase is Answered; its values are defined by the caller
 }
 
-// Kind names a message between an owner and a keeper, or between keepers.
+// Kind is the kind of a protocol message between an owner and a replica, or between replicas.
 type Kind uint8
 
-// The kinds, with the fields of Msg that each one uses beside ID, From, To and Life.
+// The kinds, with the fields of Msg that each one uses besides ID, From, To and Incarnation.
 const (
-	Write    Kind = iota + 1 // Version, Record; Fresh if the owner takes a message that it holds to be new
+	Write    Kind = iota + 1 // Version, Record; IsNew if the owner takes the message as new
 	Claim                    // Version.Epoch
-	Acked                    // Version, Others: a Write is taken
-	Promised                 // Version.Epoch, Others, Held, Record: to a Claim
-	Refused                  // Version, Promise: a higher epoch is promised, or the message is not new
-	Pull                     // a keeper that has started again asks another what it holds
-	Pulled                   // Held, Record, Promise, Sure; for each message, and one with no ID that ends them
+	Acked                    // Version, Others: a Write was accepted
+	Promised                 // Version.Epoch, Others, HeldVersion, Record: answer to a Claim
+	Refused                  // Version, Promise: a higher epoch was promised, or the message is not new
+	Pull                     // a replica that has restarted asks another what it holds
+	Pulled                   // HeldVersion, Record, Promise for each message; then one without ID, with CanVote
 )
 
-// Msg is one message. It may be lost, doubled and overtaken.
+// Msg is one protocol message. It may be lost, duplicated and reordered.
 type Msg struct {
 	Kind        Kind
 	ID          string
 	From, To    Node
-	Incarnation uint64 // incarnation of the keeper that sends it; of Pulled, of the one that asked
+	Incarnation uint64 // of the replica that sends it; in a Pulled, of the one that sent the Pull
 	Version     Version
 	Record      Record
-	HeldVersion Version // what the keeper holds; zero for nothing
+	HeldVersion Version // version of the record that the replica holds; zero for none
 	Promise     Epoch
-	Others      [NumReplicas - 1]Incarnation // the other keepers of the message, as this one knows them
-	IsNew       bool
-	CanVote     bool // the keeper that tells votes itself
+	Others      [NumReplicas - 1]Incarnation // other replicas of the message, as the sender knows them
+	IsNew       bool                         // the owner takes the message as new
+	CanVote     bool                         // the sender of a Pulled votes itself
 }
 
-// Incarnation is an incarnation of a keeper: higher with each start.
+// Incarnation identifies one run of a replica; its number rises with each start.
 type Incarnation struct {
 	Node   Node
 	Number uint64
 }
 
-// rules are sound as they are; tests break them to see that it is found.
-type rules struct {
-	anyEpoch  bool // a keeper takes a write of an epoch that is over
-	one       bool // one keeper is enough
-	forgetful bool // a keeper that has forgotten votes at once
-	oldLives  bool // what a keeper has acknowledged before it started again counts
+// faults disable parts of the protocol. All are false except in tests, which check that each fault is detected.
+type faults struct {
+	acceptOldEpochs       bool // a replica accepts a write of a superseded epoch
+	singleReplica         bool // one replica is a quorum
+	voteIncomplete        bool // a replica votes before it has what the others hold
+	acceptOldIncarnations bool // acknowledgements from before a restart of a replica count
 }
--- a/internal/decide/ownership/ownership_test.go
+++ b/internal/decide/ownership/ownership_test.go
@@ -24,118 +24,121 @@
 	failed
 )
 
-// mistakes are planted; each must be found.
-type mistakes struct {
-	rules
-	early    bool // an owner acts when it has asked, not when it is settled
-	liveness bool // a claimant takes for roster who it believes alive
-	mute     bool // no mistake: nobody answers a client, so that more of the rest is walked
+// testFaults are injected faults; each must be detected.
+type testFaults struct {
+	faults
+	actEarly         bool // an owner acts when it has asked for a step, before it is permitted
+	rosterByLiveness bool // a claimant uses the instances that it takes to be alive as the roster
+	noAnswers        bool // no fault: no owner answers the client, so that the walk covers more of the rest
 }
 
-// bounds of a walk: how often keepers start again, holders take and claim, and messages come twice.
-type bounds struct{ crashes, takes, claims, doubles int }
-
-// world is one message of a class that must not run twice, three keepers, two that would own it, and the network
-// between them: whatever was sent may come at any time, or never, and so many a second time. An owner may be stopped
-// between any two of its steps, and a keeper may start again with nothing.
-type world struct {
-	m        mistakes
-	left     bounds
-	keepers  []*Replica
-	holders  [2]*Owner
-	net      []parcel // sorted by key
-	sends    [2]int   // attempts that the holder may still write
-	answers  [2]int   // verdict that the holder may still write
-	has      [2]bool  // it has the host's result
-	runs     int
-	verdicts uint // the final answers that were written, as bits
+// walkLimits bound a walk: how often replicas restart, owners take and claim, and messages are duplicated.
+type walkLimits struct{ restarts, takes, claims, duplicates int }
+
+// state is the state of a model: one message that must not run twice, its three replicas, two owners that compete for
+// it, and the network between them. Whatever was sent may arrive at any time or never, and some of it twice. An owner
+// may stop between any two of its steps, and a replica may restart without its registers.
+type state struct {
+	injected  testFaults
+	remaining walkLimits
+	replicas  []*Replica
+	owners    [2]*Owner
+	network   []linkMessages // sorted by key
+	sends     [2]int         // attempts that the owner may still write
+	answers   [2]int         // verdict that the owner may still write
+	hasResult [2]bool        // the owner has the worker's result
+	runCount  int
+	verdicts  uint // final answers that were written, as bits
 }
 
-// parcel is what one link carries in its order.
-type parcel struct {
+// linkMessages are messages that one link carries in order.
+type linkMessages struct {
 	key  string
 	msgs []Msg
 }
 
-func newWorld(m mistakes, b bounds) *world {
-	w := &world{m: m, left: b}
+func newState(injected testFaults, limits walkLimits) *state {
+	s := &state{injected: injected, remaining: limits}
 	roster := []Node{"a", "b", "c"}
 	all, _ := ReplicasOf(roster, id)
 	for i, n := range roster {
-		w.keepers = append(w.keepers, NewReplica(n, 1, roster, true))
-		w.keepers[i].rules = m.rules
+		s.replicas = append(s.replicas, NewReplica(n, 1, roster, true))
+		s.replicas[i].faults = injected.faults
 	}
 	for i, n := range []Node{"x", "y"} {
-		w.holders[i] = NewOwner(n, id, all)
-		w.holders[i].rules = m.rules
+		s.owners[i] = NewOwner(n, id, all)
+		s.owners[i].faults = injected.faults
 	}
-	if m.liveness { // y holds a for dead, and d for the keeper in its place
+	if injected.rosterByLiveness { // y takes a to be dead, and d to be the replica in its place
 		roster := []Node{"b", "c", "d"}
-		w.keepers = append(w.keepers, NewReplica("d", 1, roster, true))
-		w.holders[1].keepers, _ = ReplicasOf(roster, id)
+		s.replicas = append(s.replicas, NewReplica("d", 1, roster, true))
+		s.owners[1].replicas, _ = ReplicasOf(roster, id)
 	}
-	return w
+	return s
 }
 
-func (w *world) clone() *world {
-	c := *w
-	c.keepers = slices.Clone(w.keepers)
-	c.net = slices.Clone(w.net)
-	for i, h := range w.holders {
-		n := *h
-		n.votes = slices.Clone(h.votes)
-		c.holders[i] = &n
+// clone copies the state; the replicas are shared until they change.
+func (s *state) clone() *state {
+	c := *s
+	c.replicas = slices.Clone(s.replicas)
+	c.network = slices.Clone(s.network)
+	for i, owner := range s.owners {
+		n := *owner
+		n.votes = slices.Clone(owner.votes)
+		c.owners[i] = &n
 	}
 	return &c
 }
 
-// keeper gives the clone a keeper of its own to change.
-func (w *world) keeper(i int) *Replica {
-	k := *w.keepers[i]
-	k.lives, k.told, k.regs = maps.Clone(k.lives), maps.Clone(k.told), maps.Clone(k.regs)
-	w.keepers[i] = &k
-	return &k
+// replica returns a copy of a replica that the clone may change.
+func (s *state) replica(i int) *Replica {
+	replica := *s.replicas[i]
+	replica.incarnations, replica.synced, replica.registers = maps.Clone(replica.incarnations),
+		maps.Clone(replica.synced), maps.Clone(replica.registers)
+	s.replicas[i] = &replica
+	return &replica
 }
 
-// names are how the nodes are called in a key: what differs by the names of the keepers alone is one state.
-type names [256]byte
+// nodeNames maps node names to names in a key: states that differ only by the names of the replicas have the same key.
+type nodeNames [256]byte
 
-func (as *names) of(n Node) byte {
+func (names *nodeNames) of(n Node) byte {
 	if n == "" {
 		return 0
 	}
-	return as[n[0]]
+	return names[n[0]]
 }
 
-// called are all ways to name the keepers.
-func called(keepers string) (all []*names) {
+// permutations returns all ways to name the replicas.
+func permutations(replicas string) (all []*nodeNames) {
 	for _, to := range []string{"abc", "acb", "bac", "bca", "cab", "cba"} {
-		as := &names{}
-		for i := range as {
-			as[i] = byte(i)
+		names := &nodeNames{}
+		for i := range names {
+			names[i] = byte(i)
 		}
 		for i := range to {
-			as[keepers[i]] = to[i]
+			names[replicas[i]] = to[i]
 		}
-		all = append(all, as)
+		all = append(all, names)
 	}
 	return all
 }
 
-var ways = called("abc")
+var replicaPermutations = permutations("abc")
 
-func (m Msg) append(b []byte, as *names) []byte {
-	b = append(b, byte(m.Kind), as.of(m.From), as.of(m.To), byte(m.Incarnation), byte(m.Promise.Number), as.of(m.Promise.Node))
-	b = m.Record.append(m.HeldVersion.append(m.Version.append(b, as), as))
+func (m Msg) append(b []byte, names *nodeNames) []byte {
+	b = append(b, byte(m.Kind), names.of(m.From), names.of(m.To), byte(m.Incarnation), byte(m.Promise.Number),
+		names.of(m.Promise.Node))
+	b = m.Record.append(m.HeldVersion.append(m.Version.append(b, names), names))
 	o, p := m.Others[0], m.Others[1]
-	if as.of(o.Node) > as.of(p.Node) {
+	if names.of(o.Node) > names.of(p.Node) {
 		o, p = p, o
 	}
-	b = append(b, as.of(o.Node), byte(o.Number), as.of(p.Node), byte(p.Number))
-	return flags(b, m.IsNew, m.CanVote, m.ID != "")
+	b = append(b, names.of(o.Node), byte(o.Number), names.of(p.Node), byte(p.Number))
+	return appendBools(b, m.IsNew, m.CanVote, m.ID != "")
 }
 
-func flags(b []byte, all ...bool) []byte {
+func appendBools(b []byte, all ...bool) []byte {
 	for _, set := range all {
 		if set {
 			b = append(b, 1)
@@ -146,8 +149,8 @@
 	return b
 }
 
-func (v Version) append(b []byte, as *names) []byte {
-	return append(b, byte(v.Epoch.Number), as.of(v.Epoch.Node), byte(v.Seq))
+func (v Version) append(b []byte, names *nodeNames) []byte {
+	return append(b, byte(v.Epoch.Number), names.of(v.Epoch.Node), byte(v.Seq))
 }
 
 func (r Record) append(b []byte) []byte {
@@ -155,36 +158,37 @@
 }
 
 // AppendKey implements explore.State.
-func (w *world) AppendKey(b []byte) []byte {
-	if w.m.liveness { // its keepers are not alike
-		return w.appendKey(b, ways[0])
+func (s *state) AppendKey(b []byte) []byte {
+	if s.injected.rosterByLiveness { // the replicas are not interchangeable
+		return s.appendKey(b, replicaPermutations[0])
 	}
 	from := len(b)
-	b = w.appendKey(b, ways[0])
+	b = s.appendKey(b, replicaPermutations[0])
 	var other []byte
-	for _, as := range ways[1:] {
-		if other = w.appendKey(other[:0], as); slices.Compare(other, b[from:]) < 0 {
+	for _, names := range replicaPermutations[1:] {
+		if other = s.appendKey(other[:0], names); slices.Compare(other, b[from:]) < 0 {
 			b = append(b[:from], other...)
 		}
 	}
 	return b
 }
 
-func (w *world) appendKey(b []byte, as *names) []byte {
-	b = append(b, byte(w.left.crashes), byte(w.left.takes), byte(w.left.claims), byte(w.left.doubles), byte(w.runs),
-		byte(w.verdicts))
+func (s *state) appendKey(b []byte, names *nodeNames) []byte {
+	b = append(b, byte(s.remaining.restarts), byte(s.remaining.takes), byte(s.remaining.claims),
+		byte(s.remaining.duplicates), byte(s.runCount), byte(s.verdicts))
 	blocks := make([][]byte, 0, 16)
-	for _, k := range w.keepers {
-		block := []byte{as.of(k.me), byte(k.life)}
-		r, ok := k.regs[id]
+	for _, replica := range s.replicas {
+		block := []byte{names.of(replica.me), byte(replica.incarnation)}
+		r, ok := replica.registers[id]
 		if ok {
-			block = append(r.record.append(r.held.append(append(block, byte(r.promise.Number), as.of(r.promise.Node)), as)), 1)
+			block = append(r.record.append(r.held.append(
+				append(block, byte(r.promise.Number), names.of(r.promise.Node)), names)), 1)
 		}
 		peers := [4][2]byte{}
-		for _, n := range k.roster {
-			peers[as.of(n)-'a'][0] = byte(k.lives[n])
-			if k.told[n] {
-				peers[as.of(n)-'a'][1] = 1
+		for _, n := range replica.roster {
+			peers[names.of(n)-'a'][0] = byte(replica.incarnations[n])
+			if replica.synced[n] {
+				peers[names.of(n)-'a'][1] = 1
 			}
 		}
 		for _, p := range peers {
@@ -193,13 +197,13 @@
 		blocks = append(blocks, block)
 	}
 	slices.SortFunc(blocks, slices.Compare)
-	for i, h := range w.holders {
-		b = append(b, byte(h.mode), byte(h.seq), byte(h.seen), byte(w.sends[i]), byte(w.answers[i]), byte(h.epoch.Number),
-			as.of(h.epoch.Node))
-		b = flags(h.next.append(h.record.append(b)), h.asking, w.has[i])
+	for i, owner := range s.owners {
+		b = append(b, byte(owner.mode), byte(owner.seq), byte(owner.highestEpoch), byte(s.sends[i]), byte(s.answers[i]),
+			byte(owner.epoch.Number), names.of(owner.epoch.Node))
+		b = appendBools(owner.proposed.append(owner.record.append(b)), owner.isProposing, s.hasResult[i])
 		votes := make([][]byte, 0, NumReplicas)
-		for _, v := range h.votes {
-			votes = append(votes, v.append(nil, as))
+		for _, v := range owner.votes {
+			votes = append(votes, v.append(nil, names))
 		}
 		slices.SortFunc(votes, slices.Compare)
 		b = append(b, byte(len(votes)))
@@ -207,14 +211,14 @@
 			b = append(b, v...)
 		}
 	}
-	for _, p := range w.net {
+	for _, p := range s.network {
 		var block []byte
 		for _, m := range p.msgs {
-			block = m.append(block, as)
+			block = m.append(block, names)
 		}
 		blocks = append(blocks, block)
 	}
-	slices.SortFunc(blocks[len(w.keepers):], slices.Compare)
+	slices.SortFunc(blocks[len(s.replicas):], slices.Compare)
 	for _, block := range blocks {
 		b = append(append(b, byte(len(block))), block...)
 	}
@@ -222,154 +226,158 @@
 }
 
 // Check implements explore.State.
-func (w *world) Check() error {
+func (s *state) Check() error {
 	switch {
-	case w.runs > 1:
-		return errors.New("it ran twice")
-	case bits.OnesCount(w.verdicts) > 1:
-		return fmt.Errorf("two final answers: %03b", w.verdicts)
-	case w.verdicts&(1<<refused) != 0 && w.runs > 0:
-		return errors.New("it was refused, and ran")
+	case s.runCount > 1:
+		return errors.New("the message ran twice")
+	case bits.OnesCount(s.verdicts) > 1:
+		return fmt.Errorf("two final answers: %03b", s.verdicts)
+	case s.verdicts&(1<<refused) != 0 && s.runCount > 0:
+		return errors.New("the message was refused, and ran")
 	}
 	return nil
 }
 
-// put sends requests, and what is pulled, which goes over one link to its receiver in its order. The answers to writes
-// and claims are heard at once or never: one that comes late is one that came at once, to a holder that was stopped
-// before it went on. A refusal only makes a holder give up: that it is lost leaves more that may go wrong.
-func (w *world) put(out []Msg) {
-	var pulled parcel
+// sendAll sends requests and Pulled messages; the latter go over one link, in order. Answers to writes and claims
+// arrive at once or never: a late one is equivalent to one that arrived at once at an owner that then paused. Refusals
+// are lost: they only make an owner give up, and without them more can go wrong.
+func (s *state) sendAll(out []Msg) {
+	var pulled linkMessages
 	for _, m := range out {
-		switch p := (parcel{string(m.append(nil, ways[0])), []Msg{m}}); m.Kind {
+		switch link := (linkMessages{string(m.append(nil, replicaPermutations[0])), []Msg{m}}); m.Kind {
 		case Refused, Acked, Promised:
 		case Pulled:
-			pulled.key, pulled.msgs = pulled.key+p.key, append(pulled.msgs, m)
+			pulled.key, pulled.msgs = pulled.key+link.key, append(pulled.msgs, m)
 		default:
-			w.send(p)
+			s.send(link)
 		}
 	}
 	if len(pulled.msgs) > 0 {
-		w.send(pulled)
+		s.send(pulled)
 	}
 }
 
-func (w *world) send(p parcel) {
-	if i, there := slices.BinarySearchFunc(w.net, p.key,
-		func(p parcel, key string) int { return strings.Compare(p.key, key) }); !there {
-		w.net = slices.Insert(w.net, i, p)
+func (s *state) send(link linkMessages) {
+	if i, found := slices.BinarySearchFunc(s.network, link.key,
+		func(link linkMessages, key string) int { return strings.Compare(link.key, key) }); !found {
+		s.network = slices.Insert(s.network, i, link)
 	}
 }
 
-// tidy drops what can change nothing any more: what a keeper that can forget no more would refuse.
-func (w *world) tidy() {
-	w.net = slices.DeleteFunc(w.net, func(p parcel) bool {
-		m := p.msgs[0]
-		for _, k := range w.keepers {
-			if k.me == m.To && (m.Kind == Write || m.Kind == Claim) && w.left.crashes == 0 && !w.m.anyEpoch {
-				return m.Version.Epoch.Compare(k.regs[id].promise) < 0
+// dropObsolete drops messages without effect: those that a replica would refuse when no more restarts can follow.
+func (s *state) dropObsolete() {
+	s.network = slices.DeleteFunc(s.network, func(link linkMessages) bool {
+		m := link.msgs[0]
+		for _, replica := range s.replicas {
+			if replica.me == m.To && (m.Kind == Write || m.Kind == Claim) && s.remaining.restarts == 0 &&
+				!s.injected.acceptOldEpochs {
+				return m.Version.Epoch.Compare(replica.registers[id].promise) < 0
 			}
 		}
 		return false
 	})
 }
 
-// possible adds a step that does something to a copy of the world.
-type possible func(do func(n *world), name string, about ...any)
+// addStep adds a step that changes a copy of the state.
+type addStep func(do func(n *state), name string, about ...any)
 
 // Steps implements explore.State.
-func (w *world) Steps() (steps []explore.Step[*world]) {
-	may := func(do func(n *world), name string, about ...any) {
-		n := w.clone()
+func (s *state) Steps() (steps []explore.Step[*state]) {
+	add := func(do func(n *state), name string, about ...any) {
+		n := s.clone()
 		do(n)
-		n.tidy()
-		steps = append(steps, explore.Step[*world]{Name: func() string { return fmt.Sprintf(name, about...) }, To: n})
+		n.dropObsolete()
+		steps = append(steps, explore.Step[*state]{Name: func() string { return fmt.Sprintf(name, about...) }, To: n})
 	}
-	w.holderSteps(may)
-	w.restartSteps(may)
-	w.messageSteps(may)
+	s.ownerSteps(add)
+	s.restartSteps(add)
+	s.messageSteps(add)
 	return steps
 }
 
-// holderSteps are what the holders may do by themselves.
-func (w *world) holderSteps(may possible) {
-	for i, h := range w.holders {
-		// The first takes the message, the second may take it as well, or claim it; where there are more claims the
-		// first has some.
-		if h.mode == Idle && w.left.takes > 0 && (i == 0 || w.holders[0].mode != Idle) {
-			may(func(n *world) { n.left.takes--; n.put(n.holders[i].Take()) }, "%s takes it", h.me)
+// ownerSteps adds the steps that the owners may take by themselves.
+func (s *state) ownerSteps(add addStep) {
+	for i, owner := range s.owners {
+		// The first owner takes the message; the second may take it as well, or claim it. If there are several claims
+		// the first owner may use some.
+		if owner.mode == Idle && s.remaining.takes > 0 && (i == 0 || s.owners[0].mode != Idle) {
+			add(func(n *state) { n.remaining.takes--; n.sendAll(n.owners[i].Take()) }, "%s takes the message", owner.me)
 		}
-		if w.left.claims > 0 && h.mode != Claiming && w.holders[0].mode != Idle && (i == 1 || w.left.claims > 1) {
-			may(func(n *world) { n.left.claims--; n.put(n.holders[i].Claim()) }, "%s claims it", h.me)
+		if s.remaining.claims > 0 && owner.mode != Claiming && s.owners[0].mode != Idle &&
+			(i == 1 || s.remaining.claims > 1) {
+			add(func(n *state) { n.remaining.claims--; n.sendAll(n.owners[i].Claim()) },
+				"%s claims the message", owner.me)
 		}
 		step := func(name string, r Record) {
-			may(func(n *world) {
-				if n.put(n.holders[i].Step(r)); n.m.early {
+			add(func(n *state) {
+				if n.sendAll(n.owners[i].Step(r)); n.injected.actEarly {
 					n.permit(i, r)
 				}
-			}, "%s asks to %s", h.me, name)
+			}, "%s asks to %s", owner.me, name)
 		}
-		r := h.record
-		if h.mode == Owning && !h.asking && r.Phase == Taken {
+		r := owner.record
+		if owner.mode == Owning && !owner.isProposing && r.Phase == Taken {
 			step("send", Record{Phase: Sending, Attempt: r.Attempt + 1})
 		}
 		switch {
-		case h.mode != Owning || h.asking || w.m.mute:
+		case owner.mode != Owning || owner.isProposing || s.injected.noAnswers:
 		case r.Phase == Taken:
 			step("refuse", Record{Phase: Answered, Verdict: refused})
-		case r.Phase == Sending && w.has[i]:
+		case r.Phase == Sending && s.hasResult[i]:
 			step("answer served", Record{Phase: Answered, Attempt: r.Attempt, Verdict: served})
 		case r.Phase == Sending:
 			step("answer failed", Record{Phase: Answered, Attempt: r.Attempt, Verdict: failed})
 		}
-		if w.sends[i] > 0 {
-			may(func(n *world) { n.sends[i]--; n.runs++; n.has[i] = true }, "%s sends, and it runs", h.me)
+		if s.sends[i] > 0 {
+			add(func(n *state) { n.sends[i]--; n.runCount++; n.hasResult[i] = true },
+				"%s sends, and the message runs", owner.me)
 		}
-		if w.answers[i] > 0 {
-			may(func(n *world) { n.verdicts |= 1 << n.answers[i]; n.answers[i] = 0 }, "%s answers %d", h.me,
-				w.answers[i])
+		if s.answers[i] > 0 {
+			add(func(n *state) { n.verdicts |= 1 << n.answers[i]; n.answers[i] = 0 }, "%s answers %d", owner.me,
+				s.answers[i])
 		}
 	}
 }
 
-// restartSteps are keepers that crash and start again with nothing.
-func (w *world) restartSteps(may possible) {
-	for i, k := range w.keepers {
-		if w.left.crashes > 0 && w.holders[0].mode != Idle {
-			may(func(n *world) {
-				n.left.crashes--
-				n.keepers[i] = NewReplica(k.me, k.life+1, k.roster, false)
-				n.keepers[i].rules = n.m.rules
-				n.put(n.keepers[i].PullRequests())
-			}, "%s starts again with nothing", k.me)
+// restartSteps adds the steps in which replicas restart without their registers.
+func (s *state) restartSteps(add addStep) {
+	for i, replica := range s.replicas {
+		if s.remaining.restarts > 0 && s.owners[0].mode != Idle {
+			add(func(n *state) {
+				n.remaining.restarts--
+				n.replicas[i] = NewReplica(replica.me, replica.incarnation+1, replica.roster, false)
+				n.replicas[i].faults = n.injected.faults
+				n.sendAll(n.replicas[i].PullRequests())
+			}, "%s restarts without its registers", replica.me)
 		}
 	}
 }
 
-// messageSteps are messages on the network that arrive, once or twice.
-func (w *world) messageSteps(may possible) {
-	for at, p := range w.net {
-		m := p.msgs[0]
-		comes := func(heard string, do func(n *world)) {
-			may(func(n *world) { n.net = slices.Delete(n.net, at, at+1); do(n) },
-				"%s hears %s%s: %d of %v", m.To, m.From, heard, m.Kind, m.Version)
-			if w.left.doubles > 0 {
-				may(func(n *world) { n.left.doubles--; do(n) },
-					"%s hears %s%s, and will again: %d of %v", m.To, m.From, heard, m.Kind, m.Version)
+// messageSteps adds the steps in which messages arrive, once or twice.
+func (s *state) messageSteps(add addStep) {
+	for at, link := range s.network {
+		m := link.msgs[0]
+		arrive := func(suffix string, do func(n *state)) {
+			add(func(n *state) { n.network = slices.Delete(n.network, at, at+1); do(n) },
+				"%s receives from %s%s: %d of %v", m.To, m.From, suffix, m.Kind, m.Version)
+			if s.remaining.duplicates > 0 {
+				add(func(n *state) { n.remaining.duplicates--; do(n) },
+					"%s receives from %s%s, and will again: %d of %v", m.To, m.From, suffix, m.Kind, m.Version)
 			}
 		}
-		for i, k := range w.keepers {
-			if k.me != m.To {
+		for i, replica := range s.replicas {
+			if replica.me != m.To {
 				continue
 			}
-			comes("", func(n *world) {
-				for _, m := range p.msgs {
-					n.put(n.keeper(i).Handle(m, nil))
+			arrive("", func(n *state) {
+				for _, m := range link.msgs {
+					n.sendAll(n.replica(i).Handle(m, nil))
 				}
 			})
 			if m.Kind == Write || m.Kind == Claim {
-				comes(" and is heard", func(n *world) {
-					for _, m := range n.keeper(i).Handle(m, nil) {
-						n.heard(m)
+				arrive(" and its answer arrives", func(n *state) {
+					for _, m := range n.replica(i).Handle(m, nil) {
+						n.deliverAnswer(m)
 					}
 				})
 			}
@@ -377,77 +385,80 @@
 	}
 }
 
-// heard gives a holder the answer of a keeper.
-func (w *world) heard(m Msg) {
-	for i, h := range w.holders {
-		if h.me != m.To || m.Kind == Refused {
+// deliverAnswer passes the answer of a replica to its owner.
+func (s *state) deliverAnswer(m Msg) {
+	for i, owner := range s.owners {
+		if owner.me != m.To || m.Kind == Refused {
 			continue
 		}
-		news, out := h.Handle(m)
-		if w.put(out); news == Permitted && !w.m.early || news == Owned && h.record.Phase == Answered {
-			w.permit(i, h.record)
+		result, out := owner.Handle(m)
+		if s.sendAll(out); result == Permitted && !s.injected.actEarly ||
+			result == Owned && owner.record.Phase == Answered {
+			s.permit(i, owner.record)
 		}
 	}
 }
 
-// taken is the world when the first holder owns the message and all keepers know.
-func (w *world) taken() *world {
-	w.left.takes--
-	for _, m := range w.holders[0].Take() {
-		for i, k := range w.keepers {
-			if k.me == m.To {
-				for _, m := range w.keeper(i).Handle(m, nil) {
-					w.heard(m)
+// withFirstOwner advances the state until the first owner owns the message and all replicas know it.
+func (s *state) withFirstOwner() *state {
+	s.remaining.takes--
+	for _, m := range s.owners[0].Take() {
+		for i, replica := range s.replicas {
+			if replica.me == m.To {
+				for _, m := range s.replica(i).Handle(m, nil) {
+					s.deliverAnswer(m)
 				}
 			}
 		}
 	}
-	return w
+	return s
 }
 
-// permit lets a holder take a step, now or at any later time.
-func (w *world) permit(i int, r Record) {
+// permit lets an owner take a step, now or later.
+func (s *state) permit(i int, r Record) {
 	if r.Phase == Answered {
-		w.answers[i] = int(r.Verdict)
+		s.answers[i] = int(r.Verdict)
 	} else {
-		w.sends[i]++
+		s.sends[i]++
 	}
 }
 
-// Whatever happens to the keepers, the two that would own a message and the network between them, within these bounds,
-// it runs at most once and has one final answer at most.
+// Whatever happens to the replicas, the two owners and the network within these limits, the message runs at most once
+// and has at most one final answer.
 func TestEveryState(t *testing.T) {
-	for _, b := range []bounds{{0, 2, 1, 0}, {1, 1, 1, 0}, {0, 1, 1, 1}} {
-		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
+	for _, limits := range []walkLimits{{0, 2, 1, 0}, {1, 1, 1, 0}, {0, 1, 1, 1}} {
+		t.Run(fmt.Sprintf("%+v", limits), func(t *testing.T) {
 			t.Parallel()
-			r, err := explore.Walk(newWorld(mistakes{mute: b.crashes+b.doubles > 0}, b), *most)
-			t.Logf("%+v, all: %v", r, err == nil)
+			report, err := explore.Walk(
+				newState(testFaults{noAnswers: limits.restarts+limits.duplicates > 0}, limits), *maxStates)
+			t.Logf("%+v, all: %v", report, err == nil)
 			if !errors.Is(err, explore.ErrBound) {
 				require.NoError(t, err)
 			}
-			require.Greater(t, r.States, 1000)
+			require.Greater(t, report.States, 1000)
 		})
 	}
 }
 
-// most bounds the states of one walk, for the time of the tests.
-var most = flag.Int("most", 450_000, "states of a walk")
+// maxStates bounds the states of one walk, to limit the time of the tests.
+var maxStates = flag.Int("most", 450_000, "maximum number of states of a walk")
 
-// Whoever asks finds the same keepers, the work is spread, and one more instance moves no message between two others.
-func TestKeepers(t *testing.T) {
+// All instances compute the same replicas, the load is spread, and an added instance moves no message between two
+// others.
+func TestReplicasOf(t *testing.T) {
 	roster, count, moved := []Node{"a", "b", "c", "d", "e"}, map[Node]int{}, 0
 	for i := range 3000 {
 		id := fmt.Sprint("m", i)
-		k, ok := ReplicasOf(roster, id)
+		replicas, ok := ReplicasOf(roster, id)
 		other, _ := ReplicasOf([]Node{"e", "c", "a", "d", "b"}, id)
 		require.True(t, ok)
-		require.Equal(t, k, other)
-		for _, n := range k {
+		require.Equal(t, replicas, other)
+		for _, n := range replicas {
 			count[n]++
 		}
-		more, _ := ReplicasOf(append(roster, "f"), id)
-		for _, n := range more {
-			if !slices.Contains(k[:], n) {
+		grown, _ := ReplicasOf(append(roster, "f"), id)
+		for _, n := range grown {
+			if !slices.Contains(replicas[:], n) {
 				require.Equal(t, Node("f"), n)
 				moved++
 			}
@@ -461,29 +472,31 @@
 	require.False(t, ok)
 }
 
-// Each mistake is found, by the fewest steps that show it.
-func TestPlantedMistakes(t *testing.T) {
-	for name, m := range map[string]struct {
-		mistakes
-		bounds
+// Each injected fault is detected, by the shortest sequence of steps that shows it.
+func TestInjectedFaults(t *testing.T) {
+	for name, test := range map[string]struct {
+		testFaults
+		walkLimits
 	}{
-		"no epoch":                     {mistakes{rules: rules{anyEpoch: true}}, bounds{0, 1, 1, 0}},
-		"one keeper is enough":         {mistakes{rules: rules{one: true}}, bounds{0, 1, 1, 0}},
-		"who forgot votes":             {mistakes{rules: rules{forgetful: true}, mute: true}, bounds{1, 1, 1, 0}},
-		"the votes of a life before":   {mistakes{rules: rules{oldLives: true}, mute: true}, bounds{1, 1, 1, 0}},
-		"acts before it is settled":    {mistakes{early: true}, bounds{0, 1, 1, 0}},
-		"the roster of who seem alive": {mistakes{liveness: true}, bounds{0, 2, 0, 0}},
+		"old epochs are accepted": {testFaults{faults: faults{acceptOldEpochs: true}}, walkLimits{0, 1, 1, 0}},
+		"one replica is a quorum": {testFaults{faults: faults{singleReplica: true}}, walkLimits{0, 1, 1, 0}},
+		"a replica votes without its data": {testFaults{faults: faults{voteIncomplete: true}, noAnswers: true},
+			walkLimits{1, 1, 1, 0}},
+		"votes of an old incarnation count": {testFaults{faults: faults{acceptOldIncarnations: true}, noAnswers: true},
+			walkLimits{1, 1, 1, 0}},
+		"an owner acts before it is permitted": {testFaults{actEarly: true}, walkLimits{0, 1, 1, 0}},
+		"the roster depends on liveness":       {testFaults{rosterByLiveness: true}, walkLimits{0, 2, 0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(m.mistakes, m.bounds)
-			if !m.liveness { // else the second must find it untaken
-				w = w.taken()
+			s := newState(test.testFaults, test.walkLimits)
+			if !test.rosterByLiveness { // otherwise the second owner must find the message untaken
+				s = s.withFirstOwner()
 			}
-			r, err := explore.Walk(w, 5**most)
-			var f *explore.Fault
-			require.ErrorAs(t, err, &f)
-			t.Logf("%+v: %v", r, f)
+			report, err := explore.Walk(s, 5**maxStates)
+			var fault *explore.Fault
+			require.ErrorAs(t, err, &fault)
+			t.Logf("%+v: %v", report, fault)
 		})
 	}
 }
--- a/internal/decide/pure_test.go
+++ b/internal/decide/pure_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Decisions do no I/O, read no clock and draw no chance of their own: the decision module and all below this folder.
+// The decision module and all packages below this folder do no I/O, read no clock and use no global source of
+// randomness.
 func TestPure(t *testing.T) {
 	checked := 0
 	check := func(path string) {
