--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -158,7 +158,7 @@
 // bounds, and an address that keeps failing and recovering keeps its count.
 func TestBackoffGrows(t *testing.T) {
 	s := newSet(1, four)
-	b := s.find(four)
+	status := s.find(four)
 	now := ms
 	for i := range 10 {
 		var races []*Race
@@ -171,17 +171,17 @@
 		for _, r := range races {
 			r.Failed(now+ms, four, ConnectionRefused)
 		}
-		require.Equal(t, i+1, b.failures)
-		rest := min(Defaults.MinBackoff<<i, Defaults.MaxBackoff)
-		require.GreaterOrEqual(t, b.backoffUntil, now+ms+rest/2)
-		require.LessOrEqual(t, b.backoffUntil, now+ms+rest)
-		now = b.backoffUntil + ms
+		require.Equal(t, i+1, status.failures)
+		backoff := min(Defaults.MinBackoff<<i, Defaults.MaxBackoff)
+		require.GreaterOrEqual(t, status.backoffUntil, now+ms+backoff/2)
+		require.LessOrEqual(t, status.backoffUntil, now+ms+backoff)
+		now = status.backoffUntil + ms
 		raceFirst(t, s, now, false, NoFailure) // good again for a second
 		s.Answered(now, four, now-1, false)
 		now += 1000 * ms
 	}
 	s.Answered(now+Defaults.CalmPeriod, four, now, false)
-	require.Zero(t, b.failures, "good for the whole calm period")
+	require.Zero(t, status.failures, "good for the whole calm period")
 }
 
 // If all addresses are in backoff, each relay tries one, the one whose backoff ends first.
@@ -391,12 +391,12 @@
 	for _, a := range r.pending { // pending attempts end after the race as well
 		r.Failed(deadline, a, ConnectTimeout)
 	}
-	for _, b := range p.set.statuses {
-		if b.lateConnects != 0 {
-			p.Fatalf("%s keeps late connect attempts", b.Address)
+	for _, status := range p.set.statuses {
+		if status.lateConnects != 0 {
+			p.Fatalf("%s keeps late connect attempts", status.Address)
 		}
-		if b.backoffUntil > p.now+p.limits.MaxBackoff+250*ms {
-			p.Fatalf("%s stays in backoff too long", b.Address)
+		if status.backoffUntil > p.now+p.limits.MaxBackoff+250*ms {
+			p.Fatalf("%s stays in backoff too long", status.Address)
 		}
 	}
 	p.now = max(p.now, deadline)
--- a/internal/decide/ramp/place_test.go
+++ b/internal/decide/ramp/rotation_test.go
@@ -41,27 +41,28 @@
 func TestNeighboursAreSpread(t *testing.T) {
 	for _, n := range []int{25, 30, 80, 200, 300} {
 		rotation := NewRotation(n)
-		for _, row := range []int{5, 6, 10, 22, 44} {
+		for _, consecutive := range []int{5, 6, 10, 22, 44} {
 			for _, users := range []int{1, 2, 3, 5, 9, 22} {
-				if row > n || users > n {
+				if consecutive > n || users > n {
 					continue
 				}
-				part := float64(row*users) / float64(n)
+				expected := float64(consecutive*users) / float64(n)
 				sum, rows := 0.0, 0.0
 				for _, first := range []int64{0, 7} { // another first place shifts all numbers equally
 					turnUsers := usersOf(rotation, Turn{First: first, Users: int64(users)}, n)
 					for from := range n {
-						in := 0.0
+						count := 0.0
 						for _, me := range turnUsers {
-							if (me-from+n)%n < row {
-								in++
+							if (me-from+n)%n < consecutive {
+								count++
 							}
 						}
-						sum, rows = sum+in, rows+1
-						require.LessOrEqual(t, in, math.Ceil(part)+2, "%d from %d of %d, %d users", row, from, n, users)
+						sum, rows = sum+count, rows+1
+						require.LessOrEqual(t, count, math.Ceil(expected)+2, "%d from %d of %d, %d users",
+							consecutive, from, n, users)
 					}
 				}
-				require.InDelta(t, part, sum/rows, 1e-9, "%d of %d, %d users", row, n, users)
+				require.InDelta(t, expected, sum/rows, 1e-9, "%d of %d, %d users", consecutive, n, users)
 			}
 		}
 	}
--- a/internal/decide/refresh/fleet_test.go
+++ b/internal/decide/refresh/fleet_test.go
@@ -21,16 +21,16 @@
 	do    func()
 }
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(a[i].at, a[j].at), a[i].order-a[j].order) < 0
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), q[i].order-q[j].order) < 0
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
@@ -205,22 +205,22 @@
 // report logs what the fleet did, and checks that it made at most maxPerSecond calls in any second, with a margin for
 // the random delays.
 func (f *fleet) report(name string, maxPerSecond float64) {
-	var held, firsts []time.Duration
-	maxCalls, holders, unread := 0, 0, 0
+	var held, firstReads []time.Duration
+	maxCalls, staleDispatchers, unread := 0, 0, 0
 	for _, d := range f.dispatchers {
-		if firsts = append(firsts, d.firstRead); d.firstRead == 0 {
-			firsts, unread = firsts[:len(firsts)-1], unread+1
+		if firstReads = append(firstReads, d.firstRead); d.firstRead == 0 {
+			firstReads, unread = firstReads[:len(firstReads)-1], unread+1
 		}
 		held = append(held, d.heldFor)
 		if d.heldFor > 0 {
-			holders++
+			staleDispatchers++
 		}
 	}
 	for _, calls := range f.opened {
 		maxCalls = max(maxCalls, calls)
 	}
-	f.t.Logf("%s: first list after%s (none: %d); stale: %d of %d, for%s", name, quantiles(firsts), unread, holders,
-		len(f.dispatchers), quantiles(held))
+	f.t.Logf("%s: first list after%s (none: %d); stale: %d of %d, for%s", name, quantiles(firstReads), unread,
+		staleDispatchers, len(f.dispatchers), quantiles(held))
 	f.t.Logf("%s: age of the lists in use:%s; at most %d calls a second of %.0f", name, quantiles(f.ages), maxCalls,
 		maxPerSecond)
 	require.LessOrEqual(f.t, float64(maxCalls), maxPerSecond*1.25)
@@ -321,7 +321,7 @@
 	const down, back, end = 10 * second, 18 * second, 60 * second
 	settings := polledSettings(300)
 	for _, silent := range []bool{true, false} {
-		for _, room := range []float64{settings.Budget() / 2, settings.Budget(), 1e6} {
+		for _, capacity := range []float64{settings.Budget() / 2, settings.Budget(), 1e6} {
 			f := newFleet(t, 8)
 			isDown := func(now time.Duration) bool { return now >= down && now < back }
 			f.isUnreachable = isDown
@@ -330,7 +330,7 @@
 			} else {
 				f.refuses, f.brokenAt = isDown, down+100*time.Millisecond
 			}
-			f.schedule(down, func() { f.capacity = room })
+			f.schedule(down, func() { f.capacity = capacity })
 			for i := range 60 {
 				f.drains = append(f.drains, time.Duration(i)*second/2)
 			}
@@ -343,7 +343,7 @@
 				require.Zero(t, d.heldFor, "stale while discovery cannot be reached")
 			}
 			f.run(end)
-			f.report(fmt.Sprintf("down for 8 s, silent %v, then a capacity of %.0f", silent, room),
+			f.report(fmt.Sprintf("down for 8 s, silent %v, then a capacity of %.0f", silent, capacity),
 				float64(settings.Dispatchers))
 			for at := back + 4*second; at < end; at += second { // calls that timed out have been retried by then
 				require.LessOrEqual(t, float64(f.opened[at]), settings.Budget()*1.25)
--- a/internal/decide/refresh/refresh_test.go
+++ b/internal/decide/refresh/refresh_test.go
@@ -76,7 +76,7 @@
 // next call still starts before the list becomes stale; in a large one it starts when the call budget allows it.
 func TestRefusedTwiceWithRetryAfterBeyondTheBound(t *testing.T) {
 	for _, dispatchers := range []int{1, 8, 300} {
-		begins := map[time.Duration]bool{}
+		starts := map[time.Duration]bool{}
 		for seed := range uint64(200) {
 			s := New(100*second, polledSettings(dispatchers), seeded(seed))
 			spacing := s.settings.Spacing(9, false)
@@ -86,7 +86,7 @@
 			require.LessOrEqual(t, next-first, spacing*7/6)
 			third := simulateCall(s, next, next+10*time.Millisecond, UnusableAnswer, 60*second)
 			requireStaleAt(t, s, 106*second)
-			begins[third.Truncate(10*time.Millisecond)] = true
+			starts[third.Truncate(10*time.Millisecond)] = true
 			require.LessOrEqual(t, third, max(106*second-callTimeout, next+spacing*7/6),
 				"delayed by more than the random spread")
 			require.True(t, dispatchers > 8 || third < 106*second, "no further call starts within the bound")
@@ -96,7 +96,7 @@
 			simulateCall(s, late, late+second, Read, 0)
 			requireStaleAt(t, s, late+NotifiedAfter)
 		}
-		require.Greater(t, len(begins), 5, "the calls start at the same time")
+		require.Greater(t, len(starts), 5, "the calls start at the same time")
 	}
 }
 
@@ -238,11 +238,11 @@
 }
 
 // retryDelays simulates consecutive calls that fail after a given time and returns the delays after them.
-func retryDelays(settings Settings, result Result, took time.Duration) (all []time.Duration) {
+func retryDelays(settings Settings, result Result, duration time.Duration) (all []time.Duration) {
 	s, now := New(0, settings, seeded(3)), time.Duration(0)
 	for range 98 {
 		s.Begin(now, true)
-		now += took
+		now += duration
 		all = append(all, s.End(now, result, 0))
 		now += all[len(all)-1]
 	}
@@ -259,18 +259,18 @@
 			settings.Polled = polled
 			refused, silent := retryDelays(settings, UnusableAnswer, 0), retryDelays(settings, TimedOut, callTimeout)
 			seen := map[time.Duration]bool{}
-			for i, p := range refused {
-				seen[p] = true
-				require.Positive(t, p)
+			for i, delay := range refused {
+				seen[delay] = true
+				require.Positive(t, delay)
 				require.Positive(t, silent[i])
 				require.Less(t, callTimeout+silent[i]+callTimeout, NotifiedAfter+settings.DrainGrace)
 				if dispatchers < 8 || !polled {
-					require.LessOrEqual(t, p, 600*time.Millisecond)
+					require.LessOrEqual(t, delay, 600*time.Millisecond)
 				}
 				if !polled {
-					require.LessOrEqual(t, 2*max(p, silent[i])+settings.AgentRetryInterval(), settings.DrainGrace)
+					require.LessOrEqual(t, 2*max(delay, silent[i])+settings.AgentRetryInterval(), settings.DrainGrace)
 				}
-				require.Less(t, p, settings.StalenessBound(), "no further call starts within the bound")
+				require.Less(t, delay, settings.StalenessBound(), "no further call starts within the bound")
 			}
 			require.Greater(t, len(seen), 50, "the delays are not random")
 			require.True(t, dispatchers > 7 || silent[0] < 200*time.Millisecond && refused[0] < 200*time.Millisecond)
--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/sources/sources_test.go
@@ -42,10 +42,10 @@
 	return m
 }
 
-// hostView is the merged list as its reader sees it: the sum of all changes.
-type hostView map[string]Entry
+// view is the merged list as its reader sees it: the sum of all changes.
+type view map[string]Entry
 
-func (v hostView) apply(changed []Entry) hostView {
+func (v view) apply(changed []Entry) view {
 	for _, e := range changed {
 		if v[e.ID] = e; e.State == topazfall.Gone {
 			delete(v, e.ID)
@@ -55,7 +55,7 @@
 }
 
 // ready returns the hosts that may get new requests.
-func (v hostView) ready() (ids []string) {
+func (v view) ready() (ids []string) {
 	for id, e := range v {
 		if e.State == topazfall.Ready {
 			ids = append(ids, id)
@@ -70,7 +70,7 @@
 	for _, state := range []topazfall.WorkerState{topazfall.Draining, topazfall.Gone} {
 		for _, by := range []string{"name", "name and port", "address"} {
 			id := map[string]string{"name": "W1.example.", "name and port": "w1.example:9000", "address": "s-1"}[by]
-			m, v := newMerger(), hostView{}
+			m, v := newMerger(), view{}
 			m.HandleAnswer(1, jobs,
 				[]Record{newRecord("w1.example", "10.0.0.1"), newRecord("w2.example", "10.0.0.2")})
 			v.apply(m.Merge(1))
@@ -104,7 +104,7 @@
 
 // A host that a snapshot of the roster leaves out is gone; one that a restored list leaves out is not.
 func TestWholeList(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	m.UpdateRoster(topazfall.ListSnapshot,
 		[]Entry{rosterEntry("a", "10.0.0.1:9000", topazfall.Ready), rosterEntry("b", "10.0.0.2:9000", topazfall.Ready)})
 	m.HandleAnswer(1, jobs, []Record{newRecord("w1.example", "10.0.0.1")})
@@ -120,7 +120,7 @@
 // While resolvers fail, all hosts stay until their lifetime and the hold have ended; then one host at a time drains. An
 // answer restores all of them.
 func TestHoldThenOneByOne(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	var records []Record
 	for i := range 10 {
 		r := newRecord(fmt.Sprintf("w%d.example", i), fmt.Sprintf("10.0.0.%d", i+1))
@@ -153,7 +153,7 @@
 
 // An empty answer is believed after several in a row; a failure between them restarts the count.
 func TestEmptyAnswers(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	m.HandleAnswer(1, jobs, []Record{newRecord("w1.example", "10.0.0.1")})
 	v.apply(m.Merge(1))
 	require.False(t, m.HandleEmptyAnswer(2, jobs))
@@ -171,7 +171,7 @@
 // Hosts of a higher priority number are used only while no host of a lower one is eligible, as all of them are drained
 // by the roster or have vanished.
 func TestPriority(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	m.HandleAnswer(1, jobs, []Record{newRecord("a.example", "10.0.0.1", 1), newRecord("b.example", "10.0.0.2", 1),
 		newRecord("c.example", "10.0.0.3", 2)})
 	v.apply(m.Merge(1))
@@ -187,7 +187,7 @@
 }
 
 func TestWeightsPlacesAndNames(t *testing.T) {
-	m, v := newMerger("other"), hostView{}
+	m, v := newMerger("other"), view{}
 	m.Configure(Defaults, map[string]NameSettings{jobs: {WeightUnit: 50, Zone: "far", Kind: "small",
 		Places: []Place{{".hall-a.example", "hall-a", "large"}}}, "other": {WithPort: true, WeightUnit: 100}})
 	a, b := newRecord("w1.hall-a.example", "10.0.0.1"), newRecord("w2.example", "10.0.0.2")
@@ -210,7 +210,7 @@
 
 // A host that is added later counts as cold; one that was in the first answer does not.
 func TestNewHostsAreCold(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	m.HandleAnswer(second, jobs, []Record{newRecord("a.example", "10.0.0.1")})
 	m.HandleAnswer(2*second, jobs, []Record{newRecord("a.example", "10.0.0.1"), newRecord("b.example", "10.0.0.2")})
 	v.apply(m.Merge(2 * second))
@@ -220,7 +220,7 @@
 
 // A host that vanishes and returns repeatedly is held back for ever longer.
 func TestFlapping(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	with, without := []Record{newRecord("a.example", "10.0.0.1"), newRecord("b.example", "10.0.0.2")},
 		[]Record{newRecord("b.example", "10.0.0.2")}
 	now := second
@@ -244,7 +244,7 @@
 
 // The hold of records that were known before a restart begins at the restart.
 func TestRestore(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	r := newRecord("a.example", "10.0.0.1")
 	r.Expires = 1
 	m.Restore(1000*second, jobs, []Record{r})
@@ -261,7 +261,7 @@
 func TestProperties(t *testing.T) {
 	ips := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"}
 	rapid.Check(t, func(t *rapid.T) {
-		m, v := newMerger("other"), hostView{}
+		m, v := newMerger("other"), view{}
 		rosterState := map[string]topazfall.WorkerState{} // by address
 		now := second
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -314,7 +314,7 @@
 
 // A change that replaces 500 of 2,000 hosts is merged within 10 ms.
 func TestMergeLargeList(t *testing.T) {
-	m, v := newMerger(), hostView{}
+	m, v := newMerger(), view{}
 	list := func(from int) (records []Record) {
 		for i := from; i < from+2000; i++ {
 			records = append(records,
