--- a/internal/decide/addresses/set.go
+++ b/internal/decide/addresses/set.go
@@ -13,8 +13,8 @@
 	// the measured connect times between MinDelay and MaxDelay; InitialDelay applies while there are none. RFC 8305,
 	// section 5, requires at least 10 ms.
 	MinDelay, InitialDelay, MaxDelay int64
-	// A failed address stays in backoff for a random time between half of MinBackoff and all of it; each further
-	// consecutive failure doubles both, up to MaxBackoff.
+	// A failed address stays in backoff for a random time between half of MinBackoff and MinBackoff; each further
+	// consecutive failure doubles the range, up to MaxBackoff.
 	MinBackoff, MaxBackoff int64
 	// Failures are consecutive unless the address was good for CalmPeriod between them.
 	CalmPeriod int64
@@ -29,16 +29,16 @@
 // Check returns an error that names the first setting that is out of its bounds, and its value.
 func (l Limits) Check() error {
 	for _, limit := range []struct {
-		name              string
-		value, least, top int64
+		name                   string
+		value, lowest, highest int64
 	}{
 		{"delay_least", l.MinDelay, 10e3, 2e6}, {"delay_most", l.MaxDelay, l.MinDelay, 2e6},
 		{"delay_first", l.InitialDelay, l.MinDelay, l.MaxDelay}, {"rest_least", l.MinBackoff, 10e3, 60e6},
 		{"rest_most", l.MaxBackoff, l.MinBackoff, 600e6}, {"calm", l.CalmPeriod, 0, 3600e6},
 	} {
-		if limit.value < limit.least || limit.value > limit.top {
-			return fmt.Errorf("%s is %d, not within %d to %d microseconds", limit.name, limit.value, limit.least,
-				limit.top)
+		if limit.value < limit.lowest || limit.value > limit.highest {
+			return fmt.Errorf("%s is %d, not within %d to %d microseconds", limit.name, limit.value, limit.lowest,
+				limit.highest)
 		}
 	}
 	return nil
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -107,16 +107,16 @@
 }
 
 // Add counts a number of jobs more, or fewer if negative, at the host from a time on.
-func (t *PeerLoad) Add(at int64, jobs int) {
-	if len(t.events) >= maxEvents {
-		t.events = append(t.events[:0], t.events[1:]...)
+func (l *PeerLoad) Add(at int64, jobs int) {
+	if len(l.events) >= maxEvents {
+		l.events = append(l.events[:0], l.events[1:]...)
 	}
-	t.events = append(t.events, event{at, jobs})
+	l.events = append(l.events, event{at, jobs})
 }
 
 // Since returns by how many jobs the load has grown since a time.
-func (t *PeerLoad) Since(at int64) (jobs int) {
-	for _, e := range t.events {
+func (l *PeerLoad) Since(at int64) (jobs int) {
+	for _, e := range l.events {
 		if e.at > at {
 			jobs += e.jobs
 		}
