--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -236,7 +236,7 @@
 	successorRecorder := make(recorder, 99)
 	successor := New(server.Addr().String(), successorRecorder, settings)
 	successor.SetHoldReceiver(successorRecorder)
-	require.Equal(t, 1, successor.Inherit(state))
+	require.Equal(t, 1, successor.RestoreState(state))
 	require.Equal(t, "a0", successorRecorder.next(t))
 	go successor.Run()
 	server.refuseAllFor(2*time.Second, "")
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -147,10 +147,10 @@
 	return state
 }
 
-// Inherit restores the list of the predecessor process and returns its number of workers. If the predecessor had it
-// from another address, versions are not comparable and the first call asks for the whole list. It must be called
+// RestoreState restores the list of the predecessor process and returns its number of workers. If the predecessor had
+// it from another address, versions are not comparable and the first call asks for the whole list. It must be called
 // before Run.
-func (w *Watch) Inherit(state HandoverState) int {
+func (w *Watch) RestoreState(state HandoverState) int {
 	if len(state.Hosts) == 0 {
 		return 0
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -245,7 +245,7 @@
 func (d *dispatcher) restoreKnown() (known int) {
 	if d.state != nil {
 		d.transport.RestoreState(d.state.Addresses)
-		known = d.watch.Inherit(d.state.List)
+		known = d.watch.RestoreState(d.state.List)
 		d.core.RestoreState(d.state.Core)
 	}
 	if known == 0 {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -76,8 +76,9 @@
 		return nil, err
 	}
 	h.core = core
-	workers := upstream.New(core, upstream.Options{ConnSettings: upstream.ConnSettings{DialTimeout: dialLimit, IdleTimeout: idleLimit},
-		MaxConns: hollowConns, Metrics: h.counts, Seed: settings.Seed})
+	workers := upstream.New(core, upstream.Options{
+		ConnSettings: upstream.ConnSettings{DialTimeout: dialLimit, IdleTimeout: idleLimit},
+		MaxConns:     hollowConns, Metrics: h.counts, Seed: settings.Seed})
 	list := discovery.New(d.Discovery, h, discovery.RefreshSettings(&settings))
 	if words != "" {
 		others, err := peers.New(peers.Addresses{Listen: d.Listen, Peers: []string{words}, All: words}, core)
--- a/internal/lab/scale/words.go
+++ b/internal/lab/scale/words.go
@@ -36,7 +36,8 @@
 	if w.sent.Load()%2 == 1 {
 		op = gossip.Ended
 	}
-	data := gossip.Message{Op: op, At: time.Now().UnixMicro(), Host: gossip.HostHash(worker), Work: 1_000_000}.Append(nil)
+	data := gossip.Message{Op: op, At: time.Now().UnixMicro(), Host: gossip.HostHash(worker),
+		Work: 1_000_000}.Append(nil)
 	for _, to := range w.to {
 		if _, err := w.conn.WriteToUDPAddrPort(data, to); err != nil {
 			return err
