--- a/cmd/topazctl/main_test.go
+++ b/cmd/topazctl/main_test.go
@@ -97,7 +97,7 @@
 type shared struct{ instances []*pb.Instance }
 
 func (shared) Apply(context.Context, *pb.Settings, uint64) (*pb.Revision, error) {
-	return nil, control.ElsewhereError{Origins: []string{"o1", "o2"}}
+	return nil, control.NotOriginError{Origins: []string{"o1", "o2"}}
 }
 
 func (s shared) Instances(context.Context) *pb.InstancesResponse {
--- a/cmd/topazfall-agent/agent_test.go
+++ b/cmd/topazfall-agent/agent_test.go
@@ -63,11 +63,11 @@
 		s.list, err = discoveryserver.Start()
 		require.NoError(t, err)
 		t.Cleanup(s.list.Close)
-		s.list.Set()
+		s.list.Update()
 	}
 	for i := range hosts {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("w%d.example", i), Work: 5 * time.Millisecond},
-			func(body []byte) error { return s.program.CallBack(body) }, "127.0.0.1:0")
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("w%d.example", i), JobDuration: 5 * time.Millisecond},
+			func(body []byte) error { return s.program.SendCallback(body) }, "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		s.hosts = append(s.hosts, h)
@@ -77,7 +77,7 @@
 }
 
 func (s *stage) start() {
-	o := program.Options{Path: os.Args[0], Args: []string{"--state", s.state}, Dir: s.TempDir(), Discovery: "none",
+	o := program.Options{ProgramPath: os.Args[0], Args: []string{"--state", s.state}, Dir: s.TempDir(), Discovery: "none",
 		Env: []string{"TOPAZFALL_PLAYED=1"}}
 	if s.list != nil {
 		o.Discovery = s.list.Address()
@@ -109,7 +109,7 @@
 	for _, h := range hosts {
 		list = append(list, target(h))
 	}
-	s.dns.List(jobs, ttl, list...)
+	s.dns.SetRecords(jobs, ttl, list...)
 }
 
 // apply brings settings into force that ask for these names.
@@ -151,7 +151,7 @@
 
 func (s *stage) send(class string) (string, lab.Answer) {
 	id := s.client.NextID()
-	return id, s.client.Do(lab.Message{ID: id, Class: class, Tenant: "delta-mobile", Wait: 3 * time.Second,
+	return id, s.client.Do(lab.Message{ID: id, Class: class, Tenant: "delta-mobile", Timeout: 3 * time.Second,
 		Body: []byte("x")})
 }
 
@@ -190,13 +190,13 @@
 
 	stop := make(chan struct{})
 	time.AfterFunc(4*time.Second, func() { close(stop) })
-	time.AfterFunc(500*time.Millisecond, func() { s.dns.Set(resolver.Timeout) })
+	time.AfterFunc(500*time.Millisecond, func() { s.dns.SetFault(resolver.Timeout) })
 	sent, unserved := s.load(stop)
 	require.Greater(t, sent, 200)
 	require.Zero(t, unserved)
 	require.Len(t, s.up(), 3)
 
-	require.NoError(t, s.program.Term())
+	require.NoError(t, s.program.Terminate())
 	require.NoError(t, s.program.Wait(patience))
 	s.start()
 	require.Len(t, s.up(), 3, "marked old, and better than none")
@@ -205,7 +205,7 @@
 	r, err := s.api.Hosts(t.Context(), connect.NewRequest(&pb.HostsRequest{}))
 	require.NoError(t, err)
 	require.NotEmpty(t, r.Msg.Sources[1].Fault)
-	s.dns.Set(resolver.Answer)
+	s.dns.SetFault(resolver.Answer)
 	s.publish(1, s.hosts[0])
 	s.eventually("DNS is heard again", func() bool { return len(s.up()) == 1 })
 }
@@ -225,13 +225,13 @@
 			Class: "small", Share: 1, Health: health}
 	}
 	for _, health := range []string{"draining", "removed"} {
-		s.eventually("it is in use", func() bool { return time.Since(s.hosts[0].Last()) < 50*time.Millisecond })
+		s.eventually("it is in use", func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
 		told := time.Now()
-		s.list.Set(entry(health))
+		s.list.Update(entry(health))
 		time.Sleep(2 * time.Second)
-		require.Less(t, s.hosts[0].Last().Sub(told), 500*time.Millisecond, health)
-		s.list.Set(entry("up"))
-		s.eventually("it is freed", func() bool { return time.Since(s.hosts[0].Last()) < 50*time.Millisecond })
+		require.Less(t, s.hosts[0].LastArrival().Sub(told), 500*time.Millisecond, health)
+		s.list.Update(entry("up"))
+		s.eventually("it is freed", func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
 	}
 	close(stop)
 	load.Wait()
@@ -247,12 +247,12 @@
 		}
 		return targets
 	}
-	s.dns.List(jobs, 1, list(0, 1500)...)
-	s.dns.List("_b._tcp.w.example", 1, list(1000, 1000)...)
+	s.dns.SetRecords(jobs, 1, list(0, 1500)...)
+	s.dns.SetRecords("_b._tcp.w.example", 1, list(1000, 1000)...)
 	s.apply("", jobs, "_b._tcp.w.example")
 	s.eventually("all are listed, once", func() bool { return len(s.up()) == 2000 })
-	s.dns.List(jobs, 1, list(0, 1000)...)
-	s.dns.List("_b._tcp.w.example", 1, list(1500, 1000)...)
+	s.dns.SetRecords(jobs, 1, list(0, 1000)...)
+	s.dns.SetRecords("_b._tcp.w.example", 1, list(1500, 1000)...)
 	s.eventually("replaced", func() bool {
 		up := map[string]bool{}
 		for _, name := range s.up() {
@@ -260,7 +260,7 @@
 		}
 		return len(up) == 2000 && !up["h1200.w"] && up["h2400.w"]
 	})
-	require.NoError(t, s.program.Term())
+	require.NoError(t, s.program.Terminate())
 	require.NoError(t, s.program.Wait(patience))
 }
 
@@ -273,7 +273,7 @@
 	s.eventually("it is listed", func() bool { return len(s.up()) == 1 })
 	status := func(team string) int {
 		return s.client.Do(lab.Message{ID: s.client.NextID(), Class: program.Classes[0], Tenant: team,
-			Wait: 3 * time.Second, Body: []byte("x")}).Status
+			Timeout: 3 * time.Second, Body: []byte("x")}).Status
 	}
 	require.Equal(t, 400, status("new-team"))
 	now, err := s.api.Get(t.Context(), connect.NewRequest(&pb.GetRequest{}))
@@ -288,7 +288,7 @@
 	// the configuration is read again, and says nothing of the team
 	require.NoError(t, s.program.Signal(syscall.SIGHUP))
 	s.eventually("it was read", func() bool {
-		figures, err := s.program.Figures()
+		figures, err := s.program.Metrics()
 		return err == nil && figures["app_sighup_applied_total"] == 1
 	})
 	require.Equal(t, 200, status("new-team"))
--- a/cmd/topazfall-agent/installation_test.go
+++ b/cmd/topazfall-agent/installation_test.go
@@ -93,13 +93,13 @@
 	list, err := discoveryserver.Start()
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
-	list.Set(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	dir, err := os.MkdirTemp("", "rig") // a name that is short enough for a socket
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	go s.pace.run(t.Context(), filepath.Join(dir, "pace"))
 	s.Rig, err = rig.Start(rig.Options{Dir: dir, Names: s.all(), Split: configsync.SplitFrames, Seed: 11,
-		Args: s.arguments, Program: program.Options{Path: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"},
+		Args: s.arguments, Program: program.Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"},
 			Discovery: list.Address()}})
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -121,9 +121,9 @@
 func (s *shared) arguments(m rig.Member) ([]string, error) {
 	roster := configsync.Roster{Installation: s.Name()}
 	for i, name := range s.all() {
-		one := configsync.Member{Name: name, Address: m.Peers[name], Region: "north", Zone: fmt.Sprint("z", i%3)}
+		one := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "north", Zone: fmt.Sprint("z", i%3)}
 		if name == m.Name {
-			one.Address = m.Listen
+			one.Address = m.PeerListen
 		}
 		if slices.Contains(s.origins, name) {
 			one.Role = "origin"
@@ -134,8 +134,8 @@
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(filepath.Dir(m.State), "roster.json")
-	args := []string{"--state", m.State, "--roster", path}
+	path := filepath.Join(filepath.Dir(m.StateDir), "roster.json")
+	args := []string{"--state", m.StateDir, "--roster", path}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.started[m.Name] {
@@ -152,7 +152,7 @@
 	if api, ok := s.clients[pid]; ok { // each one keeps a connection, of which an instance takes no more than some
 		return api
 	}
-	api, err := client.New("unix:" + filepath.Join(s.Member(name).State, "control.sock"))
+	api, err := client.New("unix:" + filepath.Join(s.Member(name).StateDir, "control.sock"))
 	require.NoError(s, err)
 	s.clients[pid] = api
 	return api
@@ -340,7 +340,7 @@
 			require.NotNil(t, i.Since)
 		}
 	}
-	figures, err := s.Process("f1").Figures()
+	figures, err := s.Process("f1").Metrics()
 	require.NoError(t, err)
 	require.EqualValues(t, number, figures["app_config_revision"])
 	require.Positive(t, figures["app_config_in_force_seconds"])
@@ -398,7 +398,7 @@
 			number, at = s.apply(without(s.origins, name)[0], 10+i)
 			s.reach(number, at, rest...)
 		}
-		require.NoError(t, s.Wake(name))
+		require.NoError(t, s.Thaw(name))
 		s.reach(number, time.Now(), s.all()...)
 	}
 }
@@ -411,7 +411,7 @@
 	s.reach(number, at, s.all()...)
 	before := number
 	alone := s.leader("f1")
-	s.Cut(alone, "f0")
+	s.Partition(alone, "f0")
 	rest := without(s.all(), alone, "f0")
 	_, err := s.tryApply(alone, number, 99)
 	require.Error(t, err, "no majority")
@@ -435,7 +435,7 @@
 	number, at := s.apply("o0", 1)
 	s.reach(number, at, s.all()...)
 	for i, name := range []string{"f1", "o2", "o0", "o1", s.leader("f2")} {
-		s.CutFrom(name)
+		s.CutOutgoing(name)
 		number, at = s.apply(without(s.origins, name)[0], 10+i)
 		s.reach(number, at, without(s.all(), name)...)
 		s.Heal()
@@ -457,7 +457,7 @@
 	s.reach(number, at, s.all()...)
 	for _, name := range []string{"f0", "o1"} {
 		s.Kill(name)
-		require.NoError(t, s.Wipe(name))
+		require.NoError(t, s.WipeState(name))
 		s.mu.Lock()
 		s.highest[name] = 0 // it has forgotten
 		s.mu.Unlock()
@@ -477,7 +477,7 @@
 	s := join(t, 3, 4)
 	number, at := s.apply("o0", 1)
 	s.reach(number, at, s.all()...)
-	s.Disturb(link.FrameFaults{Double: 0.3, Reorder: 0.3, Replay: 0.3})
+	s.SetFrameFaults(link.FrameFaults{Duplicate: 0.3, Reorder: 0.3, Replay: 0.3})
 	for i := range 10 {
 		number, at = s.apply(s.origins[i%3], 10+i)
 		s.reach(number, at, s.all()...)
@@ -499,7 +499,7 @@
 			number, at = s.apply("o0", 10+i)
 			s.reach(number, at, s.all()...)
 		}
-		require.NoError(t, s.End(old))
+		require.NoError(t, s.Terminate(old))
 		number, at = s.apply("o0", 20+i)
 		s.reach(number, at, s.all()...)
 	}
@@ -527,7 +527,7 @@
 	s.reach(number, at, s.all()...)
 	for i := range 3 {
 		s.Kill("f0")
-		require.NoError(t, s.Wipe("f0"))
+		require.NoError(t, s.WipeState("f0"))
 		s.mu.Lock()
 		s.highest["f0"] = 0 // it has forgotten
 		s.mu.Unlock()
--- a/cmd/topazfall/addresses_test.go
+++ b/cmd/topazfall/addresses_test.go
@@ -36,15 +36,15 @@
 	t.Cleanup(list.Close)
 	tb := &testbed{T: t, discovery: list}
 	for i := range hosts {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), Dir: t.TempDir(), Work: 5 * time.Millisecond,
-			Late: 300 * time.Millisecond}, func(body []byte) error { return tb.program.CallBack(body) },
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: t.TempDir(), JobDuration: 5 * time.Millisecond,
+			ReadDelay: 300 * time.Millisecond}, func(body []byte) error { return tb.program.SendCallback(body) },
 			listenAddresses...)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
 		tb.hosts = append(tb.hosts, h)
-		list.Set(listEntry(h))
+		list.Update(listEntry(h))
 	}
-	options.Path, options.Dir, options.Discovery = os.Args[0], t.TempDir(), list.Address()
+	options.ProgramPath, options.Dir, options.Discovery = os.Args[0], t.TempDir(), list.Address()
 	options.Env = append(options.Env, "TOPAZFALL_PLAYED=1")
 	tb.start(options)
 	return tb
@@ -73,14 +73,14 @@
 
 func (tb *testbed) setFault(address int, f host.Fault) {
 	for _, h := range tb.hosts {
-		require.NoError(tb, h.Set(address, f))
+		require.NoError(tb, h.SetFault(address, f))
 	}
 }
 
 // send sends a message and returns its id and its answer.
 func (tb *testbed) send(class string) (string, client.Answer) {
 	id := tb.client.NextID()
-	return id, tb.client.Do(client.Message{ID: id, Class: class, Tenant: "delta-mobile", Wait: 4 * time.Second,
+	return id, tb.client.Do(client.Message{ID: id, Class: class, Tenant: "delta-mobile", Timeout: 4 * time.Second,
 		Body: []byte("x")})
 }
 
@@ -95,8 +95,8 @@
 // countRuns returns how often an id has run, and how often a request with it has begun to arrive, over all hosts.
 func (tb *testbed) countRuns(id string) (runs, sightings int) {
 	for _, h := range tb.hosts {
-		runs += h.Runs(id)
-		sightings += len(h.Seen(id))
+		runs += h.RunCount(id)
+		sightings += len(h.Arrivals(id))
 	}
 	return runs, sightings
 }
@@ -117,12 +117,12 @@
 	tb.setFault(unixAddress, host.Refuse)
 	for i := range 10 {
 		id, a := tb.mustServe(program.Classes[i%3])
-		require.Less(t, a.Took, 200*time.Millisecond)
-		seen := tb.hosts[0].Seen(id)
+		require.Less(t, a.Latency, 200*time.Millisecond)
+		seen := tb.hosts[0].Arrivals(id)
 		require.Len(t, seen, 1)
-		require.Equal(t, ipv4Address, seen[0].Door)
+		require.Equal(t, ipv4Address, seen[0].Endpoint)
 	}
-	metrics, err := tb.program.Figures()
+	metrics, err := tb.program.Metrics()
 	require.NoError(t, err)
 	require.LessOrEqual(t, metrics["app_address_failed_total"], 3.,
 		"a refusing address is not tried during its backoff")
@@ -131,13 +131,13 @@
 func TestAddressIsSilent(t *testing.T) {
 	tb := startTestbed(t, 1, program.Options{})
 	tb.setFault(unixAddress, host.Refuse)
-	tb.setFault(ipv4Address, host.Silent)
+	tb.setFault(ipv4Address, host.ConnectTimeout)
 	began := time.Now()
 	for i := 0; time.Since(began) < 1500*time.Millisecond; i++ {
 		id, a := tb.mustServe(program.Classes[i%3])
-		require.Equal(t, ipv6Address, tb.hosts[0].Seen(id)[0].Door)
+		require.Equal(t, ipv6Address, tb.hosts[0].Arrivals(id)[0].Endpoint)
 		if time.Since(began) > time.Second {
-			require.Less(t, a.Took, 45*time.Millisecond, "the silent address delays no message after a second")
+			require.Less(t, a.Latency, 45*time.Millisecond, "the silent address delays no message after a second")
 		}
 	}
 }
@@ -166,14 +166,14 @@
 	for _, class := range program.Classes {
 		t.Run(class, func(t *testing.T) {
 			tb := startTestbed(t, 2, program.Options{})
-			require.NoError(t, tb.hosts[0].Set(unixAddress, host.ResetWhole))
+			require.NoError(t, tb.hosts[0].SetFault(unixAddress, host.ResetAfterRequest))
 			for hit, i := 0, 0; i < 40; i++ {
 				id, a := tb.send(class)
 				require.NoError(t, a.Err)
 				runs, sightings := tb.countRuns(id)
-				reset := tb.hosts[0].Seen(id)
+				reset := tb.hosts[0].Arrivals(id)
 				switch {
-				case len(reset) == 0 || reset[0].Door != unixAddress:
+				case len(reset) == 0 || reset[0].Endpoint != unixAddress:
 					require.Equal(t, 200, a.Status)
 					require.Equal(t, 1, runs)
 				case class == "lookup":
@@ -187,7 +187,7 @@
 					require.LessOrEqual(t, hit, 1)
 				}
 			}
-			require.NotEmpty(t, tb.hosts[0].Accepted(unixAddress))
+			require.NotEmpty(t, tb.hosts[0].AcceptedConns(unixAddress))
 		})
 	}
 }
@@ -197,8 +197,8 @@
 func TestResetAddressRecovers(t *testing.T) {
 	for _, probe := range []bool{false, true} {
 		t.Run(fmt.Sprint("probe=", probe), func(t *testing.T) {
-			tb := startTestbed(t, 1, program.Options{Probe: probe})
-			tb.setFault(unixAddress, host.ResetWhole)
+			tb := startTestbed(t, 1, program.Options{MayProbe: probe})
+			tb.setFault(unixAddress, host.ResetAfterRequest)
 			_, a := tb.send("dispute-extract")
 			require.Equal(t, 502, a.Status)
 			tb.setFault(unixAddress, host.Serve)
@@ -208,7 +208,7 @@
 				if !probe {
 					tb.mustServe("lookup")
 				}
-				return tb.hosts[0].Seen(id)[0].Door == unixAddress
+				return tb.hosts[0].Arrivals(id)[0].Endpoint == unixAddress
 			})
 			require.Less(t, time.Since(began), 2*time.Second)
 		})
@@ -220,7 +220,7 @@
 func TestOnlyResets(t *testing.T) {
 	tb := startTestbed(t, 1, program.Options{})
 	for d := range listenAddresses {
-		tb.setFault(d, host.ResetWhole)
+		tb.setFault(d, host.ResetAfterRequest)
 	}
 	total := 0
 	for range 10 {
@@ -236,10 +236,10 @@
 // The first address of the only host accepts connections and resets all requests, or with ResetJobs only jobs, so that
 // probes are answered. A lookup is retried at the next address, and at most three disputes are lost.
 func TestOnlyHostResetsAtItsFirstAddress(t *testing.T) {
-	for _, f := range []host.Fault{host.ResetWhole, host.ResetJobs} {
+	for _, f := range []host.Fault{host.ResetAfterRequest, host.ResetAfterJob} {
 		for _, probe := range []bool{false, true} {
 			t.Run(fmt.Sprint(f, " probe=", probe), func(t *testing.T) {
-				tb := startTestbed(t, 1, program.Options{Probe: probe})
+				tb := startTestbed(t, 1, program.Options{MayProbe: probe})
 				tb.setFault(unixAddress, f)
 				lost := 0
 				for range 40 {
@@ -262,15 +262,15 @@
 // A connection is reset as soon as it is open, or after a part of a large request. As long as the last byte was not
 // written, the message cannot have run and may be retried elsewhere.
 func TestResetBeforeTheEnd(t *testing.T) {
-	for _, f := range []host.Fault{host.ResetUnread, host.ResetMidway} {
+	for _, f := range []host.Fault{host.ResetOnAccept, host.ResetMidRequest} {
 		t.Run(f.String(), func(t *testing.T) {
 			tb := startTestbed(t, 2, program.Options{})
-			require.NoError(t, tb.hosts[0].Set(unixAddress, f))
+			require.NoError(t, tb.hosts[0].SetFault(unixAddress, f))
 			lost := 0
 			for range 20 {
 				id := tb.client.NextID()
 				a := tb.client.Do(client.Message{ID: id, Class: "dispute-extract", Tenant: "delta-mobile",
-					Wait: 4 * time.Second, Body: make([]byte, 60<<10)})
+					Timeout: 4 * time.Second, Body: make([]byte, 60<<10)})
 				require.NoError(t, a.Err)
 				runs, _ := tb.countRuns(id)
 				require.LessOrEqual(t, runs, 1)
@@ -280,7 +280,7 @@
 				}
 			}
 			require.LessOrEqual(t, lost, 1)
-			require.Positive(t, tb.hosts[0].Accepted(unixAddress))
+			require.Positive(t, tb.hosts[0].AcceptedConns(unixAddress))
 		})
 	}
 }
@@ -288,7 +288,7 @@
 // Only a reset before the 202 counts as a failure. After the 202 the outcome comes by callbacks.
 func TestResetAfterAccepted(t *testing.T) {
 	tb := startTestbed(t, 1, program.Options{})
-	tb.setFault(unixAddress, host.ResetAccepted)
+	tb.setFault(unixAddress, host.ResetAfterResponse)
 	for i := range 9 {
 		id, _ := tb.mustServe(program.Classes[i%3])
 		runs, _ := tb.countRuns(id)
@@ -298,7 +298,7 @@
 
 func TestGarbage(t *testing.T) {
 	tb := startTestbed(t, 2, program.Options{})
-	require.NoError(t, tb.hosts[0].Set(unixAddress, host.Garbage))
+	require.NoError(t, tb.hosts[0].SetFault(unixAddress, host.Garbage))
 	lost := 0
 	for i := range 30 {
 		id, a := tb.send(program.Classes[i%3])
@@ -317,27 +317,27 @@
 // A job that is accepted late is served late, and no address counts as faulty for it.
 func TestAcceptLate(t *testing.T) {
 	tb := startTestbed(t, 1, program.Options{})
-	tb.setFault(unixAddress, host.AcceptLate)
+	tb.setFault(unixAddress, host.DelayReading)
 	for range 3 {
 		id, _ := tb.mustServe("dispute-extract")
-		require.Equal(t, unixAddress, tb.hosts[0].Seen(id)[0].Door)
+		require.Equal(t, unixAddress, tb.hosts[0].Arrivals(id)[0].Endpoint)
 	}
 }
 
 // The host begins to drain while connection attempts to its addresses are racing. Nothing is written to it later than
 // 500 ms after the change of the list.
 func TestDrainDuringRace(t *testing.T) {
-	tb := startTestbed(t, 1, program.Options{Dial: 2 * time.Second})
+	tb := startTestbed(t, 1, program.Options{DialTimeout: 2 * time.Second})
 	tb.setFault(unixAddress, host.Refuse)
-	tb.setFault(ipv4Address, host.Silent)
-	tb.setFault(ipv6Address, host.Silent)
+	tb.setFault(ipv4Address, host.ConnectTimeout)
+	tb.setFault(ipv6Address, host.ConnectTimeout)
 	var wait sync.WaitGroup
 	var ids []string
 	for range 5 {
 		id := tb.client.NextID()
 		ids = append(ids, id)
 		wait.Go(func() {
-			tb.client.Do(client.Message{ID: id, Class: "lookup", Tenant: "delta-mobile", Wait: 3 * time.Second,
+			tb.client.Do(client.Message{ID: id, Class: "lookup", Tenant: "delta-mobile", Timeout: 3 * time.Second,
 				Body: []byte("x")})
 		})
 	}
@@ -345,13 +345,13 @@
 	entry := listEntry(tb.hosts[0])
 	entry.Health = "draining"
 	drainedAt := time.Now()
-	tb.discovery.Set(entry)
+	tb.discovery.Update(entry)
 	time.Sleep(300 * time.Millisecond)
 	tb.setFault(ipv4Address, host.Serve) // the pending connects succeed with the next packet
 	tb.setFault(ipv6Address, host.Serve)
 	wait.Wait()
 	for _, id := range ids {
-		for _, seen := range tb.hosts[0].Seen(id) {
+		for _, seen := range tb.hosts[0].Arrivals(id) {
 			require.Less(t, seen.At.Sub(drainedAt), 500*time.Millisecond)
 		}
 	}
@@ -359,21 +359,21 @@
 
 // The deadline of a message passes while no connection can be opened. The message is answered in time.
 func TestTimeEndsDuringRace(t *testing.T) {
-	tb := startTestbed(t, 1, program.Options{Dial: 3 * time.Second})
+	tb := startTestbed(t, 1, program.Options{DialTimeout: 3 * time.Second})
 	tb.setFault(unixAddress, host.Refuse)
-	tb.setFault(ipv4Address, host.Silent)
-	tb.setFault(ipv6Address, host.Silent)
+	tb.setFault(ipv4Address, host.ConnectTimeout)
+	tb.setFault(ipv6Address, host.ConnectTimeout)
 	id := tb.client.NextID()
-	a := tb.client.Do(client.Message{ID: id, Class: "lookup", Tenant: "delta-mobile", Wait: 400 * time.Millisecond})
+	a := tb.client.Do(client.Message{ID: id, Class: "lookup", Tenant: "delta-mobile", Timeout: 400 * time.Millisecond})
 	require.NoError(t, a.Err)
 	require.NotEqual(t, 200, a.Status)
-	require.Less(t, a.Took, 600*time.Millisecond)
+	require.Less(t, a.Latency, 600*time.Millisecond)
 }
 
 // With so few connections that messages reach the limit, each message is answered, and no address counts as faulty.
 func TestConnectionLimitReached(t *testing.T) {
-	tb := startTestbed(t, 2, program.Options{Sockets: 42 + 32}) // 42 are reserved, and eight of the rest are for hosts
-	tb.setFault(unixAddress, host.AcceptLate)                   // so that each message keeps its connection for a while
+	tb := startTestbed(t, 2, program.Options{MaxSockets: 42 + 32}) // 42 are reserved, and eight of the rest are for hosts
+	tb.setFault(unixAddress, host.DelayReading)                    // so that each message keeps its connection for a while
 	var wait sync.WaitGroup
 	for i := range 14 {
 		wait.Go(func() {
@@ -404,12 +404,12 @@
 	socket := a.Addresses[unixAddress]
 	a.Addresses, b.Addresses = a.Addresses[:unixAddress], []string{socket}
 	b.Health = "draining"
-	tb.discovery.Set(b, a) // the new owner is listed first, and drains
+	tb.discovery.Update(b, a) // the new owner is listed first, and drains
 	time.Sleep(200 * time.Millisecond)
 	for i := range 20 {
 		id, _ := tb.mustServe(program.Classes[i%3])
-		for _, seen := range tb.hosts[0].Seen(id) {
-			require.NotEqual(t, unixAddress, seen.Door)
+		for _, seen := range tb.hosts[0].Arrivals(id) {
+			require.NotEqual(t, unixAddress, seen.Endpoint)
 		}
 	}
 }
@@ -428,7 +428,7 @@
 		sent++
 		time.Sleep(5 * time.Millisecond)
 	}
-	metrics, err := tb.program.Figures()
+	metrics, err := tb.program.Metrics()
 	require.NoError(t, err)
 	require.LessOrEqual(t, metrics["app_address_failed_total"], 8.)
 	require.LessOrEqual(t, metrics["app_address_trials_total"], 12.)
@@ -438,19 +438,19 @@
 // What a process has learned about addresses is handed over to its successor.
 func TestAddressesAreHandedOver(t *testing.T) {
 	tb := startTestbed(t, 1, program.Options{})
-	tb.setFault(unixAddress, host.ResetWhole)
+	tb.setFault(unixAddress, host.ResetAfterRequest)
 	_, a := tb.send("dispute-extract")
 	require.Equal(t, 502, a.Status)
 	predecessor := tb.program
-	options := program.Options{Path: os.Args[0], Dir: t.TempDir(), Discovery: tb.discovery.Address(),
+	options := program.Options{ProgramPath: os.Args[0], Dir: t.TempDir(), Discovery: tb.discovery.Address(),
 		Listen: predecessor.Address(), Env: []string{"TOPAZFALL_PLAYED=1"}}
 	options.Dir = predecessor.Dir()
 	tb.start(options)
-	require.NoError(t, predecessor.Term())
+	require.NoError(t, predecessor.Terminate())
 	require.NoError(t, predecessor.Wait(testTimeout))
 	for range 5 {
 		id, _ := tb.mustServe("dispute-extract")
-		require.NotEqual(t, unixAddress, tb.hosts[0].Seen(id)[0].Door)
+		require.NotEqual(t, unixAddress, tb.hosts[0].Arrivals(id)[0].Endpoint)
 	}
 }
 
@@ -461,7 +461,7 @@
 	a.Addresses = append([]string{"localhost:1", "127.0.0.1:0"}, a.Addresses...)
 	a.Addresses = append(a.Addresses, a.Addresses[2])
 	b.Addresses = append(b.Addresses, a.Addresses[3])
-	tb.discovery.Set(a, b)
+	tb.discovery.Update(a, b)
 	tb.eventually("the faults are logged", func() bool { return strings.Count(tb.program.Log(), "odd=address") >= 4 })
 	require.Equal(t, 4, strings.Count(tb.program.Log(), "odd=address"),
 		"two invalid, one listed twice, one of another host")
--- a/cmd/topazfall/descriptors_test.go
+++ b/cmd/topazfall/descriptors_test.go
@@ -17,7 +17,7 @@
 
 // openDescriptors returns the number of open descriptors of a process.
 func openDescriptors(t *testing.T, p *program.Process) int {
-	open, err := p.Descriptors()
+	open, err := p.OpenDescriptors()
 	require.NoError(t, err)
 	return open
 }
@@ -28,7 +28,7 @@
 	fastest := time.Hour
 	for range 3 {
 		began := time.Now()
-		metrics, err := tb.program.Figures()
+		metrics, err := tb.program.Metrics()
 		require.NoError(tb, err)
 		value, fastest = metrics[name], min(fastest, time.Since(began))
 		if fastest < time.Second {
@@ -44,7 +44,7 @@
 func (tb *testbed) mustServeOnNewConnection() {
 	tb.eventually("served", func() bool {
 		connection := client.New(tb.program.Address(), tb.client.NextID())
-		m := client.Message{ID: connection.NextID(), Class: "lookup", Tenant: "delta-mobile", Wait: 4 * time.Second}
+		m := client.Message{ID: connection.NextID(), Class: "lookup", Tenant: "delta-mobile", Timeout: 4 * time.Second}
 		return connection.Do(m).Status == 200
 	})
 }
@@ -56,7 +56,7 @@
 		id = tb.client.NextID()
 		connection := client.New(tb.program.Address(), "")
 		a = connection.Do(client.Message{ID: id, Class: "dispute-extract", Tenant: "delta-mobile",
-			Wait: 4 * time.Second})
+			Timeout: 4 * time.Second})
 		return a.Err == nil
 	})
 	return id, a
@@ -65,14 +65,14 @@
 // resetAndProbe lets the first address of the only worker reset a job and then serve again. As no message that may run
 // twice is sent, only a probe can show that it serves.
 func (tb *testbed) resetAndProbe() {
-	tb.setFault(unixAddress, host.ResetWhole)
+	tb.setFault(unixAddress, host.ResetAfterRequest)
 	_, a := tb.sendOnNewConnection()
 	require.Equal(tb, 502, a.Status, a.Body)
 	tb.setFault(unixAddress, host.Serve)
 	tb.eventually("probed", func() bool {
 		id, a := tb.sendOnNewConnection()
-		seen := tb.hosts[0].Seen(id)
-		return a.Status == 200 && len(seen) > 0 && seen[0].Door == unixAddress
+		seen := tb.hosts[0].Arrivals(id)
+		return a.Status == 200 && len(seen) > 0 && seen[0].Endpoint == unixAddress
 	})
 }
 
@@ -95,7 +95,7 @@
 		defer close(repeating.done)
 		for {
 			a := connection.Do(client.Message{ID: connection.NextID(), Class: "usage-report", Tenant: "delta-mobile",
-				Wait: 4 * time.Second})
+				Timeout: 4 * time.Second})
 			repeating.mu.Lock()
 			repeating.answers = append(repeating.answers, a)
 			repeating.mu.Unlock()
@@ -138,7 +138,7 @@
 	for _, a := range c.answers {
 		if a.Err == nil { // an idle connection may have been closed
 			require.Equal(t, 200, a.Status, a.Body)
-			spanned = spanned || a.Sent.Before(moment) && a.Sent.Add(a.Took).After(moment)
+			spanned = spanned || a.Sent.Before(moment) && a.Sent.Add(a.Latency).After(moment)
 		}
 	}
 	return spanned
@@ -155,17 +155,17 @@
 		fault          discoveryserver.Fault
 		clients        int
 	}{
-		{"the smallest limit", 256, 256, discoveryserver.Silent, 400},
-		{"the system's limit is the smaller one", 256, 1024, discoveryserver.Refuse, 400},
-		{"less than the smallest", 96, 256, discoveryserver.Silent, 200},
+		{"the smallest limit", 256, 256, discoveryserver.Unresponsive, 400},
+		{"the system's limit is the smaller one", 256, 1024, discoveryserver.Unavailable, 400},
+		{"less than the smallest", 96, 256, discoveryserver.Unresponsive, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			options := program.Options{Sockets: test.sockets, Descriptors: test.limit, Probe: true}
+			options := program.Options{MaxSockets: test.sockets, DescriptorLimit: test.limit, MayProbe: true}
 			tb := startTestbed(t, 1, options)
 			tb.mustServeOnNewConnection()
 			tb.discovery.SetFault(test.fault)
-			idle := client.Gather(tb.program.Address(), test.clients)
-			t.Cleanup(idle.Disperse)
+			idle := client.StartIdleClients(tb.program.Address(), test.clients)
+			t.Cleanup(idle.Stop)
 			tb.eventually("the idle clients use their descriptors", func() bool {
 				return openDescriptors(t, tb.program) > test.limit/2
 			})
@@ -176,14 +176,14 @@
 				return tb.metric("app_sighup_applied_total") == 1
 			})
 
-			second, err := host.Start(host.Options{Name: "s-9", Dir: t.TempDir(), Work: longJobTime},
-				tb.program.CallBack, listenAddresses...) // to the same address, whichever process has it
+			second, err := host.Start(host.Options{Name: "s-9", SocketDir: t.TempDir(), JobDuration: longJobTime},
+				tb.program.SendCallback, listenAddresses...) // to the same address, whichever process has it
 			require.NoError(t, err)
 			t.Cleanup(second.Close)
 			first := listEntry(tb.hosts[0])
 			first.Health = "draining"
-			tb.discovery.Set(listEntry(second), first)
-			tb.discovery.SetFault(discoveryserver.None)
+			tb.discovery.Update(listEntry(second), first)
+			tb.discovery.SetFault(discoveryserver.NoFault)
 			backAt := time.Now()
 			tb.eventually("the list is read", func() bool { return tb.metric("app_discovered") == 2 })
 			require.Less(t, time.Since(backAt), 6*time.Second)
@@ -191,7 +191,7 @@
 
 			tb.discovery.SetFault(test.fault)
 			predecessor, repeating := tb.program, tb.keepSending()
-			options.Path, options.Dir, options.Listen, options.Discovery = os.Args[0], predecessor.Dir(),
+			options.ProgramPath, options.Dir, options.Listen, options.Discovery = os.Args[0], predecessor.Dir(),
 				predecessor.Address(), tb.discovery.Address()
 			options.Env = []string{"TOPAZFALL_PLAYED=1"}
 			tb.start(options)
@@ -203,17 +203,17 @@
 			repeating.awaitAnswer(t)
 			time.Sleep(longJobTime / 2) // so that the next message is in progress
 			terminatedAt := time.Now()
-			require.NoError(t, predecessor.Term())
+			require.NoError(t, predecessor.Terminate())
 			require.NoError(t, predecessor.Wait(testTimeout))
 			require.Zero(t, predecessor.ExitCode())
 			repeating.awaitAnswer(t)
 			require.True(t, repeating.closeAndCheck(t, terminatedAt),
 				"no message was in progress when its connection was handed over")
 			tb.mustServeOnNewConnection()
-			require.NoError(t, tb.program.Term())
+			require.NoError(t, tb.program.Terminate())
 			require.NoError(t, tb.program.Wait(testTimeout))
 			require.Zero(t, tb.program.ExitCode())
-			idle.Disperse()
+			idle.Stop()
 			require.NotContains(t, predecessor.Log()+tb.program.Log(), "too many open files")
 		})
 	}
--- a/cmd/topazfall/restart_test.go
+++ b/cmd/topazfall/restart_test.go
@@ -125,7 +125,7 @@
 
 // launchProgram starts the program without waiting until it is ready.
 func launchProgram(t *testing.T, o program.Options) *program.Process {
-	o.Path, o.Env = os.Args[0], append(o.Env, "TOPAZFALL_PLAYED=1")
+	o.ProgramPath, o.Env = os.Args[0], append(o.Env, "TOPAZFALL_PLAYED=1")
 	if o.Dir == "" {
 		o.Dir = t.TempDir()
 	}
@@ -160,7 +160,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			list := startDiscovery(t)
-			list.SetFault(discoveryserver.Silent)
+			list.SetFault(discoveryserver.Unresponsive)
 			f := newFakePredecessor(t, behave)
 			p := launchProgram(t, program.Options{Dir: f.dir, Listen: f.clientListener.Addr().String(),
 				Discovery: list.Address(), Deadline: time.Second})
@@ -170,7 +170,7 @@
 			c, err := net.Dial("tcp", p.Address())
 			require.NoError(t, err)
 			c.Close()
-			require.NoError(t, p.Term())
+			require.NoError(t, p.Terminate())
 			require.NoError(t, p.Wait(testTimeout))
 			require.Zero(t, p.ExitCode())
 		})
@@ -214,7 +214,7 @@
 	require.Less(t, took, readyWithin)
 	_, err = hanging.ReadFrame()
 	require.Error(t, err, "its connection is closed")
-	require.NoError(t, predecessor.Term())
+	require.NoError(t, predecessor.Terminate())
 	require.NoError(t, predecessor.Wait(testTimeout))
 	require.Zero(t, predecessor.ExitCode())
 }
@@ -234,7 +234,7 @@
 				Discovery: list.Address()})
 			_, err = successor.AwaitReady(3 * time.Second)
 			require.ErrorContains(t, err, "not ready")
-			_, err = successor.Figures()
+			_, err = successor.Metrics()
 			require.NoError(t, err)
 			releasedAt := time.Now()
 			require.NoError(t, predecessor.Signal(release))
@@ -242,7 +242,7 @@
 			require.NoError(t, err)
 			require.Less(t, time.Since(releasedAt), readyWithin)
 			if release == syscall.SIGCONT {
-				require.NoError(t, predecessor.Term())
+				require.NoError(t, predecessor.Terminate())
 				require.NoError(t, predecessor.Wait(testTimeout))
 				require.Zero(t, predecessor.ExitCode())
 			}
@@ -280,7 +280,7 @@
 	require.NoError(t, err)
 	require.Less(t, time.Since(freedAt), readyWithin)
 	require.Eventually(t, func() bool {
-		metrics, err := p.Figures()
+		metrics, err := p.Metrics()
 		return err == nil && metrics["app_sighup_applied_total"] == 1
 	}, testTimeout, 10*time.Millisecond)
 }
@@ -296,18 +296,18 @@
 			predecessor := launchProgram(t, program.Options{Discovery: list.Address()})
 			_, err := predecessor.AwaitReady(testTimeout)
 			require.NoError(t, err)
-			worker, err := host.Start(host.Options{Name: "s-0", Dir: t.TempDir(), Work: 3 * time.Second},
-				predecessor.CallBack, listenAddresses...) // to the same address, whichever process has it
+			worker, err := host.Start(host.Options{Name: "s-0", SocketDir: t.TempDir(), JobDuration: 3 * time.Second},
+				predecessor.SendCallback, listenAddresses...) // to the same address, whichever process has it
 			require.NoError(t, err)
 			t.Cleanup(worker.Close)
-			list.Set(listEntry(worker))
+			list.Update(listEntry(worker))
 			answer := make(chan client.Answer, 1)
 			go func() {
 				answer <- client.New(predecessor.Address(), "slow").Do(client.Message{ID: "slow", Class: "usage-report",
-					Tenant: "delta-mobile", Wait: 8 * time.Second})
+					Tenant: "delta-mobile", Timeout: 8 * time.Second})
 			}()
-			require.Eventually(t, func() bool { return worker.Runs("slow") == 1 }, testTimeout, time.Millisecond)
-			require.NoError(t, predecessor.Term())
+			require.Eventually(t, func() bool { return worker.RunCount("slow") == 1 }, testTimeout, time.Millisecond)
+			require.NoError(t, predecessor.Terminate())
 			time.Sleep(since)
 			successor := launchProgram(t, program.Options{Dir: predecessor.Dir(), Listen: predecessor.Address(),
 				Discovery: list.Address()})
@@ -331,8 +331,8 @@
 // call in ten. They know no worker or an outdated list, and lists are pushed or polled. Nine in ten must be ready in
 // time, and all within the longest time that the platform waits.
 func testManyRestartedAtOnce(t *testing.T) {
-	faults := map[string]discoveryserver.Fault{"silent": discoveryserver.Silent, "slow": discoveryserver.Slow,
-		"refusing": discoveryserver.Refuse, "crowded": discoveryserver.Crowded, "down": discoveryserver.None}
+	faults := map[string]discoveryserver.Fault{"silent": discoveryserver.Unresponsive, "slow": discoveryserver.Slow,
+		"refusing": discoveryserver.Unavailable, "crowded": discoveryserver.Overloaded, "down": discoveryserver.NoFault}
 	var starts []program.Options
 	for name, fault := range faults {
 		list := startDiscovery(t)
@@ -341,7 +341,7 @@
 		}
 		for _, known := range []string{"", oldList} {
 			for _, asked := range []bool{false, true} {
-				starts = append(starts, program.Options{Discovery: list.Address(), Known: known, Asked: asked})
+				starts = append(starts, program.Options{Discovery: list.Address(), KnownHosts: known, Subscribe: asked})
 			}
 		}
 	}
@@ -377,7 +377,7 @@
 	t.Logf("ready after %v", times)
 	require.Less(t, times[len(times)*9/10-1], readyWithin)
 	for _, p := range restarted {
-		require.NoError(t, p.Term())
+		require.NoError(t, p.Terminate())
 	}
 	for _, p := range restarted {
 		require.NoError(t, p.Wait(testTimeout))
--- a/cmd/topazlab/addresses.go
+++ b/cmd/topazlab/addresses.go
@@ -18,7 +18,7 @@
 			"figures that have a bar are checked, and the exit code is 1 if one falls short.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.Program, "topazfall"); err != nil {
+			if err := beside(&o.ProgramPath, "topazfall"); err != nil {
 				return err
 			}
 			r, err := measure.Addresses(c.Context(), o, c.ErrOrStderr())
@@ -32,6 +32,6 @@
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
 	c.Flags().IntVar(&o.Messages, "n", 10_000, "messages over all cases")
 	c.Flags().IntVar(&o.Rate, "rate", 400, "messages a second")
-	c.Flags().StringVar(&o.Program, "program", "", "the dispatcher to run (default: topazfall beside this program)")
+	c.Flags().StringVar(&o.ProgramPath, "program", "", "the dispatcher to run (default: topazfall beside this program)")
 	return c
 }
--- a/cmd/topazlab/agent.go
+++ b/cmd/topazlab/agent.go
@@ -16,7 +16,7 @@
 		Short: "Runs agents against a resolver that changes, falls silent and contradicts the roster",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.Agent, "topazfall-agent"); err != nil {
+			if err := beside(&o.AgentPath, "topazfall-agent"); err != nil {
 				return err
 			}
 			r, err := measure.DNS(c.Context(), o, c.ErrOrStderr())
@@ -28,9 +28,9 @@
 	}
 	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
-	c.Flags().DurationVar(&o.Outage, "outage", time.Minute, "how long all resolvers are silent")
-	c.Flags().IntVar(&o.Drains, "drains", 10_000, "messages sent while the roster drains their host")
-	c.Flags().StringVar(&o.Agent, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
+	c.Flags().DurationVar(&o.OutageLength, "outage", time.Minute, "how long all resolvers are silent")
+	c.Flags().IntVar(&o.DrainMessages, "drains", 10_000, "messages sent while the roster drains their host")
+	c.Flags().StringVar(&o.AgentPath, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
 	return c
 }
 
@@ -42,7 +42,7 @@
 		Short: "Applies settings from many writers at once, and kills the agent in the middle",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.Agent, "topazfall-agent"); err != nil {
+			if err := beside(&o.AgentPath, "topazfall-agent"); err != nil {
 				return err
 			}
 			r, err := measure.Settings(c.Context(), o, c.ErrOrStderr())
@@ -55,6 +55,6 @@
 	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
 	c.Flags().IntVar(&o.Kills, "kills", 200, "kills in the middle of taking a revision")
-	c.Flags().StringVar(&o.Agent, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
+	c.Flags().StringVar(&o.AgentPath, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
 	return c
 }
--- a/cmd/topazlab/scale.go
+++ b/cmd/topazlab/scale.go
@@ -24,7 +24,7 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(from) > 0 {
-				r, err := scale.Rework(from, o.Charts)
+				r, err := scale.Recompute(from, o.Charts)
 				if err != nil {
 					return err
 				}
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			o.Hollow = []string{self, hollowName}
+			o.SimulatedCommand = []string{self, hollowName}
 			r, err := scale.Run(c.Context(), o, c.ErrOrStderr())
 			if err != nil {
 				return err
@@ -67,6 +67,6 @@
 		Short:  "Runs hollow dispatchers for scale, until its input ends",
 		Args:   cobra.NoArgs,
 		Hidden: true,
-		RunE:   func(c *cobra.Command, _ []string) error { return scale.ServeHollow(c.InOrStdin(), c.OutOrStdout()) },
+		RunE:   func(c *cobra.Command, _ []string) error { return scale.ServeSimulated(c.InOrStdin(), c.OutOrStdout()) },
 	}
 }
--- a/cmd/topazlab/soak.go
+++ b/cmd/topazlab/soak.go
@@ -26,7 +26,7 @@
 			return nil
 		},
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.Program, "topazfall"); err != nil {
+			if err := beside(&o.ProgramPath, "topazfall"); err != nil {
 				return err
 			}
 			if err := writable(file); err != nil {
@@ -40,12 +40,12 @@
 		},
 	}
 	c.Flags().StringVar(&file, "json", "", "keep the figures and the breaks in this file as well")
-	c.Flags().Uint64Var(&o.First, "first", 1, "seed of the first run")
+	c.Flags().Uint64Var(&o.FirstSeed, "first", 1, "seed of the first run")
 	c.Flags().IntVar(&o.Seeds, "seeds", 1, "how many runs, with seeds in a row")
 	c.Flags().IntVar(&o.Parallel, "parallel", 2, "runs at a time")
-	c.Flags().DurationVar(&o.Longest, "longest", 0, "bound on the length of a run")
-	c.Flags().StringVar(&o.Logs, "logs", "", "keep the dispatchers' logs in this folder")
-	c.Flags().StringVar(&o.Program, "program", "", "the dispatcher to run (default: topazfall beside this program)")
+	c.Flags().DurationVar(&o.MaxLength, "longest", 0, "bound on the length of a run")
+	c.Flags().StringVar(&o.LogDir, "logs", "", "keep the dispatchers' logs in this folder")
+	c.Flags().StringVar(&o.ProgramPath, "program", "", "the dispatcher to run (default: topazfall beside this program)")
 	return c
 }
 
--- a/internal/agent/installation.go
+++ b/internal/agent/installation.go
@@ -40,7 +40,7 @@
 }
 
 // Take brings a committed revision into force here.
-func (i *installation) Take(r configlog.Revision, entries map[string][]byte) (since time.Time, err error) {
+func (i *installation) ApplyRevision(r configlog.Revision, entries map[string][]byte) (since time.Time, err error) {
 	doc, err := settings.FromEntries(entries)
 	if err != nil {
 		return since, err
@@ -55,8 +55,8 @@
 
 // Apply has the origins make a revision, and answers when it is committed.
 func (i *installation) Apply(ctx context.Context, doc *pb.Settings, from uint64) (*pb.Revision, error) {
-	if !i.sync.Origin() {
-		return nil, control.ElsewhereError{Origins: i.roster.Origins()}
+	if !i.sync.IsOrigin() {
+		return nil, control.NotOriginError{Origins: i.roster.Origins()}
 	}
 	entries, err := changed(doc, time.Now())
 	if err != nil {
@@ -165,7 +165,7 @@
 	return out
 }
 
-func instanceOf(a configsync.Answer, newest uint64, newestSince int64) *pb.Instance {
+func instanceOf(a configsync.InstanceStatus, newest uint64, newestSince int64) *pb.Instance {
 	one := &pb.Instance{Name: a.Member.Name, Region: a.Member.Region, Zone: a.Member.Zone, Role: a.Member.Role}
 	if one.Role == "" {
 		one.Role = "follower"
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	tickPeriod  = configlog.TickPeriod * time.Microsecond / 2
+	tickPeriod  = configlog.MaxTickInterval * time.Microsecond / 2
 	eventsMost  = 256             // that wait for the goroutine that owns the log: 16 MB of messages at most
 	againTime   = 5 * time.Second // after a fault of the disk or the address
 	applySlack  = time.Second     // beyond the log's own limit for an Apply
@@ -39,7 +39,7 @@
 // same after a restart or an error. It returns since when the revision is in force here, or why it cannot be
 // brought into force.
 type Target interface {
-	Take(revision configlog.Revision, entries map[string][]byte) (since time.Time, err error)
+	ApplyRevision(revision configlog.Revision, entries map[string][]byte) (since time.Time, err error)
 }
 
 // Options say what an instance is started with.
@@ -74,8 +74,8 @@
 	fault string // why nothing is followed
 }
 
-// ErrEnded says that the instance ends.
-var ErrEnded = errors.New("the instance ends")
+// ErrClosed says that the instance ends.
+var ErrClosed = errors.New("the instance ends")
 
 // ErrNotRunning says that the instance does not take part now: another process of it does, or its disk or address
 // cannot be used. Nothing was done.
@@ -88,7 +88,7 @@
 func New(o Options) (*Sync, error) {
 	me, ok := o.Roster.Member(o.Name)
 	if !ok {
-		return nil, fmt.Errorf("%w: %.64q is not on it", ErrRoster, o.Name)
+		return nil, fmt.Errorf("%w: %.64q is not on it", ErrInvalidRoster, o.Name)
 	}
 	s := &Sync{options: o, me: me, members: map[string]Member{}, storage: storage{o.State}, counts: newCounts(),
 		began: time.Now(), fault: "it does not take part yet: another process of this instance does",
@@ -112,8 +112,8 @@
 	s.wait.Wait()
 }
 
-// Origin tells whether revisions are made here.
-func (s *Sync) Origin() bool { return roles[s.me.Role] == configlog.Origin }
+// IsOrigin tells whether revisions are made here.
+func (s *Sync) IsOrigin() bool { return roles[s.me.Role] == configlog.Origin }
 
 // WriteMetrics writes the figures in the text exposition format.
 func (s *Sync) WriteMetrics(w io.Writer) { s.counts.write(w) }
@@ -155,13 +155,13 @@
 	if fault != nil {
 		slog.Error("configsync", "state", "forgotten", "error", fault)
 	}
-	first := s.options.Bootstrap && fault == nil && saved.Document == nil && !saved.Vote.Settled
-	if first && s.Origin() {
+	first := s.options.Bootstrap && fault == nil && saved.Document == nil && !saved.Vote.CanVote
+	if first && s.IsOrigin() {
 		slog.Warn("configsync", "state", "bootstrap", "name", s.me.Name)
 	}
 	node, err := configlog.New(configlog.Options{Node: configlog.NodeID(s.me.Name), Roster: s.options.Roster.members(),
-		Timing: s.options.Timing, FanOut: s.options.FanOut, Seed: rand.Uint64(), Life: uint64(time.Now().UnixNano()),
-		First: first, Counted: s.counts.dropLog}, saved)
+		Timing: s.options.Timing, FanOut: s.options.FanOut, Seed: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
+		Bootstrap: first, OnDrop: s.counts.dropLog}, saved)
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return spareLinks
 	}
-	return len(t.Neighbors(configlog.NodeID(name))) + fan.Adopted + spareLinks
+	return len(t.Neighbors(configlog.NodeID(name))) + fan.Subscribers + spareLinks
 }
 
 // Descriptors are those that an instance's connections need, both ways, with its listener and files.
@@ -232,7 +232,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-s.context.Done():
-		return ErrEnded
+		return ErrClosed
 	}
 }
 
@@ -248,7 +248,7 @@
 	case <-ctx.Done():
 		return v, ctx.Err()
 	case <-s.context.Done():
-		return v, ErrEnded
+		return v, ErrClosed
 	}
 }
 
@@ -257,7 +257,7 @@
 // that each is known by what it makes. Besides the log's outcomes there are ErrNotOrigin, ErrEnded and the
 // context's errors.
 func (s *Sync) Apply(ctx context.Context, base uint64, entries map[string][]byte) (configlog.Result, error) {
-	if !s.Origin() {
+	if !s.IsOrigin() {
 		return configlog.Result{}, ErrNotOrigin
 	}
 	answer := make(chan configlog.Result, 1)
@@ -275,7 +275,7 @@
 		return configlog.Result{}, err
 	}
 	defer s.do(context.WithoutCancel(ctx), func(r *session) { delete(r.applies, id) })
-	limit := time.NewTimer(time.Duration(s.timing().ApplyLimit)*time.Microsecond + applySlack)
+	limit := time.NewTimer(time.Duration(s.timing().ApplyTimeout)*time.Microsecond + applySlack)
 	defer limit.Stop()
 	select {
 	case r := <-answer:
@@ -285,7 +285,7 @@
 	case <-ctx.Done():
 		return configlog.Result{}, ctx.Err()
 	case <-s.context.Done():
-		return configlog.Result{}, ErrEnded
+		return configlog.Result{}, ErrClosed
 	}
 }
 
@@ -311,16 +311,16 @@
 	return reply
 }
 
-// Answer is what an instance has said of itself, or why it has said nothing.
-type Answer struct {
+// InstanceStatus is what an instance has said of itself, or why it has said nothing.
+type InstanceStatus struct {
 	Member Member
 	Status *syncpb.StatusReply // nil where Err is not
 	Err    error
 }
 
 // StatusAll asks every instance on the roster, some at a time, and returns the answers in the roster's order.
-func (s *Sync) StatusAll(ctx context.Context) []Answer {
-	answers := make([]Answer, len(s.options.Roster.Members))
+func (s *Sync) StatusAll(ctx context.Context) []InstanceStatus {
+	answers := make([]InstanceStatus, len(s.options.Roster.Members))
 	places := make(chan struct{}, statusAsked)
 	var wait sync.WaitGroup
 	for i, m := range s.options.Roster.Members {
--- a/internal/configsync/counts.go
+++ b/internal/configsync/counts.go
@@ -13,23 +13,23 @@
 	"topazfall/internal/decide/configlog"
 )
 
-// Reason says why something that came in, or was to go out, was dropped. The reasons of configlog count beside these.
-type Reason string
+// DropReason says why something that came in, or was to go out, was dropped. The reasons of configlog count beside these.
+type DropReason string
 
 // The reasons.
 const (
-	ReasonHello       Reason = "hello"       // a first frame that is none, or one in the middle
-	ReasonStranger    Reason = "stranger"    // another installation, or a name that is not on the roster
-	ReasonRegion      Reason = "region"      // a member that claims another region than the roster's
-	ReasonSize        Reason = "size"        // a frame larger than frames may be
-	ReasonForm        Reason = "form"        // a frame or message that is not well-formed, or beyond a limit
-	ReasonVersion     Reason = "version"     // a frame of an unknown version
-	ReasonCut         Reason = "cut"         // a frame that was cut short
-	ReasonConnections Reason = "connections" // more connections than there may be
-	ReasonBusy        Reason = "busy"        // more messages than could be handled
-	ReasonQueue       Reason = "queue"       // more messages for an instance than may wait; it pulls what it missed
-	ReasonUnreachable Reason = "unreachable" // messages for an instance that could not be reached
-	ReasonSettings    Reason = "settings"    // a committed revision that this program cannot bring into force
+	ReasonHello       DropReason = "hello"       // a first frame that is none, or one in the middle
+	ReasonStranger    DropReason = "stranger"    // another installation, or a name that is not on the roster
+	ReasonRegion      DropReason = "region"      // a member that claims another region than the roster's
+	ReasonSize        DropReason = "size"        // a frame larger than frames may be
+	ReasonForm        DropReason = "form"        // a frame or message that is not well-formed, or beyond a limit
+	ReasonVersion     DropReason = "version"     // a frame of an unknown version
+	ReasonCut         DropReason = "cut"         // a frame that was cut short
+	ReasonConnections DropReason = "connections" // more connections than there may be
+	ReasonBusy        DropReason = "busy"        // more messages than could be handled
+	ReasonQueue       DropReason = "queue"       // more messages for an instance than may wait; it pulls what it missed
+	ReasonUnreachable DropReason = "unreachable" // messages for an instance that could not be reached
+	ReasonSettings    DropReason = "settings"    // a committed revision that this program cannot bring into force
 )
 
 // logEvery is how often a reason is named in the log, at most.
@@ -46,17 +46,17 @@
 	silent   atomic.Int64 // microseconds; negative for never heard of a leader
 
 	mu      sync.Mutex
-	dropped map[Reason]int64
-	unsaid  map[Reason]int64
-	said    map[Reason]time.Time
+	dropped map[DropReason]int64
+	unsaid  map[DropReason]int64
+	said    map[DropReason]time.Time
 }
 
 func newCounts() *counts {
-	return &counts{dropped: map[Reason]int64{}, unsaid: map[Reason]int64{}, said: map[Reason]time.Time{}}
+	return &counts{dropped: map[DropReason]int64{}, unsaid: map[DropReason]int64{}, said: map[DropReason]time.Time{}}
 }
 
 // drop counts what was dropped, and names it in the log once in logEvery.
-func (c *counts) drop(why Reason, number int64, attributes ...any) {
+func (c *counts) drop(why DropReason, number int64, attributes ...any) {
 	if number == 0 {
 		return
 	}
@@ -73,7 +73,7 @@
 	c.said[why], c.unsaid[why] = now, 0
 }
 
-func (c *counts) dropLog(why configlog.Drop) { c.drop(Reason(why), 1) }
+func (c *counts) dropLog(why configlog.DropReason) { c.drop(DropReason(why), 1) }
 
 // write writes the figures in the text exposition format.
 func (c *counts) write(w io.Writer) {
--- a/internal/configsync/counts_test.go
+++ b/internal/configsync/counts_test.go
@@ -13,7 +13,7 @@
 func TestReasonsAreNamedOnceAMinute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCounts()
-		waits := func(why Reason) int64 { return c.unsaid[why] } // what the log has not told yet
+		waits := func(why DropReason) int64 { return c.unsaid[why] } // what the log has not told yet
 		c.drop(ReasonForm, 1)
 		require.Zero(t, waits(ReasonForm))
 		for range 1000 {
--- a/internal/configsync/enforce.go
+++ b/internal/configsync/enforce.go
@@ -70,7 +70,7 @@
 	if now == nil {
 		return
 	}
-	since, err := e.target.Take(now.revision, now.entries)
+	since, err := e.target.ApplyRevision(now.revision, now.entries)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
--- a/internal/configsync/frame.go
+++ b/internal/configsync/frame.go
@@ -12,31 +12,31 @@
 	"topazfall/internal/decide/configlog"
 )
 
-// Version is that of the frames.
-const Version = 1
+// FrameVersion is that of the frames.
+const FrameVersion = 1
 
 // lengthBytes come before each frame.
 const lengthBytes = 4
 
-// MaxFrame is the most bytes of a frame: a message of the log, and what is round it.
-const MaxFrame = configlog.MaxMessage + 1024
+// MaxFrameBytes is the most bytes of a frame: a message of the log, and what is round it.
+const MaxFrameBytes = configlog.MaxMessage + 1024
 
 // Errors of a frame that cannot be read.
 var (
-	ErrFrameSize    = errors.New("the frame is larger than a frame may be")
-	ErrFrameForm    = errors.New("the frame is not well-formed")
-	ErrFrameVersion = errors.New("the frame is of an unknown version")
+	ErrFrameTooLarge  = errors.New("the frame is larger than a frame may be")
+	ErrFrameMalformed = errors.New("the frame is not well-formed")
+	ErrFrameVersion   = errors.New("the frame is of an unknown version")
 )
 
 // encodeFrame returns a frame as it is on the wire.
 func encodeFrame(f *syncpb.Frame) ([]byte, error) {
-	f.Version = Version
+	f.Version = FrameVersion
 	text, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, lengthBytes), f)
 	if err != nil {
 		return nil, err
 	}
-	if len(text)-lengthBytes > MaxFrame {
-		return nil, ErrFrameSize
+	if len(text)-lengthBytes > MaxFrameBytes {
+		return nil, ErrFrameTooLarge
 	}
 	binary.BigEndian.PutUint32(text, uint32(len(text)-lengthBytes))
 	return text, nil
@@ -50,8 +50,8 @@
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(head[:])
-	if length > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrameSize, length)
+	if length > MaxFrameBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, length)
 	}
 	text := make([]byte, length)
 	if _, err := io.ReadFull(r, text); err != nil {
@@ -66,13 +66,13 @@
 func parseFrame(text []byte) (*syncpb.Frame, error) {
 	f := &syncpb.Frame{}
 	if err := proto.Unmarshal(text, f); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrFrameForm, err)
+		return nil, fmt.Errorf("%w: %v", ErrFrameMalformed, err)
 	}
-	if f.Version != Version {
+	if f.Version != FrameVersion {
 		return nil, fmt.Errorf("%w: %d", ErrFrameVersion, f.Version)
 	}
 	if f.Content == nil {
-		return nil, fmt.Errorf("%w: it is empty", ErrFrameForm)
+		return nil, fmt.Errorf("%w: it is empty", ErrFrameMalformed)
 	}
 	return f, nil
 }
@@ -81,8 +81,8 @@
 func SplitFrames(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if len(data) >= lengthBytes {
 		length := binary.BigEndian.Uint32(data)
-		if length > MaxFrame {
-			return 0, nil, ErrFrameSize
+		if length > MaxFrameBytes {
+			return 0, nil, ErrFrameTooLarge
 		}
 		if whole := lengthBytes + int(length); len(data) >= whole {
 			return whole, data[:whole], nil
--- a/internal/configsync/incoming.go
+++ b/internal/configsync/incoming.go
@@ -156,7 +156,7 @@
 		c.SetReadDeadline(time.Now().Add(readTime))
 		f, err := readFrame(reader)
 		switch {
-		case errors.Is(err, ErrFrameForm), errors.Is(err, ErrFrameVersion):
+		case errors.Is(err, ErrFrameMalformed), errors.Is(err, ErrFrameVersion):
 			in.dropUnread(err, from)
 			continue
 		case err != nil:
@@ -170,7 +170,7 @@
 }
 
 // check returns who a first frame is from, or why it is refused.
-func (in *incoming) check(h *syncpb.Hello) (from string, why Reason) {
+func (in *incoming) check(h *syncpb.Hello) (from string, why DropReason) {
 	if h == nil {
 		return "", ReasonHello
 	}
@@ -234,11 +234,11 @@
 // dropUnread counts what could not be read. That a connection ends, or says nothing for long, is no fault.
 func (in *incoming) dropUnread(err error, from string) {
 	switch {
-	case errors.Is(err, ErrFrameSize):
+	case errors.Is(err, ErrFrameTooLarge):
 		in.counts.drop(ReasonSize, 1, "from", from, "error", err)
 	case errors.Is(err, ErrFrameVersion):
 		in.counts.drop(ReasonVersion, 1, "from", from, "error", err)
-	case errors.Is(err, ErrFrameForm):
+	case errors.Is(err, ErrFrameMalformed):
 		in.counts.drop(ReasonForm, 1, "from", from, "error", err)
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		in.counts.drop(ReasonCut, 1, "from", from)
--- a/internal/configsync/input_test.go
+++ b/internal/configsync/input_test.go
@@ -50,7 +50,7 @@
 	return encode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{Log: configlog.AppendBody(nil, body)}})
 }
 
-func dropped(s *Sync, why Reason) int64 {
+func dropped(s *Sync, why DropReason) int64 {
 	s.counts.mu.Lock()
 	defer s.counts.mu.Unlock()
 	return s.counts.dropped[why]
@@ -68,7 +68,7 @@
 	for n := range many {
 		many[n] = configlog.Entry{Key: string(binary.BigEndian.AppendUint32(nil, uint32(n))), Delete: true}
 	}
-	revision := configlog.Revision{Epoch: configlog.Epoch{Round: 99, Origin: "o0"}, Number: 2}
+	revision := configlog.Revision{Epoch: configlog.Epoch{Round: 99, Leader: "o0"}, Number: 2}
 	push := func(change configlog.Change) []byte {
 		return configlog.AppendBody(nil, configlog.Push{Delta: configlog.Delta{Revision: revision, Change: change}})
 	}
@@ -83,7 +83,7 @@
 	for _, c := range []struct {
 		name string
 		text []byte
-		why  Reason
+		why  DropReason
 	}{
 		{"no hello", sound, ReasonHello},
 		{"another installation", hello(t, func(h *syncpb.Hello) { h.Installation = "other" }), ReasonStranger},
@@ -104,7 +104,7 @@
 		{"a checksum that differs, of one who does not feed it", append(hello(t, nil), encode(t, &syncpb.Frame{
 			Content: &syncpb.Frame_Log{Log: push(configlog.Change{entry("a")})}})...), ""},
 		{"an origin's word of a follower", append(hello(t, nil), message(t, configlog.Heartbeat{Held: revision})...),
-			Reason(configlog.DropRole)},
+			DropReason(configlog.DropWrongRole)},
 	} {
 		before := dropped(i.syncs["f0"], c.why)
 		conn := dialMember(t, i, "f0")
@@ -216,7 +216,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		frame, err := parseFrame(text)
-		if err == nil && (frame.Version != Version || frame.Content == nil) {
+		if err == nil && (frame.Version != FrameVersion || frame.Content == nil) {
 			t.Fatal("a frame that is not whole")
 		}
 	})
@@ -248,7 +248,7 @@
 			require.NoError(t, err, text)
 			continue
 		}
-		require.ErrorIs(t, err, ErrRoster, text)
+		require.ErrorIs(t, err, ErrInvalidRoster, text)
 		require.ErrorContains(t, err, want)
 	}
 }
@@ -259,8 +259,8 @@
 	s := storage{t.TempDir()}
 	d := configlog.NewDocument()
 	require.NoError(t, s.saveDocument(d))
-	vote := configlog.Vote{Settled: true, Promised: configlog.Epoch{Round: 3, Origin: "a"}}
-	require.NoError(t, s.saveVote(configlog.Vote{Settled: true}))
+	vote := configlog.Vote{CanVote: true, Promised: configlog.Epoch{Round: 3, Leader: "a"}}
+	require.NoError(t, s.saveVote(configlog.Vote{CanVote: true}))
 	require.NoError(t, s.saveVote(vote))
 	saved, fault, err := s.load()
 	require.NoError(t, err)
@@ -281,7 +281,7 @@
 					require.Equal(t, vote, saved.Vote)
 					continue
 				}
-				require.False(t, saved.Vote.Settled, "%s, byte %d", name, n)
+				require.False(t, saved.Vote.CanVote, "%s, byte %d", name, n)
 			}
 		}
 		require.NoError(t, os.WriteFile(path, text, 0o600))
--- a/internal/configsync/outgoing.go
+++ b/internal/configsync/outgoing.go
@@ -76,7 +76,7 @@
 }
 
 // drop drops the first of what waits; o.mu is held.
-func (o *outgoing) drop(count int, why Reason) {
+func (o *outgoing) drop(count int, why DropReason) {
 	o.counts.drop(why, int64(count), "to", o.to.Name)
 	for _, q := range o.frames[:count] {
 		o.bytes -= len(q.frame)
@@ -181,7 +181,7 @@
 	case err != nil:
 		return err
 	case f.GetHello().GetFrom() != to.Name:
-		return fmt.Errorf("%w: no hello of %s", ErrFrameForm, to.Name)
+		return fmt.Errorf("%w: no hello of %s", ErrFrameMalformed, to.Name)
 	}
 	return nil
 }
@@ -261,7 +261,7 @@
 	}
 	reply := f.GetStatusReply()
 	if reply == nil || reply.Name != to.Name {
-		return nil, fmt.Errorf("%w: no status of %s", ErrFrameForm, to.Name)
+		return nil, fmt.Errorf("%w: no status of %s", ErrFrameMalformed, to.Name)
 	}
 	return reply, nil
 }
--- a/internal/configsync/roster.go
+++ b/internal/configsync/roster.go
@@ -38,8 +38,8 @@
 var roles = map[string]configlog.Role{"": configlog.Follower, "follower": configlog.Follower, "relay": configlog.Relay,
 	"origin": configlog.Origin}
 
-// ErrRoster is wrapped by what is wrong with a roster.
-var ErrRoster = errors.New("roster")
+// ErrInvalidRoster is wrapped by what is wrong with a roster.
+var ErrInvalidRoster = errors.New("roster")
 
 // LoadRoster reads and checks a roster file. Its errors are those of reading, and ErrRoster.
 func LoadRoster(path string) (*Roster, error) {
@@ -58,39 +58,39 @@
 // ParseRoster reads a roster and checks it as a whole.
 func ParseRoster(text []byte) (*Roster, error) {
 	if len(text) > largestRoster {
-		return nil, fmt.Errorf("%w: more than %d bytes", ErrRoster, largestRoster)
+		return nil, fmt.Errorf("%w: more than %d bytes", ErrInvalidRoster, largestRoster)
 	}
 	r := &Roster{}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(r); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrRoster, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidRoster, err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, fmt.Errorf("%w: it goes on after its end", ErrRoster)
+		return nil, fmt.Errorf("%w: it goes on after its end", ErrInvalidRoster)
 	}
 	return r, r.check()
 }
 
 func (r *Roster) check() error {
 	if r.Installation == "" || len(r.Installation) > configlog.MaxNodeID {
-		return fmt.Errorf("%w: installation must have 1 to %d bytes", ErrRoster, configlog.MaxNodeID)
+		return fmt.Errorf("%w: installation must have 1 to %d bytes", ErrInvalidRoster, configlog.MaxNodeID)
 	}
 	addresses := map[string]string{}
 	for _, m := range r.Members {
 		if _, ok := roles[m.Role]; !ok {
-			return fmt.Errorf("%w: %.64q has role %.64q", ErrRoster, m.Name, m.Role)
+			return fmt.Errorf("%w: %.64q has role %.64q", ErrInvalidRoster, m.Name, m.Role)
 		}
 		if err := checkAddress(m.Address, r.TrustedNetwork); err != nil {
-			return fmt.Errorf("%w: %.64q: %w", ErrRoster, m.Name, err)
+			return fmt.Errorf("%w: %.64q: %w", ErrInvalidRoster, m.Name, err)
 		}
 		if other, ok := addresses[m.Address]; ok {
-			return fmt.Errorf("%w: %.64q has the address of %.64q", ErrRoster, m.Name, other)
+			return fmt.Errorf("%w: %.64q has the address of %.64q", ErrInvalidRoster, m.Name, other)
 		}
 		addresses[m.Address] = m.Name
 	}
-	if err := r.members().Check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrRoster, err)
+	if err := r.members().Validate(); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidRoster, err)
 	}
 	return nil
 }
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -97,7 +97,7 @@
 	if r.fault != nil {
 		return
 	}
-	changed := e.Replaced || len(e.Taken) > 0
+	changed := e.Replaced || len(e.Deltas) > 0
 	if changed {
 		r.fault = r.storage.saveDocument(r.node.Document())
 	}
@@ -140,7 +140,7 @@
 func (r *session) open(name configlog.NodeID) (*outgoing, error) {
 	m, ok := r.members[string(name)]
 	if !ok {
-		return nil, fmt.Errorf("%w: %.64q is not on it", ErrRoster, name)
+		return nil, fmt.Errorf("%w: %.64q is not on it", ErrInvalidRoster, name)
 	}
 	hello, err := r.hello(m.Name)
 	if err != nil {
@@ -158,30 +158,30 @@
 	s := r.node.Status(now)
 	r.counts.newest.Store(s.Newest.Number)
 	r.counts.silent.Store(silence(now, s))
-	if s.Voting != r.voting {
-		r.voting = s.Voting
+	if s.CanVote != r.voting {
+		r.voting = s.CanVote
 		slog.Info("configsync", "state", "voting", "name", r.me.Name)
 	}
 }
 
 // silence is how long ago the leader was last heard of, in microseconds; negative for never.
 func silence(now int64, s configlog.Status) int64 {
-	if s.Fresh == 0 {
+	if s.LeaderHeardAt == 0 {
 		return -1
 	}
-	return max(now-s.Fresh, 0)
+	return max(now-s.LeaderHeardAt, 0)
 }
 
 func (r *session) status() *syncpb.StatusReply {
 	now := r.now()
 	s := r.node.Status(now)
 	inForce, fault := r.enforcer.state()
-	reply := &syncpb.StatusReply{Name: r.me.Name, Voting: s.Voting, Revision: inForce.Number, Fault: fault,
+	reply := &syncpb.StatusReply{Name: r.me.Name, Voting: s.CanVote, Revision: inForce.Number, Fault: fault,
 		SinceUs: r.counts.since.Load(), Newest: s.Newest.Number, SilentUs: silence(now, s), Leader: string(s.Leader)}
 	if inForce.Number > 0 {
 		reply.Epoch = inForce.Epoch.String()
 	}
-	if r.Origin() && !s.Voting {
+	if r.IsOrigin() && !s.CanVote {
 		reply.Fault = "it does not vote: it has forgotten, and not all other origins have told it what they know"
 	}
 	for _, source := range s.Sources {
--- a/internal/configsync/storage.go
+++ b/internal/configsync/storage.go
@@ -25,7 +25,7 @@
 // load returns what is saved. fault says what was wrong with it though the instance can go on: what could not be
 // read is left out, and an origin then has forgotten, and does not vote before it has been told what it may have
 // known. A document that is older than the one saved last is such a case too.
-func (s storage) load() (saved configlog.Saved, fault, err error) {
+func (s storage) load() (saved configlog.SavedState, fault, err error) {
 	if err := os.MkdirAll(s.dir, 0o700); err != nil {
 		return saved, nil, err
 	}
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -30,7 +30,7 @@
 	refuse   uint64 // the number of a revision that it cannot use
 }
 
-func (g *target) Take(r configlog.Revision, entries map[string][]byte) (time.Time, error) {
+func (g *target) ApplyRevision(r configlog.Revision, entries map[string][]byte) (time.Time, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Number < g.revision.Number {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -54,10 +54,10 @@
 	Instances(ctx context.Context) *pb.InstancesResponse
 }
 
-// ElsewhereError turns a document down at an instance that follows.
-type ElsewhereError struct{ Origins []string }
+// NotOriginError turns a document down at an instance that follows.
+type NotOriginError struct{ Origins []string }
 
-func (e ElsewhereError) Error() string {
+func (e NotOriginError) Error() string {
 	return "this instance follows; apply at one of " + strings.Join(e.Origins, ", ")
 }
 
@@ -191,7 +191,7 @@
 	taken, err := s.apply(ctx, r.Msg)
 	var faults settings.Faults
 	var stale settings.StaleError
-	var elsewhere ElsewhereError
+	var elsewhere NotOriginError
 	switch {
 	case err == nil:
 		slog.Info("settings", "state", "taken", "revision", taken.Number)
--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -17,7 +17,7 @@
 		}
 		delta, err := d.next(testEpoch, change)
 		require.NoError(tb, err)
-		require.NoError(tb, d.Take(delta))
+		require.NoError(tb, d.Apply(delta))
 		deltas = append(deltas, delta)
 	}
 	return deltas
@@ -29,7 +29,7 @@
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
 			d := NewDocument()
 			filled(b, d, entries)
-			n, err := New(Options{Node: "c5", Roster: installation(300)}, Saved{Document: d.Clone()})
+			n, err := New(Options{Node: "c5", Roster: installation(300)}, SavedState{Document: d.Clone()})
 			require.NoError(b, err)
 			n.Tick(1)
 			parent := n.topology.Parents("c5")[0]
@@ -39,7 +39,7 @@
 				copy(value, fmt.Sprint(i))
 				delta, err := d.next(testEpoch, Change{{Key: "key/000001", Value: value}})
 				require.NoError(b, err)
-				require.NoError(b, d.Take(delta))
+				require.NoError(b, d.Apply(delta))
 				pushes[i] = Message{parent, "c5", Push{delta}}
 			}
 			b.ReportAllocs()
@@ -58,14 +58,14 @@
 func BenchmarkDigest(b *testing.B) {
 	for _, followers := range []int{30, 300, 1000} {
 		b.Run(fmt.Sprint(followers, " followers"), func(b *testing.B) {
-			n, err := New(Options{Node: "f7", Roster: installation(followers)}, Saved{})
+			n, err := New(Options{Node: "f7", Roster: installation(followers)}, SavedState{})
 			require.NoError(b, err)
 			n.Tick(1)
 			parent := n.topology.Parents("f7")[0]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				n.Handle(int64(i), Message{parent, "f7", Digest{Beat{testEpoch, uint64(i)}, Revision{}}})
+				n.Handle(int64(i), Message{parent, "f7", Digest{HeartbeatID{testEpoch, uint64(i)}, Revision{}}})
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 	}
 	roster := installation(300)
 	before := heap()
-	n, err := New(Options{Node: "f7", Roster: roster}, Saved{})
+	n, err := New(Options{Node: "f7", Roster: roster}, SavedState{})
 	require.NoError(t, err)
 	idle := heap() - before
 	n.Tick(1)
@@ -97,7 +97,7 @@
 		copy(value, fmt.Sprint(i))
 		delta, err := d.next(testEpoch, Change{{Key: fmt.Sprintf("key/%06d", i%4000), Value: value}})
 		require.NoError(t, err)
-		require.NoError(t, d.Take(delta))
+		require.NoError(t, d.Apply(delta))
 		n.Handle(1, Message{parent, "f7", Push{delta}})
 	}
 	revision := d.Revision()
--- a/internal/decide/configlog/catchup.go
+++ b/internal/decide/configlog/catchup.go
@@ -48,7 +48,7 @@
 	r.pull.to, r.pull.deadline = from, now+r.pull.wait
 	p := Pull{Held: n.held()}
 	if r.fetch.revision.After(n.held()) {
-		p.Part, p.Offset = r.fetch.revision, uint32(len(r.fetch.text))
+		p.PartialRevision, p.Offset = r.fetch.revision, uint32(len(r.fetch.text))
 	} else {
 		r.fetch = fetch{}
 	}
@@ -60,7 +60,7 @@
 	p := &n.replica.pull
 	p.notTo, p.to = p.to, ""
 	p.again = now + n.random.Int64N(p.wait/2+1)
-	p.wait = min(2*p.wait, n.timing.PullMax)
+	p.wait = min(2*p.wait, n.timing.MaxPullTimeout)
 }
 
 // pullDone ends a pull that has brought something.
@@ -77,7 +77,7 @@
 
 // handlePull answers from the log if that is shorter than a snapshot, and within the bytes that may be spent.
 func (n *Node) handlePull(now int64, from NodeID, p Pull) {
-	if p.Adopt {
+	if p.Subscribe {
 		n.handleAdopt(now, from)
 		return
 	}
@@ -95,7 +95,7 @@
 	if !n.held().After(p.Held) {
 		return Deltas{Latest: n.held()}
 	}
-	if s := &r.snapshot; p.Part.Number > 0 && p.Part == s.revision && int(p.Offset) < len(s.text) {
+	if s := &r.snapshot; p.PartialRevision.Number > 0 && p.PartialRevision == s.revision && int(p.Offset) < len(s.text) {
 		s.used = now
 		return s.chunk(p.Offset)
 	}
@@ -106,7 +106,7 @@
 		r.snapshot = snapshot{revision: n.held(), text: r.document.Snapshot()}
 	}
 	r.snapshot.used = now
-	if p.Part == r.snapshot.revision {
+	if p.PartialRevision == r.snapshot.revision {
 		return r.snapshot.chunk(p.Offset)
 	}
 	return r.snapshot.chunk(0)
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -13,9 +13,9 @@
 func AppendBody(to []byte, body Body) []byte {
 	to = append(to, WireVersion, byte(body.kind()))
 	switch b := body.(type) {
-	case Canvass:
+	case PreVote:
 		return appendEpoch(to, b.Epoch)
-	case Willing:
+	case PreVoteGranted:
 		return appendEpoch(to, b.Epoch)
 	case Prepare:
 		return appendEpoch(to, b.Epoch)
@@ -28,19 +28,19 @@
 	case Reject:
 		return appendRevision(appendEpoch(appendEpoch(to, b.Epoch), b.Promised), b.Held)
 	case Heartbeat:
-		return appendRevision(appendBeat(to, b.Beat), b.Held)
+		return appendRevision(appendBeat(to, b.ID), b.Held)
 	case HeartbeatAck:
-		return appendBeat(to, b.Beat)
+		return appendBeat(to, b.ID)
 	case Recover:
-		return binary.AppendUvarint(to, b.Life)
-	case Recovered:
-		return appendRevision(appendVote(binary.AppendUvarint(to, b.Life), b.Vote), b.Held)
+		return binary.AppendUvarint(to, b.Incarnation)
+	case RecoverReply:
+		return appendRevision(appendVote(binary.AppendUvarint(to, b.Incarnation), b.Vote), b.Held)
 	case Digest:
-		return appendRevision(appendBeat(to, b.Beat), b.Held)
+		return appendRevision(appendBeat(to, b.Heartbeat), b.Held)
 	case Push:
 		return appendDelta(to, b.Delta)
 	case Pull:
-		to = appendRevision(appendBool(appendRevision(to, b.Held), b.Adopt), b.Part)
+		to = appendRevision(appendBool(appendRevision(to, b.Held), b.Subscribe), b.PartialRevision)
 		return binary.AppendUvarint(to, uint64(b.Offset))
 	case Deltas:
 		to = binary.AppendUvarint(appendRevision(to, b.Latest), uint64(len(b.Deltas)))
@@ -53,7 +53,7 @@
 		return appendString(binary.AppendUvarint(to, uint64(b.Offset)), string(b.Data))
 	case Apply:
 		return appendChange(appendRevision(binary.AppendUvarint(to, b.ID), b.Base), b.Change)
-	case Applied:
+	case ApplyReply:
 		to = append(binary.AppendUvarint(to, b.Result.ID), byte(b.Result.Outcome))
 		return appendString(appendRevision(to, b.Result.Revision), string(b.Result.Leader))
 	}
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("%w: a message of %d bytes", ErrLimit, len(text))
 	}
 	if len(text) < 2 || text[0] != WireVersion {
-		return nil, fmt.Errorf("%w: no message of version %d", ErrForm, WireVersion)
+		return nil, fmt.Errorf("%w: no message of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{text: text[2:]}
 	body := in.body(kind(text[1]))
@@ -83,9 +83,9 @@
 func (in *decoder) body(k kind) Body {
 	switch k {
 	case kindCanvass:
-		return Canvass{in.epoch()}
+		return PreVote{in.epoch()}
 	case kindWilling:
-		return Willing{in.epoch()}
+		return PreVoteGranted{in.epoch()}
 	case kindPrepare:
 		return Prepare{in.epoch()}
 	case kindPromise:
@@ -103,7 +103,7 @@
 	case kindRecover:
 		return Recover{in.uvarint()}
 	case kindRecovered:
-		return Recovered{in.uvarint(), in.vote(), in.revision()}
+		return RecoverReply{in.uvarint(), in.vote(), in.revision()}
 	case kindDigest:
 		return Digest{in.beat(), in.revision()}
 	case kindPush:
@@ -119,7 +119,7 @@
 	case kindApply:
 		return Apply{in.uvarint(), in.revision(), in.change()}
 	case kindApplied:
-		return Applied{Result{in.uvarint(), Outcome(in.byte()), in.revision(), in.node()}}
+		return ApplyReply{Result{in.uvarint(), Outcome(in.byte()), in.revision(), in.node()}}
 	}
 	in.fail("unknown kind %d", k)
 	return nil
@@ -137,10 +137,10 @@
 }
 
 func appendEpoch(to []byte, e Epoch) []byte {
-	return appendString(binary.AppendUvarint(to, e.Round), string(e.Origin))
+	return appendString(binary.AppendUvarint(to, e.Round), string(e.Leader))
 }
 
-func appendBeat(to []byte, b Beat) []byte {
+func appendBeat(to []byte, b HeartbeatID) []byte {
 	return binary.AppendUvarint(appendEpoch(to, b.Epoch), b.Tick)
 }
 
@@ -174,7 +174,7 @@
 }
 
 func appendVote(to []byte, v Vote) []byte {
-	return appendProposal(appendEpoch(appendBool(to, v.Settled), v.Promised), v.Accepted)
+	return appendProposal(appendEpoch(appendBool(to, v.CanVote), v.Promised), v.Accepted)
 }
 
 // AppendVote appends a vote as it is to be saved.
@@ -183,7 +183,7 @@
 // ParseVote reads what AppendVote has written.
 func ParseVote(text []byte) (Vote, error) {
 	if len(text) == 0 || len(text) > MaxMessage || text[0] != WireVersion {
-		return Vote{}, fmt.Errorf("%w: no vote of version %d", ErrForm, WireVersion)
+		return Vote{}, fmt.Errorf("%w: no vote of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{text: text[1:]}
 	v := in.vote()
@@ -201,7 +201,7 @@
 // ParseDocument reads what AppendDocument has written, and checks it as a whole.
 func ParseDocument(text []byte) (*Document, error) {
 	if len(text) == 0 || text[0] != WireVersion {
-		return nil, fmt.Errorf("%w: no document of version %d", ErrForm, WireVersion)
+		return nil, fmt.Errorf("%w: no document of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{text: text[1:]}
 	revision := in.revision()
@@ -219,7 +219,7 @@
 
 func (in *decoder) fail(format string, args ...any) {
 	if in.err == nil {
-		in.err = fmt.Errorf("%w: "+format, append([]any{ErrForm}, args...)...)
+		in.err = fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, args...)...)
 	}
 	in.text = nil
 }
@@ -283,11 +283,11 @@
 	return v
 }
 
-func (in *decoder) node() NodeID   { return NodeID(in.string(MaxNodeID)) }
-func (in *decoder) epoch() Epoch   { return Epoch{in.uvarint(), in.node()} }
-func (in *decoder) beat() Beat     { return Beat{in.epoch(), in.uvarint()} }
-func (in *decoder) delta() Delta   { return Delta{in.revision(), in.change()} }
-func (in *decoder) vote() (v Vote) { return Vote{in.bool(), in.epoch(), in.proposal()} }
+func (in *decoder) node() NodeID      { return NodeID(in.string(MaxNodeID)) }
+func (in *decoder) epoch() Epoch      { return Epoch{in.uvarint(), in.node()} }
+func (in *decoder) beat() HeartbeatID { return HeartbeatID{in.epoch(), in.uvarint()} }
+func (in *decoder) delta() Delta      { return Delta{in.revision(), in.change()} }
+func (in *decoder) vote() (v Vote)    { return Vote{in.bool(), in.epoch(), in.proposal()} }
 
 func (in *decoder) revision() (r Revision) {
 	if r.Number = in.uvarint(); r.Number == 0 {
--- a/internal/decide/configlog/codec_test.go
+++ b/internal/decide/configlog/codec_test.go
@@ -13,19 +13,19 @@
 	testChange   = Change{{Key: "a", Value: []byte("one")}, {Key: "b", Delete: true, Value: []byte{}}}
 	testDelta    = Delta{testRevision, testChange}
 	testProposal = Proposal{Epoch{8, "origin-2"}, testDelta}
-	testBeat     = Beat{testEpoch, 1 << 40}
+	testBeat     = HeartbeatID{testEpoch, 1 << 40}
 )
 
 // bodies are one of each kind, and those with nothing in them.
 var bodies = []Body{
-	Canvass{testEpoch}, Willing{testEpoch}, Prepare{testEpoch}, Promise{testEpoch, testRevision, testProposal},
+	PreVote{testEpoch}, PreVoteGranted{testEpoch}, Prepare{testEpoch}, Promise{testEpoch, testRevision, testProposal},
 	Promise{testEpoch, Revision{}, Proposal{}}, Accept{testProposal}, Accepted{testEpoch, testRevision},
 	Reject{testEpoch, Epoch{9, "x"}, testRevision}, Heartbeat{testBeat, testRevision}, HeartbeatAck{testBeat},
-	Recover{1 << 60}, Recovered{1, Vote{true, testEpoch, testProposal}, testRevision},
+	Recover{1 << 60}, RecoverReply{1, Vote{true, testEpoch, testProposal}, testRevision},
 	Digest{testBeat, testRevision}, Digest{}, Push{testDelta},
 	Pull{testRevision, true, testRevision, 1 << 31}, Deltas{[]Delta{testDelta, testDelta}, testRevision}, Deltas{},
 	Chunk{testRevision, 9, 4, []byte("abcd")}, Overloaded{}, Apply{3, testRevision, testChange},
-	Applied{Result{3, Stale, testRevision, "origin-1"}},
+	ApplyReply{Result{3, Stale, testRevision, "origin-1"}},
 }
 
 func TestBodiesSurviveTheWire(t *testing.T) {
@@ -36,13 +36,13 @@
 		require.Equal(t, body, got)
 		for cut := range text {
 			_, err := ParseBody(text[:cut])
-			require.True(t, errors.Is(err, ErrForm) || errors.Is(err, ErrLimit), "%T cut at %d: %v", body, cut, err)
+			require.True(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrLimit), "%T cut at %d: %v", body, cut, err)
 		}
 		_, err = ParseBody(append(text, 0))
-		require.ErrorIs(t, err, ErrForm)
+		require.ErrorIs(t, err, ErrMalformed)
 		text[0]++
 		_, err = ParseBody(text)
-		require.ErrorIs(t, err, ErrForm)
+		require.ErrorIs(t, err, ErrMalformed)
 	}
 }
 
@@ -64,11 +64,11 @@
 		"a long value":    Push{Delta{testRevision, Change{{Key: "a", Value: make([]byte, MaxValue+1)}}}},
 		"a long change":   Push{Delta{testRevision, Change{{Key: "a", Value: long}, {Key: "b", Value: long}}}},
 		"a long chunk":    Chunk{testRevision, 1 << 20, 0, make([]byte, ChunkBytes+1)},
-		"a long name":     Canvass{Epoch{1, NodeID(make([]byte, MaxNodeID+1))}},
+		"a long name":     PreVote{Epoch{1, NodeID(make([]byte, MaxNodeID+1))}},
 		"a deleted value": Push{Delta{testRevision, Change{{Key: "a", Delete: true, Value: []byte("x")}}}},
 	} {
 		_, err := ParseBody(AppendBody(nil, body))
-		require.True(t, errors.Is(err, ErrForm) || errors.Is(err, ErrLimit), "%s: %v", name, err)
+		require.True(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrLimit), "%s: %v", name, err)
 	}
 	_, err := ParseBody(make([]byte, MaxMessage+1))
 	require.ErrorIs(t, err, ErrLimit)
@@ -87,7 +87,7 @@
 	d := NewDocument()
 	first, err := d.next(testEpoch, Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
 	require.NoError(t, err)
-	require.NoError(t, d.Take(first))
+	require.NoError(t, d.Apply(first))
 	text = AppendDocument(nil, d)
 	read, err := ParseDocument(text)
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 	take := func(c Change) {
 		delta, err := d.next(testEpoch, c)
 		require.NoError(t, err)
-		require.NoError(t, d.Take(delta))
+		require.NoError(t, d.Apply(delta))
 	}
 	take(Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
 	take(Change{{Key: "a", Value: []byte("three")}, {Key: "b", Delete: true}, {Key: "c", Value: []byte("four")}})
@@ -119,10 +119,10 @@
 	delta, err := d.next(testEpoch, Change{{Key: "a", Value: []byte("five")}, {Key: "d", Value: []byte("six")}})
 	require.NoError(t, err)
 	delta.Change[1].Value = []byte("seven")
-	require.ErrorIs(t, d.Take(delta), ErrChecksum)
+	require.ErrorIs(t, d.Apply(delta), ErrChecksum)
 	require.Equal(t, want, d)
 	delta.Revision.Number++
-	require.ErrorIs(t, d.Take(delta), ErrForm)
+	require.ErrorIs(t, d.Apply(delta), ErrMalformed)
 	require.Equal(t, want, d)
 
 	change := d.ChangeTo(map[string][]byte{"a": []byte("three"), "x": []byte("new")})
--- a/internal/decide/configlog/configlog.go
+++ b/internal/decide/configlog/configlog.go
@@ -26,15 +26,15 @@
 // Epoch orders those who lead the origins one after the other. The zero Epoch is before all others.
 type Epoch struct {
 	Round  uint64
-	Origin NodeID // who leads in it
+	Leader NodeID // who leads in it
 }
 
 // Compare orders epochs by round, and those of one round by who leads.
 func (e Epoch) Compare(o Epoch) int {
-	return cmp.Or(cmp.Compare(e.Round, o.Round), cmp.Compare(e.Origin, o.Origin))
+	return cmp.Or(cmp.Compare(e.Round, o.Round), cmp.Compare(e.Leader, o.Leader))
 }
 
-func (e Epoch) String() string { return fmt.Sprintf("%d@%s", e.Round, e.Origin) }
+func (e Epoch) String() string { return fmt.Sprintf("%d@%s", e.Round, e.Leader) }
 
 // Revision identifies a state of the document. Numbers of committed revisions follow each other without a gap, from
 // 1; 0 is the empty document that all begin with. The epoch is the one in which it was first proposed.
@@ -63,26 +63,26 @@
 
 // Vote is what an origin must have stored durably before anything that it says leaves it.
 type Vote struct {
-	Settled  bool // the origin votes: it has forgotten nothing
+	CanVote  bool // the origin votes: it has forgotten nothing
 	Promised Epoch
 	Accepted Proposal // its Delta.Revision.Number is 0 if there is none
 }
 
-// Saved is what an instance has on disk. The zero Saved is an instance with an empty disk: an origin then asks all
+// SavedState is what an instance has on disk. The zero Saved is an instance with an empty disk: an origin then asks all
 // others for what it may have voted on before it votes.
-type Saved struct {
+type SavedState struct {
 	Document *Document // nil for none
 	Vote     Vote      // of an origin; zero for none
 }
 
-// Beat is the leader's heartbeat as it travels down with the digests: its age tells a member how fresh its parents are.
-type Beat struct {
+// HeartbeatID is the leader's heartbeat as it travels down with the digests: its age tells a member how fresh its parents are.
+type HeartbeatID struct {
 	Epoch Epoch
 	Tick  uint64
 }
 
 // Compare orders beats by epoch, and those of one epoch by tick.
-func (b Beat) Compare(o Beat) int {
+func (b HeartbeatID) Compare(o HeartbeatID) int {
 	return cmp.Or(b.Epoch.Compare(o.Epoch), cmp.Compare(b.Tick, o.Tick))
 }
 
@@ -120,7 +120,7 @@
 // Effects are what the caller must do, in this order: save and sync, bring into force, send and report. If saving
 // fails, the instance must stop: what it holds in memory may not be shown to anybody.
 type Effects struct {
-	Taken    []Delta // revisions that have come into force, in order; to be saved
+	Deltas   []Delta // revisions that have come into force, in order; to be saved
 	Replaced bool    // a snapshot has come into force instead, before Taken: the whole Document is to be saved
 	SaveVote bool    // Vote is to be saved, when the document is on the disk
 	Messages []Message
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -49,9 +49,9 @@
 
 // Errors of a change or a snapshot that cannot be taken.
 var (
-	ErrLimit    = errors.New("beyond a limit")
-	ErrChecksum = errors.New("the checksum differs")
-	ErrForm     = errors.New("not well-formed")
+	ErrLimit     = errors.New("beyond a limit")
+	ErrChecksum  = errors.New("the checksum differs")
+	ErrMalformed = errors.New("not well-formed")
 )
 
 // check returns an error if a change is not in the order of its keys, or beyond a limit.
@@ -65,7 +65,7 @@
 			return fmt.Errorf("%w: an entry of %d and %d bytes", ErrLimit, len(e.Key), len(e.Value))
 		}
 		if i > 0 && c[i-1].Key >= e.Key || e.Delete && len(e.Value) > 0 {
-			return fmt.Errorf("%w: entry %q", ErrForm, e.Key)
+			return fmt.Errorf("%w: entry %q", ErrMalformed, e.Key)
 		}
 		size += entrySize(e.Key, e.Value)
 	}
@@ -161,10 +161,10 @@
 	return Delta{Revision{epoch, d.revision.Number + 1, sum}, change}, nil
 }
 
-// Take brings the next revision into force in d, whole or not at all.
-func (d *Document) Take(delta Delta) error {
+// Apply brings the next revision into force in d, whole or not at all.
+func (d *Document) Apply(delta Delta) error {
 	if delta.Revision.Number != d.revision.Number+1 {
-		return fmt.Errorf("%w: revision %d follows on %d", ErrForm, delta.Revision.Number, d.revision.Number)
+		return fmt.Errorf("%w: revision %d follows on %d", ErrMalformed, delta.Revision.Number, d.revision.Number)
 	}
 	next, err := d.next(delta.Revision.Epoch, delta.Change)
 	if err != nil {
@@ -205,7 +205,7 @@
 	for len(in.text) > 0 {
 		key, value := in.string(MaxKey), in.bytes(MaxValue)
 		if in.err != nil || key <= last || len(d.entries) == MaxEntries {
-			return nil, fmt.Errorf("%w: snapshot of revision %d", ErrForm, revision.Number)
+			return nil, fmt.Errorf("%w: snapshot of revision %d", ErrMalformed, revision.Number)
 		}
 		last, d.entries[key] = key, value
 		d.size += entrySize(key, value)
--- a/internal/decide/configlog/leader.go
+++ b/internal/decide/configlog/leader.go
@@ -4,7 +4,7 @@
 func (n *Node) tickOrigin(now int64) {
 	o := n.origin
 	if o.campaigns == 0 {
-		o.campaigns = now + n.jitter(n.timing.Campaign)
+		o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
 	}
 	n.openRequest(now)
 	if o.role == leading {
@@ -13,9 +13,9 @@
 	if now < o.retryAt {
 		return
 	}
-	o.retryAt = now + n.timing.Retry
+	o.retryAt = now + n.timing.RetryInterval
 	switch {
-	case !o.vote.Settled:
+	case !o.vote.CanVote:
 		n.sendAll(o.others, Recover{o.life})
 	case o.role == leading && o.proposal.Delta.Revision.Number > 0:
 		n.sendProposal()
@@ -31,21 +31,21 @@
 func (n *Node) canvass(now int64) {
 	o := n.origin
 	o.role, o.willing = canvassing, map[NodeID]bool{}
-	o.campaigns = now + n.jitter(n.timing.Campaign)
-	n.sendAll(o.others, Canvass{Epoch{o.seen + 1, n.me}})
+	o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
+	n.sendAll(o.others, PreVote{Epoch{o.seen + 1, n.me}})
 }
 
-func (n *Node) handleCanvass(now int64, from NodeID, c Canvass) {
+func (n *Node) handleCanvass(now int64, from NodeID, c PreVote) {
 	o := n.origin
-	hearsLeader := o.role == leading || o.leaderAt > 0 && now-o.leaderAt < n.timing.Campaign
-	if o.vote.Settled && !hearsLeader && c.Epoch.Compare(o.vote.Promised) > 0 {
-		n.send(from, Willing(c))
-	} else if o.vote.Settled && !hearsLeader {
+	hearsLeader := o.role == leading || o.leaderAt > 0 && now-o.leaderAt < n.timing.ElectionTimeout
+	if o.vote.CanVote && !hearsLeader && c.Epoch.Compare(o.vote.Promised) > 0 {
+		n.send(from, PreVoteGranted(c))
+	} else if o.vote.CanVote && !hearsLeader {
 		n.reject(from, c.Epoch)
 	}
 }
 
-func (n *Node) handleWilling(from NodeID, w Willing) {
+func (n *Node) handleWilling(from NodeID, w PreVoteGranted) {
 	if o := n.origin; o.role == canvassing && w.Epoch == (Epoch{o.seen + 1, n.me}) {
 		o.willing[from] = true
 	}
@@ -177,57 +177,57 @@
 	o := n.origin
 	answering := 1
 	for _, at := range o.answered {
-		if now-at < n.timing.Campaign {
+		if now-at < n.timing.ElectionTimeout {
 			answering++
 		}
 	}
 	if !o.isMajority(answering) {
 		n.stepDown()
-		o.campaigns = now + n.jitter(n.timing.Campaign)
+		o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
 		return
 	}
-	if o.beatAt > 0 && now-o.beatAt < n.timing.Heartbeat {
+	if o.beatAt > 0 && now-o.beatAt < n.timing.HeartbeatInterval {
 		return
 	}
 	o.beatAt = now
-	if o.tick == 0 || now-o.tickAt >= n.timing.Digest {
+	if o.tick == 0 || now-o.tickAt >= n.timing.DigestInterval {
 		o.tick, o.tickAt = o.tick+1, now
 	}
 	o.leaderAt = now
-	beat := Beat{o.epoch, o.tick}
+	beat := HeartbeatID{o.epoch, o.tick}
 	n.sendAll(o.others, Heartbeat{beat, n.held()})
 	n.hearBeat(now, beat)
 }
 
 func (n *Node) handleHeartbeat(now int64, from NodeID, h Heartbeat) {
 	o := n.origin
-	if h.Beat.Epoch.Origin != from {
+	if h.ID.Epoch.Leader != from {
 		return
 	}
-	if h.Beat.Epoch.Compare(o.vote.Promised) < 0 {
-		n.reject(from, h.Beat.Epoch)
+	if h.ID.Epoch.Compare(o.vote.Promised) < 0 {
+		n.reject(from, h.ID.Epoch)
 		return
 	}
-	if o.vote.Settled {
-		n.promise(h.Beat.Epoch)
+	if o.vote.CanVote {
+		n.promise(h.ID.Epoch)
 	}
 	if o.role == canvassing {
 		o.role = following
 	}
-	o.seen = max(o.seen, h.Beat.Epoch.Round)
+	o.seen = max(o.seen, h.ID.Epoch.Round)
 	o.leaderAt = now
-	o.campaigns = now + n.jitter(n.timing.Campaign)
+	o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
 	if s := n.source(from); s != nil {
 		s.heard, s.held = now, h.Held
 	}
-	n.send(from, HeartbeatAck{h.Beat})
+	n.send(from, HeartbeatAck{h.ID})
 	n.hearOf(h.Held)
 	n.pullFrom(now, from, h.Held)
-	n.hearBeat(now, h.Beat)
+	n.hearBeat(now, h.ID)
 }
 
 func (n *Node) handleHeartbeatAck(now int64, from NodeID, h HeartbeatAck) {
-	if o := n.origin; o.role == leading && h.Beat.Epoch == o.epoch {
+	if o := n.origin; o.role == leading && h.ID.Epoch == o.epoch {
 		o.answered[from] = now
 	}
 }
@@ -236,7 +236,7 @@
 func (n *Node) advanceOrigin(now int64) {
 	o := n.origin
 	n.recovered()
-	if o.role == canvassing && o.vote.Settled && o.isMajority(len(o.willing)+1) {
+	if o.role == canvassing && o.vote.CanVote && o.isMajority(len(o.willing)+1) {
 		n.campaign()
 	}
 	if o.role == campaigning {
@@ -264,7 +264,7 @@
 	default:
 		d, err := n.replica.document.next(o.epoch, a.Change)
 		if err == nil && d.Revision.Sum != n.held().Sum {
-			o.request = request{from, a.ID, a.Base, d, now + n.timing.ApplyLimit, true}
+			o.request = request{from, a.ID, a.Base, d, now + n.timing.ApplyTimeout, true}
 			n.propose(d)
 			return
 		}
@@ -279,7 +279,7 @@
 	if !q.active || n.held().Number < q.delta.Revision.Number {
 		return
 	}
-	result := Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Origin}
+	result := Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Leader}
 	if d, ok := n.replica.log.find(q.delta.Revision.Number); ok {
 		result.Outcome, result.Revision = Stale, n.held()
 		if d.Revision == q.delta.Revision {
@@ -294,6 +294,6 @@
 func (n *Node) openRequest(now int64) {
 	if q := &n.origin.request; q.active && now >= q.until {
 		q.active = false
-		n.answer(q.from, Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Origin})
+		n.answer(q.from, Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Leader})
 	}
 }
--- a/internal/decide/configlog/limits.go
+++ b/internal/decide/configlog/limits.go
@@ -19,29 +19,29 @@
 
 // Timing are periods in microseconds. They decide how soon something happens, and never whether it may.
 type Timing struct {
-	Digest      int64 // between two digests of one parent: the leader's heartbeat
-	SilentAfter int64 // a source that was not heard from for so long is replaced by another
-	PullTimeout int64 // until a pull that brought nothing is repeated elsewhere; doubled each time, with jitter
-	PullMax     int64 // the longest of these
-	Heartbeat   int64 // between two heartbeats of a leader to the other origins
-	Campaign    int64 // an origin that has not heard from a leader for so long campaigns; with jitter, up to twice that
-	Retry       int64 // between two sendings of what an origin has not answered
-	ApplyLimit  int64 // an Apply whose outcome is open for so long is reported as Unknown
+	DigestInterval    int64 // between two digests of one parent: the leader's heartbeat
+	SourceTimeout     int64 // a source that was not heard from for so long is replaced by another
+	PullTimeout       int64 // until a pull that brought nothing is repeated elsewhere; doubled each time, with jitter
+	MaxPullTimeout    int64 // the longest of these
+	HeartbeatInterval int64 // between two heartbeats of a leader to the other origins
+	ElectionTimeout   int64 // an origin that has not heard from a leader for so long campaigns; with jitter, up to twice that
+	RetryInterval     int64 // between two sendings of what an origin has not answered
+	ApplyTimeout      int64 // an Apply whose outcome is open for so long is reported as Unknown
 }
 
 // DefaultTiming follows from 4 s until a change is in force: a source may be silent for 2.5 digests and be replaced
 // within that.
 func DefaultTiming() Timing {
 	const ms = 1000
-	return Timing{Digest: 1000 * ms, SilentAfter: 2500 * ms, PullTimeout: 400 * ms, PullMax: 6400 * ms,
-		Heartbeat: 250 * ms, Campaign: 1000 * ms, Retry: 250 * ms, ApplyLimit: 3000 * ms}
+	return Timing{DigestInterval: 1000 * ms, SourceTimeout: 2500 * ms, PullTimeout: 400 * ms, MaxPullTimeout: 6400 * ms,
+		HeartbeatInterval: 250 * ms, ElectionTimeout: 1000 * ms, RetryInterval: 250 * ms, ApplyTimeout: 3000 * ms}
 }
 
 // FanOut bounds how many members one feeds.
 type FanOut struct {
-	Relay    int // children of a relay or origin, a machine that is set aside for control
-	Follower int // children of any other member
-	Adopted  int // further ones, for as long as they have lost their own parents
+	Relay       int // children of a relay or origin, a machine that is set aside for control
+	Follower    int // children of any other member
+	Subscribers int // further ones, for as long as they have lost their own parents
 	// ServeRate bounds the bytes a second that one member spends on answers to pulls; ServeBurst what it may have
 	// saved up.
 	ServeRate, ServeBurst int64
@@ -49,5 +49,5 @@
 
 // DefaultFanOut keeps a follower with all its children within 2 KB a second: eight digests a second.
 func DefaultFanOut() FanOut {
-	return FanOut{Relay: 16, Follower: 8, Adopted: 4, ServeRate: 128 << 10, ServeBurst: 512 << 10}
+	return FanOut{Relay: 16, Follower: 8, Subscribers: 4, ServeRate: 128 << 10, ServeBurst: 512 << 10}
 }
--- a/internal/decide/configlog/message.go
+++ b/internal/decide/configlog/message.go
@@ -12,10 +12,10 @@
 
 // Between origins.
 type (
-	// Canvass asks whether an origin would promise a new epoch: it would unless it hears from a leader.
-	Canvass struct{ Epoch Epoch }
-	// Willing answers that it would.
-	Willing struct{ Epoch Epoch }
+	// PreVote asks whether an origin would promise a new epoch: it would unless it hears from a leader.
+	PreVote struct{ Epoch Epoch }
+	// PreVoteGranted answers that it would.
+	PreVoteGranted struct{ Epoch Epoch }
 	// Prepare asks for the promise to take nothing of an earlier epoch any more.
 	Prepare struct{ Epoch Epoch }
 	// Promise gives it, with what was accepted and is held.
@@ -39,18 +39,18 @@
 	}
 	// Heartbeat tells the other origins who leads.
 	Heartbeat struct {
-		Beat Beat
+		ID   HeartbeatID
 		Held Revision
 	}
 	// HeartbeatAck answers it.
-	HeartbeatAck struct{ Beat Beat }
+	HeartbeatAck struct{ ID HeartbeatID }
 	// Recover asks for all that the asker may have voted on: it has restarted from nothing.
-	Recover struct{ Life uint64 }
-	// Recovered answers it.
-	Recovered struct {
-		Life uint64
-		Vote Vote
-		Held Revision
+	Recover struct{ Incarnation uint64 }
+	// RecoverReply answers it.
+	RecoverReply struct {
+		Incarnation uint64
+		Vote        Vote
+		Held        Revision
 	}
 )
 
@@ -58,17 +58,17 @@
 type (
 	// Digest tells a child what its parent holds, and how fresh that is.
 	Digest struct {
-		Beat Beat
-		Held Revision
+		Heartbeat HeartbeatID
+		Held      Revision
 	}
 	// Push brings a revision that has just been committed or taken.
 	Push struct{ Delta Delta }
 	// Pull asks for what comes after Held. One that has begun to get a snapshot goes on at Offset of that of Part.
 	Pull struct {
-		Held   Revision
-		Adopt  bool // the asker has lost a parent, and wants to be fed for a while
-		Part   Revision
-		Offset uint32
+		Held            Revision
+		Subscribe       bool // the asker has lost a parent, and wants to be fed for a while
+		PartialRevision Revision
+		Offset          uint32
 	}
 	// Deltas answer it with the next revisions in order; none if there are none.
 	Deltas struct {
@@ -90,8 +90,8 @@
 		Base   Revision
 		Change Change
 	}
-	// Applied answers it.
-	Applied struct{ Result Result }
+	// ApplyReply answers it.
+	ApplyReply struct{ Result Result }
 )
 
 // kind is a message's first byte on the wire.
@@ -119,22 +119,22 @@
 	kindApplied
 )
 
-func (Canvass) kind() kind      { return kindCanvass }
-func (Willing) kind() kind      { return kindWilling }
-func (Prepare) kind() kind      { return kindPrepare }
-func (Promise) kind() kind      { return kindPromise }
-func (Accept) kind() kind       { return kindAccept }
-func (Accepted) kind() kind     { return kindAccepted }
-func (Reject) kind() kind       { return kindReject }
-func (Heartbeat) kind() kind    { return kindHeartbeat }
-func (HeartbeatAck) kind() kind { return kindHeartbeatAck }
-func (Recover) kind() kind      { return kindRecover }
-func (Recovered) kind() kind    { return kindRecovered }
-func (Digest) kind() kind       { return kindDigest }
-func (Push) kind() kind         { return kindPush }
-func (Pull) kind() kind         { return kindPull }
-func (Deltas) kind() kind       { return kindDeltas }
-func (Chunk) kind() kind        { return kindChunk }
-func (Overloaded) kind() kind   { return kindOverloaded }
-func (Apply) kind() kind        { return kindApply }
-func (Applied) kind() kind      { return kindApplied }
+func (PreVote) kind() kind        { return kindCanvass }
+func (PreVoteGranted) kind() kind { return kindWilling }
+func (Prepare) kind() kind        { return kindPrepare }
+func (Promise) kind() kind        { return kindPromise }
+func (Accept) kind() kind         { return kindAccept }
+func (Accepted) kind() kind       { return kindAccepted }
+func (Reject) kind() kind         { return kindReject }
+func (Heartbeat) kind() kind      { return kindHeartbeat }
+func (HeartbeatAck) kind() kind   { return kindHeartbeatAck }
+func (Recover) kind() kind        { return kindRecover }
+func (RecoverReply) kind() kind   { return kindRecovered }
+func (Digest) kind() kind         { return kindDigest }
+func (Push) kind() kind           { return kindPush }
+func (Pull) kind() kind           { return kindPull }
+func (Deltas) kind() kind         { return kindDeltas }
+func (Chunk) kind() kind          { return kindChunk }
+func (Overloaded) kind() kind     { return kindOverloaded }
+func (Apply) kind() kind          { return kindApply }
+func (ApplyReply) kind() kind     { return kindApplied }
--- a/internal/decide/configlog/network_test.go
+++ b/internal/decide/configlog/network_test.go
@@ -27,7 +27,7 @@
 // instance is a member, and what is on its disk.
 type instance struct {
 	node  *Node
-	saved Saved
+	saved SavedState
 	lives uint64
 	held  uint64 // the highest number that was ever in force here, or 0 since its disk was lost
 }
@@ -44,7 +44,7 @@
 	frozen    map[NodeID]bool     // stopped wherever they are; what comes for them waits
 	amnesias  int                 // disks that may yet be lost
 	applies   uint64
-	drops     map[Drop]int
+	drops     map[DropReason]int
 	err       error
 }
 
@@ -61,7 +61,7 @@
 func newCluster(r Roster, broken rules, amnesias int) *cluster {
 	c := &cluster{roster: r, rules: broken, now: 1_000_000, instances: map[NodeID]*instance{}, amnesias: amnesias,
 		committed: map[uint64]Revision{}, bases: map[uint64]Revision{}, frozen: map[NodeID]bool{},
-		drops: map[Drop]int{}}
+		drops: map[DropReason]int{}}
 	for _, m := range r {
 		c.instances[m.Node] = &instance{}
 		c.start(m.Node, true)
@@ -77,8 +77,8 @@
 	if saved.Document != nil {
 		saved.Document = saved.Document.Clone()
 	}
-	n, err := New(Options{Node: id, Roster: c.roster, Seed: 1, Life: i.lives, First: first,
-		Counted: func(why Drop) { c.drops[why]++ }}, saved)
+	n, err := New(Options{Node: id, Roster: c.roster, Seed: 1, Incarnation: i.lives, Bootstrap: first,
+		OnDrop: func(why DropReason) { c.drops[why]++ }}, saved)
 	if err != nil {
 		panic(err)
 	}
@@ -102,10 +102,10 @@
 	if e.Replaced {
 		c.inForce(id, i.node.Document().Revision())
 	}
-	for _, d := range e.Taken {
+	for _, d := range e.Deltas {
 		c.inForce(id, d.Revision)
 	}
-	if e.Replaced || len(e.Taken) > 0 {
+	if e.Replaced || len(e.Deltas) > 0 {
 		i.saved.Document = i.node.Document().Clone()
 	}
 	if e.SaveVote {
@@ -187,7 +187,7 @@
 	case what < 80 && c.amnesias > 0 && c.settled(id):
 		c.amnesias--
 		i := c.instances[id]
-		i.saved, i.held = Saved{}, 0
+		i.saved, i.held = SavedState{}, 0
 		c.start(id, false)
 	default:
 		c.now += int64(ch.number(8)) * 50_000
@@ -202,7 +202,7 @@
 // settled tells whether all other origins vote: two that have forgotten at one time never vote again, as it must be.
 func (c *cluster) settled(id NodeID) bool {
 	for _, m := range c.roster {
-		if m.Role == Origin && m.Node != id && !c.instances[m.Node].saved.Vote.Settled {
+		if m.Role == Origin && m.Node != id && !c.instances[m.Node].saved.Vote.CanVote {
 			return false
 		}
 	}
@@ -302,7 +302,7 @@
 	}
 	require.Len(t, c.committed, 3)
 	for _, o := range []NodeID{"o0", "o1", "o2"} {
-		c.instances[o].saved, c.instances[o].held = Saved{}, 0
+		c.instances[o].saved, c.instances[o].held = SavedState{}, 0
 		c.start(o, false)
 	}
 	c.settle(10_000_000)
@@ -315,7 +315,7 @@
 	require.Equal(t, uint64(3), newest.Revision().Number)
 	for _, m := range c.roster {
 		if m.Role == Origin {
-			c.instances[m.Node].saved = Saved{Document: newest.Clone()}
+			c.instances[m.Node].saved = SavedState{Document: newest.Clone()}
 			c.instances[m.Node].held = 3
 		}
 		c.start(m.Node, m.Role == Origin)
--- a/internal/decide/configlog/node.go
+++ b/internal/decide/configlog/node.go
@@ -8,31 +8,31 @@
 
 // Options are what a member is started with.
 type Options struct {
-	Node   NodeID
-	Roster Roster
-	Timing Timing // DefaultTiming if zero
-	FanOut FanOut // DefaultFanOut if zero
-	Seed   uint64 // of the chance in waits
-	Life   uint64 // another one with each start: a time, or a number that was drawn
+	Node        NodeID
+	Roster      Roster
+	Timing      Timing // DefaultTiming if zero
+	FanOut      FanOut // DefaultFanOut if zero
+	Seed        uint64 // of the chance in waits
+	Incarnation uint64 // another one with each start: a time, or a number that was drawn
 	// of an origin with an empty disk: the installation is new, there is nothing that it may have forgotten
-	First   bool
-	Counted func(Drop)
+	Bootstrap bool
+	OnDrop    func(DropReason)
 
 	// Topology of the roster and fan-out, where several members of one process share it; nil to work it out.
 	Topology *Topology
 }
 
-// Drop says why something that came in was dropped.
-type Drop string
+// DropReason says why something that came in was dropped.
+type DropReason string
 
 // The reasons.
 const (
-	DropStranger Drop = "stranger" // from or for somebody who is not on the roster, or for another member
-	DropRole     Drop = "role"     // between origins, but from or for somebody who is none
-	DropOld      Drop = "old"      // a revision that is not newer than the one held
-	DropInvalid  Drop = "invalid"  // a delta or snapshot that does not make its revision, or is beyond a limit
-	DropFork     Drop = "fork"     // another document under a number that is held: two installations, or a fault
-	DropLate     Drop = "late"     // an answer to what is not asked any more
+	DropUnknownMember DropReason = "stranger" // from or for somebody who is not on the roster, or for another member
+	DropWrongRole     DropReason = "role"     // between origins, but from or for somebody who is none
+	DropOld           DropReason = "old"      // a revision that is not newer than the one held
+	DropInvalid       DropReason = "invalid"  // a delta or snapshot that does not make its revision, or is beyond a limit
+	DropFork          DropReason = "fork"     // another document under a number that is held: two installations, or a fault
+	DropLate          DropReason = "late"     // an answer to what is not asked any more
 )
 
 // Node is one member. Its caller serializes the calls, and carries out the Effects of each before the next.
@@ -42,7 +42,7 @@
 	timing    Timing
 	fan       FanOut
 	random    *rand.Rand
-	counted   func(Drop)
+	counted   func(DropReason)
 	replica   replica
 	origin    *origin // nil for members that are none
 	questions map[uint64]question
@@ -56,7 +56,7 @@
 }
 
 // New returns a member that goes on from what is saved. The first Tick starts it.
-func New(o Options, saved Saved) (*Node, error) {
+func New(o Options, saved SavedState) (*Node, error) {
 	if o.Timing == (Timing{}) {
 		o.Timing = DefaultTiming()
 	}
@@ -74,7 +74,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%w: %q is not on it", ErrRoster, o.Node)
 	}
-	n := &Node{me: o.Node, topology: topology, timing: o.Timing, fan: o.FanOut, counted: o.Counted,
+	n := &Node{me: o.Node, topology: topology, timing: o.Timing, fan: o.FanOut, counted: o.OnDrop,
 		questions: map[uint64]question{},
 		random:    rand.New(rand.NewPCG(o.Seed, weight(o.Node, "")))}
 	n.replica = newReplica(saved.Document)
@@ -86,27 +86,27 @@
 
 // Status is what a member says of itself.
 type Status struct {
-	Revision Revision // in force here
-	Since    int64    // when it came into force here; 0 if it was loaded at the start
-	Newest   Revision // that it has heard of
-	Fresh    int64    // when it last heard, directly or not, from a leader; 0 for never
-	Sources  []NodeID // who feeds it now
-	Leader   NodeID   // whom it takes for the leader, "" if it has heard of none lately
-	Leading  bool     // it leads
-	Voting   bool     // it is an origin and votes
-	Epoch    Epoch    // the latest one that it has heard of
+	Revision      Revision // in force here
+	Since         int64    // when it came into force here; 0 if it was loaded at the start
+	Newest        Revision // that it has heard of
+	LeaderHeardAt int64    // when it last heard, directly or not, from a leader; 0 for never
+	Sources       []NodeID // who feeds it now
+	Leader        NodeID   // whom it takes for the leader, "" if it has heard of none lately
+	IsLeader      bool     // it leads
+	CanVote       bool     // it is an origin and votes
+	Epoch         Epoch    // the latest one that it has heard of
 }
 
 // Status returns what the member holds at now.
 func (n *Node) Status(now int64) Status {
 	r := &n.replica
-	s := Status{Revision: r.document.revision, Since: r.since, Newest: r.newest, Fresh: r.fresh, Epoch: r.beat.Epoch,
+	s := Status{Revision: r.document.revision, Since: r.since, Newest: r.newest, LeaderHeardAt: r.fresh, Epoch: r.beat.Epoch,
 		Sources: n.liveSources(now)}
-	if r.fresh > 0 && now-r.fresh < 2*n.timing.Campaign {
-		s.Leader = r.beat.Epoch.Origin
+	if r.fresh > 0 && now-r.fresh < 2*n.timing.ElectionTimeout {
+		s.Leader = r.beat.Epoch.Leader
 	}
 	if o := n.origin; o != nil {
-		s.Leading, s.Voting = o.role == leading, o.vote.Settled
+		s.IsLeader, s.CanVote = o.role == leading, o.vote.CanVote
 	}
 	return s
 }
@@ -129,7 +129,7 @@
 func (n *Node) Handle(now int64, m Message) Effects {
 	_, known := n.topology.Member(m.From)
 	if !known || m.To != n.me || m.From == n.me {
-		n.drop(DropStranger)
+		n.drop(DropUnknownMember)
 		return n.effects()
 	}
 	switch body := m.Body.(type) {
@@ -147,7 +147,7 @@
 		n.handleOverloaded(now, m.From)
 	case Apply:
 		n.handleApply(now, m.From, body)
-	case Applied:
+	case ApplyReply:
 		n.handleApplied(m.From, body.Result)
 	default:
 		n.handleOrigin(now, m)
@@ -167,8 +167,8 @@
 	return n.effects()
 }
 
-// TickPeriod is the longest time between two calls of Tick, in microseconds.
-const TickPeriod = 100_000
+// MaxTickInterval is the longest time between two calls of Tick, in microseconds.
+const MaxTickInterval = 100_000
 
 // Apply asks for a change of the revision base. The answer is a Result with the same ID, in the Effects of this or a
 // later call: an origin that leads takes it, any other member sends it on to the leader that it has heard of. Where
@@ -189,7 +189,7 @@
 		n.answer(n.me, Result{ID: a.ID, Outcome: Unavailable, Revision: n.held()})
 		return
 	}
-	n.questions[a.ID] = question{leader, now + 2*n.timing.ApplyLimit}
+	n.questions[a.ID] = question{leader, now + 2*n.timing.ApplyTimeout}
 	n.send(leader, a)
 }
 
@@ -252,10 +252,10 @@
 		n.out.Results = append(n.out.Results, r)
 		return
 	}
-	n.send(to, Applied{r})
+	n.send(to, ApplyReply{r})
 }
 
-func (n *Node) drop(why Drop) {
+func (n *Node) drop(why DropReason) {
 	if n.counted != nil {
 		n.counted(why)
 	}
--- a/internal/decide/configlog/origin.go
+++ b/internal/decide/configlog/origin.go
@@ -42,8 +42,8 @@
 	first  bool // it votes from the start, though nothing is saved: the installation is new
 
 	vote Vote
-	life uint64               // of this start, so that answers to an earlier one do not count
-	told map[NodeID]Recovered // what the others have told one that has forgotten
+	life uint64                  // of this start, so that answers to an earlier one do not count
+	told map[NodeID]RecoverReply // what the others have told one that has forgotten
 
 	role      role
 	epoch     Epoch // in which it campaigns or leads
@@ -62,14 +62,14 @@
 	campaigns int64 // when it campaigns next
 }
 
-func newOrigin(o Options, all []NodeID, saved Saved) *origin {
+func newOrigin(o Options, all []NodeID, saved SavedState) *origin {
 	others := slices.DeleteFunc(slices.Clone(all), func(n NodeID) bool { return n == o.Node })
 	seen := saved.Vote.Promised.Round
 	if saved.Document != nil { // what was restored by hand has no vote beside it
 		seen = max(seen, saved.Document.revision.Epoch.Round)
 	}
-	return &origin{others: others, vote: saved.Vote, first: o.First, life: o.Life, seen: seen,
-		told: map[NodeID]Recovered{}}
+	return &origin{others: others, vote: saved.Vote, first: o.Bootstrap, life: o.Incarnation, seen: seen,
+		told: map[NodeID]RecoverReply{}}
 }
 
 // isMajority tells whether so many origins, itself among them, are more than half.
@@ -80,13 +80,13 @@
 // handleOrigin takes a message from another origin.
 func (n *Node) handleOrigin(now int64, m Message) {
 	if n.origin == nil || !n.isOrigin(m.From) {
-		n.drop(DropRole)
+		n.drop(DropWrongRole)
 		return
 	}
 	switch body := m.Body.(type) {
-	case Canvass:
+	case PreVote:
 		n.handleCanvass(now, m.From, body)
-	case Willing:
+	case PreVoteGranted:
 		n.handleWilling(m.From, body)
 	case Prepare:
 		n.handlePrepare(m.From, body)
@@ -104,7 +104,7 @@
 		n.handleHeartbeatAck(now, m.From, body)
 	case Recover:
 		n.handleRecover(m.From, body)
-	case Recovered:
+	case RecoverReply:
 		n.handleRecovered(m.From, body)
 	}
 }
@@ -132,7 +132,7 @@
 
 func (n *Node) handlePrepare(from NodeID, p Prepare) {
 	o := n.origin
-	if !o.vote.Settled || p.Epoch.Origin != from {
+	if !o.vote.CanVote || p.Epoch.Leader != from {
 		return
 	}
 	if p.Epoch.Compare(o.vote.Promised) < 0 {
@@ -160,7 +160,7 @@
 // forgotten it.
 func (n *Node) handleAccept(from NodeID, p Proposal) {
 	o := n.origin
-	if !o.vote.Settled || p.Ballot.Origin != from || p.Delta.Revision.Number == 0 {
+	if !o.vote.CanVote || p.Ballot.Leader != from || p.Delta.Revision.Number == 0 {
 		return
 	}
 	if p.Ballot.Compare(o.vote.Promised) < 0 && !o.rules.anyEpoch {
@@ -180,17 +180,17 @@
 }
 
 func (n *Node) handleRecover(from NodeID, r Recover) {
-	if n.origin.vote.Settled {
-		n.send(from, Recovered{r.Life, Vote{true, n.origin.vote.Promised, n.pending()}, n.held()})
+	if n.origin.vote.CanVote {
+		n.send(from, RecoverReply{r.Incarnation, Vote{true, n.origin.vote.Promised, n.pending()}, n.held()})
 	}
 }
 
 // handleRecovered notes what another origin knows. Only when every other one has told, this origin votes again (see
 // recovered): each leader and candidate to whom it may have given a vote is among them, and has stored what it asked
 // for before it asked.
-func (n *Node) handleRecovered(from NodeID, r Recovered) {
+func (n *Node) handleRecovered(from NodeID, r RecoverReply) {
 	o := n.origin
-	if o.vote.Settled || r.Life != o.life {
+	if o.vote.CanVote || r.Incarnation != o.life {
 		return
 	}
 	o.told[from] = r
@@ -201,7 +201,7 @@
 func (n *Node) recovered() {
 	o := n.origin
 	enough := len(o.told) == len(o.others) && len(o.others) > 0 || o.rules.partly && len(o.told) > 0
-	if o.vote.Settled || !enough && !o.first && !o.rules.forgetful {
+	if o.vote.CanVote || !enough && !o.first && !o.rules.forgetful {
 		return
 	}
 	for _, t := range o.told {
@@ -219,6 +219,6 @@
 		}
 	}
 	o.seen = max(o.seen, o.vote.Promised.Round)
-	o.vote.Settled, n.out.SaveVote = true, true
+	o.vote.CanVote, n.out.SaveVote = true, true
 	o.told = nil
 }
--- a/internal/decide/configlog/replica.go
+++ b/internal/decide/configlog/replica.go
@@ -27,7 +27,7 @@
 	log      deltaLog
 	newest   Revision // that was heard of
 
-	beat       Beat
+	beat       HeartbeatID
 	fresh      int64 // when beat last advanced
 	digested   int64 // when the last digest was sent down
 	sources    []source
@@ -65,7 +65,7 @@
 const margin = 1
 
 // isFresh tells whether a beat is about as new as the best known.
-func (r *replica) isFresh(b Beat) bool {
+func (r *replica) isFresh(b HeartbeatID) bool {
 	if b.Epoch == r.beat.Epoch {
 		return b.Tick+margin >= r.beat.Tick
 	}
@@ -81,14 +81,14 @@
 		}
 		return false
 	}
-	if err := r.document.Take(d); err != nil {
+	if err := r.document.Apply(d); err != nil {
 		n.drop(DropInvalid)
 		return false
 	}
 	r.log.add(d)
 	r.since = now
 	n.hearOf(d.Revision)
-	n.out.Taken = append(n.out.Taken, d)
+	n.out.Deltas = append(n.out.Deltas, d)
 	return true
 }
 
@@ -97,7 +97,7 @@
 	r := &n.replica
 	r.document, r.since, r.log = d, now, deltaLog{base: d.revision}
 	n.hearOf(d.revision)
-	n.out.Replaced, n.out.Taken = true, nil
+	n.out.Replaced, n.out.Deltas = true, nil
 }
 
 func (n *Node) hearOf(r Revision) {
@@ -133,10 +133,10 @@
 }
 
 // hearBeat takes the leader's heartbeat, however it came, and passes it on where it is new.
-func (n *Node) hearBeat(now int64, b Beat) {
+func (n *Node) hearBeat(now int64, b HeartbeatID) {
 	if r := &n.replica; b.Compare(r.beat) > 0 {
 		r.beat, r.fresh = b, now
-		r.isolatedAt = now + n.timing.SilentAfter + n.random.Int64N(n.timing.Digest/2+1)
+		r.isolatedAt = now + n.timing.SourceTimeout + n.random.Int64N(n.timing.DigestInterval/2+1)
 		n.digest(now)
 	}
 }
@@ -148,16 +148,16 @@
 		return // of one that was asked earlier and is needed no more; it will stop by itself
 	}
 	s.held = d.Held
-	if r.isFresh(d.Beat) {
+	if r.isFresh(d.Heartbeat) {
 		s.heard = now
-		if !s.parent && d.Beat.Compare(r.beat) >= 0 && now <= r.isolatedAt {
+		if !s.parent && d.Heartbeat.Compare(r.beat) >= 0 && now <= r.isolatedAt {
 			r.seekWait = 0 // it has taken this member on, and is joined to a leader
 		}
 	}
 	if d.Held.Number == n.held().Number && d.Held != n.held() {
 		n.drop(DropFork)
 	}
-	n.hearBeat(now, d.Beat)
+	n.hearBeat(now, d.Heartbeat)
 	n.hearOf(d.Held)
 	n.pullFrom(now, from, d.Held)
 }
@@ -196,13 +196,13 @@
 		for _, p := range n.upstream() {
 			r.sources = append(r.sources, source{node: p, parent: true, heard: now})
 		}
-		r.seekAt = now + n.jitter(n.timing.SilentAfter)
+		r.seekAt = now + n.jitter(n.timing.SourceTimeout)
 	}
 	if now-r.snapshot.used > snapshotKept {
 		r.snapshot = snapshot{}
 	}
 	r.adopted = slices.DeleteFunc(r.adopted, func(c child) bool { return now > c.until })
-	if r.digested == 0 || now-r.digested >= n.timing.Digest*3/2 {
+	if r.digested == 0 || now-r.digested >= n.timing.DigestInterval*3/2 {
 		n.digest(now)
 	}
 	if r.pull.to != "" && now >= r.pull.deadline {
@@ -224,7 +224,7 @@
 		if s.node == r.pull.notTo {
 			v++
 		}
-		if now-s.heard > n.timing.SilentAfter {
+		if now-s.heard > n.timing.SourceTimeout {
 			v += 2
 		}
 		return v
@@ -256,7 +256,7 @@
 }
 
 // deltaSize is about how many bytes a delta has in a message.
-func deltaSize(d Delta) int { return d.Change.size() + 48 + len(d.Revision.Epoch.Origin) }
+func deltaSize(d Delta) int { return d.Change.size() + 48 + len(d.Revision.Epoch.Leader) }
 
 // find returns the delta that made a revision.
 func (l *deltaLog) find(number uint64) (Delta, bool) {
--- a/internal/decide/configlog/replica_test.go
+++ b/internal/decide/configlog/replica_test.go
@@ -15,13 +15,13 @@
 	me      NodeID
 	now     int64
 	sent    []Message
-	drops   map[Drop]int
+	drops   map[DropReason]int
 	parents []NodeID
 }
 
-func newFeeder(t *testing.T, saved Saved) *feeder {
-	f := &feeder{t: t, me: "f7", now: 1_000_000, drops: map[Drop]int{}}
-	n, err := New(Options{Node: f.me, Roster: installation(30), Seed: 1, Counted: func(d Drop) { f.drops[d]++ }}, saved)
+func newFeeder(t *testing.T, saved SavedState) *feeder {
+	f := &feeder{t: t, me: "f7", now: 1_000_000, drops: map[DropReason]int{}}
+	n, err := New(Options{Node: f.me, Roster: installation(30), Seed: 1, OnDrop: func(d DropReason) { f.drops[d]++ }}, saved)
 	require.NoError(t, err)
 	f.node, f.parents = n, n.topology.Parents(f.me)
 	f.tick(0)
@@ -60,7 +60,7 @@
 		copy(value, fmt.Sprint(i))
 		delta, err := d.next(testEpoch, Change{{Key: fmt.Sprint("k", i%10), Value: value}})
 		require.NoError(t, err)
-		require.NoError(t, d.Take(delta))
+		require.NoError(t, d.Apply(delta))
 		documents, deltas = append(documents, d.Clone()), append(deltas, delta)
 	}
 	return documents, deltas
@@ -68,7 +68,7 @@
 
 // holder is another member that has all of a history.
 func holder(t *testing.T, document *Document, log []Delta) *Node {
-	n, err := New(Options{Node: "c5", Roster: installation(30), Seed: 2}, Saved{Document: document})
+	n, err := New(Options{Node: "c5", Roster: installation(30), Seed: 2}, SavedState{Document: document})
 	require.NoError(t, err)
 	for _, d := range log {
 		n.replica.log.add(d)
@@ -83,7 +83,7 @@
 func TestSnapshotGoesOnElsewhere(t *testing.T) {
 	documents, _ := history(t, 12, 10_000)
 	last := documents[12]
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	a, b := f.parents[0], f.parents[1]
 	one, other := holder(t, last.Clone(), nil), holder(t, documents[11].Clone(), nil)
 	answer := func(n *Node, from NodeID) Effects {
@@ -93,19 +93,19 @@
 		require.Len(t, e.Messages, 1)
 		return f.handle(from, e.Messages[0].Body)
 	}
-	f.handle(a, Digest{Beat{testEpoch, 1}, last.Revision()})
+	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
 	for range 3 {
 		require.False(t, answer(one, a).Replaced)
 		require.Zero(t, f.node.Document().Revision(), "half of it is not in force")
 	}
 	require.Equal(t, uint32(3*ChunkBytes), f.last(a).(Pull).Offset)
 	f.sent = nil // the link is cut
-	f.handle(b, Digest{Beat{testEpoch, 2}, last.Revision()})
+	f.handle(b, Digest{HeartbeatID{testEpoch, 2}, last.Revision()})
 	for range 10 {
-		f.tick(TickPeriod)
+		f.tick(MaxTickInterval)
 	}
 	require.Equal(t, uint32(3*ChunkBytes), f.last(b).(Pull).Offset, "it goes on with the other parent")
-	require.Equal(t, last.Revision(), f.last(b).(Pull).Part)
+	require.Equal(t, last.Revision(), f.last(b).(Pull).PartialRevision)
 	same := holder(t, last.Clone(), nil)
 	taken := false
 	for range 10 {
@@ -119,9 +119,9 @@
 	require.Equal(t, last, f.node.Document())
 
 	// One that holds another revision begins anew with its own.
-	g := newFeeder(t, Saved{})
+	g := newFeeder(t, SavedState{})
 	f = g
-	f.handle(a, Digest{Beat{testEpoch, 1}, last.Revision()})
+	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
 	answer(one, a)
 	p := f.last(a).(Pull)
 	e := other.Handle(f.now, Message{f.me, other.me, p})
@@ -134,15 +134,15 @@
 	documents, _ := history(t, 3, 100)
 	text := documents[3].Snapshot()
 	text[len(text)-1] ^= 1
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	a := f.parents[0]
-	f.handle(a, Digest{Beat{testEpoch, 1}, documents[3].Revision()})
-	f.handle(f.parents[1], Digest{Beat{testEpoch, 1}, documents[3].Revision()})
+	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
+	f.handle(f.parents[1], Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
 	f.handle(a, Chunk{documents[3].Revision(), uint32(len(text)), 0, text})
 	require.Zero(t, f.node.Document().Revision())
 	require.Equal(t, 1, f.drops[DropInvalid])
 	for range 20 {
-		f.tick(TickPeriod)
+		f.tick(MaxTickInterval)
 	}
 	require.IsType(t, Pull{}, f.last(f.parents[1]))
 	for _, c := range []Chunk{
@@ -161,7 +161,7 @@
 // Nothing that is as old as what is held, or older, is ever taken, also after a restart from the saved document.
 func TestNothingOlderIsTaken(t *testing.T) {
 	documents, deltas := history(t, 5, 100)
-	f := newFeeder(t, Saved{Document: documents[4].Clone()})
+	f := newFeeder(t, SavedState{Document: documents[4].Clone()})
 	a := f.parents[0]
 	for _, d := range deltas[:4] {
 		require.Zero(t, f.handle(a, Push{d}))
@@ -171,43 +171,43 @@
 	f.handle(a, Chunk{documents[3].Revision(), uint32(len(text)), 0, text})
 	require.Equal(t, documents[4].Revision(), f.node.Document().Revision())
 	require.Equal(t, 1, f.drops[DropOld])
-	require.Equal(t, deltas[4:], f.handle(a, Push{deltas[4]}).Taken)
-	require.Empty(t, f.handle(f.parents[1], Push{deltas[4]}).Taken, "twice")
+	require.Equal(t, deltas[4:], f.handle(a, Push{deltas[4]}).Deltas)
+	require.Empty(t, f.handle(f.parents[1], Push{deltas[4]}).Deltas, "twice")
 	require.Equal(t, f.now, f.node.Status(f.now).Since)
 }
 
 // A delta that comes early is not taken, and what is missing is pulled.
 func TestGapIsPulled(t *testing.T) {
 	documents, deltas := history(t, 3, 100)
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	a := f.parents[0]
-	require.Empty(t, f.handle(a, Push{deltas[2]}).Taken)
+	require.Empty(t, f.handle(a, Push{deltas[2]}).Deltas)
 	require.Equal(t, Pull{}, f.last(a))
 	e := f.handle(a, Deltas{deltas, documents[3].Revision()})
-	require.Equal(t, deltas, e.Taken)
+	require.Equal(t, deltas, e.Deltas)
 	require.Equal(t, documents[3], f.node.Document())
 }
 
 // A change that does not make its revision, or another document under a number that is held, is counted and dropped.
 func TestWrongDeltas(t *testing.T) {
 	_, deltas := history(t, 2, 100)
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	a := f.parents[0]
 	wrong := deltas[0]
 	wrong.Change = Change{{Key: "x", Value: []byte("y")}}
-	require.Empty(t, f.handle(a, Push{wrong}).Taken)
+	require.Empty(t, f.handle(a, Push{wrong}).Deltas)
 	require.Equal(t, 1, f.drops[DropInvalid])
 	f.handle(a, Push{deltas[0]})
 	fork := deltas[0]
 	fork.Revision.Epoch.Round++
-	require.Empty(t, f.handle(a, Push{fork}).Taken)
+	require.Empty(t, f.handle(a, Push{fork}).Deltas)
 	require.Equal(t, 1, f.drops[DropFork])
-	f.handle(a, Digest{Beat{testEpoch, 1}, fork.Revision})
+	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, fork.Revision})
 	require.Equal(t, 2, f.drops[DropFork])
 	f.handle("nobody", Push{deltas[1]})
 	f.handle("c5", Prepare{testEpoch})
-	require.Equal(t, 1, f.drops[DropStranger])
-	require.Equal(t, 1, f.drops[DropRole])
+	require.Equal(t, 1, f.drops[DropUnknownMember])
+	require.Equal(t, 1, f.drops[DropWrongRole])
 	require.Equal(t, uint64(1), f.node.held().Number)
 }
 
@@ -232,26 +232,26 @@
 	require.Greater(t, overloaded, 5000)
 	adopted := 0
 	for i := range 30 {
-		e := n.Handle(now, Message{NodeID(fmt.Sprint("f", i)), n.me, Pull{Adopt: true}})
+		e := n.Handle(now, Message{NodeID(fmt.Sprint("f", i)), n.me, Pull{Subscribe: true}})
 		if _, ok := e.Messages[0].Body.(Digest); ok && !slices.Contains(n.topology.Children(n.me), e.Messages[0].To) {
 			adopted++
 		}
 	}
-	require.Equal(t, n.fan.Adopted, adopted)
+	require.Equal(t, n.fan.Subscribers, adopted)
 }
 
 // One that loses both parents finds another within SilentAfter and a tick, and lets go of it when a parent is back.
 func TestSubstitutes(t *testing.T) {
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	beat := func(tick uint64, from ...NodeID) {
 		for _, p := range from {
-			f.handle(p, Digest{Beat{testEpoch, tick}, Revision{}})
+			f.handle(p, Digest{HeartbeatID{testEpoch, tick}, Revision{}})
 		}
 	}
 	beat(1, f.parents...)
 	asked := func() (all []NodeID) {
 		for _, m := range f.sent {
-			if p, ok := m.Body.(Pull); ok && p.Adopt {
+			if p, ok := m.Body.(Pull); ok && p.Subscribe {
 				all = append(all, m.To)
 			}
 		}
@@ -259,26 +259,26 @@
 	}
 	died := f.now
 	for len(asked()) == 0 && f.now < died+10_000_000 {
-		f.tick(TickPeriod)
+		f.tick(MaxTickInterval)
 	}
-	require.LessOrEqual(t, f.now-died, f.node.timing.SilentAfter+f.node.timing.Digest/2+TickPeriod)
+	require.LessOrEqual(t, f.now-died, f.node.timing.SourceTimeout+f.node.timing.DigestInterval/2+MaxTickInterval)
 	substitute := asked()[0]
 	require.NotContains(t, f.parents, substitute)
 	beat(3, substitute)
 	require.Contains(t, f.node.Status(f.now).Sources, substitute)
 	beat(5, f.parents...)
-	f.tick(TickPeriod)
+	f.tick(MaxTickInterval)
 	require.Equal(t, f.parents, f.node.Status(f.now).Sources)
 }
 
 // Questions that nobody answers become rarer: a cut of an hour costs little, and its heal finds no storm.
 func TestWaitsGrow(t *testing.T) {
-	f := newFeeder(t, Saved{})
+	f := newFeeder(t, SavedState{})
 	documents, _ := history(t, 1, 10)
-	f.handle(f.parents[0], Digest{Beat{testEpoch, 1}, documents[1].Revision()})
+	f.handle(f.parents[0], Digest{HeartbeatID{testEpoch, 1}, documents[1].Revision()})
 	f.sent = nil
 	for range 36_000 {
-		f.tick(TickPeriod)
+		f.tick(MaxTickInterval)
 	}
 	pulls := 0
 	for _, m := range f.sent {
@@ -292,27 +292,27 @@
 
 // An answer to an Apply counts once, and only from the one that was asked.
 func TestAnswersToNobodysQuestion(t *testing.T) {
-	f := newFeeder(t, Saved{})
-	f.handle(f.parents[0], Digest{Beat{Epoch{1, "o1"}, 1}, Revision{}})
+	f := newFeeder(t, SavedState{})
+	f.handle(f.parents[0], Digest{HeartbeatID{Epoch{1, "o1"}, 1}, Revision{}})
 	e := f.node.Apply(f.now, 7, Revision{}, Change{{Key: "a", Value: []byte("b")}})
 	require.Equal(t, NodeID("o1"), e.Messages[0].To)
-	answer := Applied{Result{ID: 7, Outcome: Committed}}
+	answer := ApplyReply{Result{ID: 7, Outcome: Committed}}
 	require.Empty(t, f.handle("o2", answer).Results)
-	require.Empty(t, f.handle("o1", Applied{Result{ID: 8, Outcome: Committed}}).Results)
+	require.Empty(t, f.handle("o1", ApplyReply{Result{ID: 8, Outcome: Committed}}).Results)
 	require.Equal(t, []Result{answer.Result}, f.handle("o1", answer).Results)
 	require.Empty(t, f.handle("o1", answer).Results)
 	require.Equal(t, 3, f.drops[DropLate])
 
 	f.node.Apply(f.now, 9, Revision{}, Change{{Key: "a", Value: []byte("b")}})
-	e = f.tick(2 * f.node.timing.ApplyLimit)
+	e = f.tick(2 * f.node.timing.ApplyTimeout)
 	require.Equal(t, []Result{{ID: 9, Outcome: Unknown}}, e.Results, "nobody has answered")
 }
 
 // One whose parents still talk, but hear of no leader any more, asks another beside them, and changes it for the next
 // in turn as long as that does not help.
 func TestParentsThatAreCutOff(t *testing.T) {
-	f := newFeeder(t, Saved{})
-	stuck := Digest{Beat{testEpoch, 5}, Revision{}}
+	f := newFeeder(t, SavedState{})
+	stuck := Digest{HeartbeatID{testEpoch, 5}, Revision{}}
 	for _, p := range f.parents {
 		f.handle(p, stuck)
 	}
@@ -321,9 +321,9 @@
 		for _, p := range f.parents {
 			f.handle(p, stuck)
 		}
-		for _, m := range f.tick(TickPeriod).Messages {
+		for _, m := range f.tick(MaxTickInterval).Messages {
 			p, ok := m.Body.(Pull)
-			if !ok || !p.Adopt {
+			if !ok || !p.Subscribe {
 				continue
 			}
 			if first == 0 {
@@ -334,6 +334,6 @@
 		}
 		require.LessOrEqual(t, len(f.node.replica.sources), parents+1)
 	}
-	require.LessOrEqual(t, first-cut, f.node.timing.SilentAfter+f.node.timing.Digest/2+TickPeriod)
+	require.LessOrEqual(t, first-cut, f.node.timing.SourceTimeout+f.node.timing.DigestInterval/2+MaxTickInterval)
 	require.Greater(t, len(asked), 3)
 }
--- a/internal/decide/configlog/sources.go
+++ b/internal/decide/configlog/sources.go
@@ -19,7 +19,7 @@
 }
 
 // live tells whether a source has lately said something that is about as fresh as the best known.
-func (n *Node) live(now int64, s source) bool { return now-s.heard <= n.timing.SilentAfter }
+func (n *Node) live(now int64, s source) bool { return now-s.heard <= n.timing.SourceTimeout }
 
 func (n *Node) liveSources(now int64) (live []NodeID) {
 	for _, s := range n.replica.sources {
@@ -36,14 +36,14 @@
 	if slices.Contains(n.topology.Children(n.me), node) {
 		return true
 	}
-	until := now + 3*n.timing.Digest
+	until := now + 3*n.timing.DigestInterval
 	for i := range r.adopted {
 		if r.adopted[i].node == node {
 			r.adopted[i].until = until
 			return true
 		}
 	}
-	if len(r.adopted) >= n.fan.Adopted {
+	if len(r.adopted) >= n.fan.Subscribers {
 		return false
 	}
 	r.adopted = append(r.adopted, child{node, until})
@@ -121,14 +121,14 @@
 // answer.
 func (n *Node) seekAnother(now int64) {
 	r := &n.replica
-	candidates := slices.DeleteFunc(n.topology.Substitutes(n.me), func(c NodeID) bool { return n.source(c) != nil })
+	candidates := slices.DeleteFunc(n.topology.FallbackParents(n.me), func(c NodeID) bool { return n.source(c) != nil })
 	if len(candidates) == 0 {
 		return
 	}
 	next := candidates[r.candidate%len(candidates)]
 	r.candidate++
-	r.sources = append(r.sources, source{node: next, heard: now - n.timing.SilentAfter + n.timing.PullTimeout})
-	r.seekWait = min(max(n.timing.PullTimeout, 2*r.seekWait), n.timing.PullMax)
+	r.sources = append(r.sources, source{node: next, heard: now - n.timing.SourceTimeout + n.timing.PullTimeout})
+	r.seekWait = min(max(n.timing.PullTimeout, 2*r.seekWait), n.timing.MaxPullTimeout)
 	r.seekAt = now + n.jitter(r.seekWait)
 	n.renew(now, next)
 }
@@ -136,9 +136,9 @@
 // renew asks a substitute to go on feeding this member.
 func (n *Node) renew(now int64, node NodeID) {
 	s := n.source(node)
-	if s == nil || s.adopted > 0 && now-s.adopted < n.timing.Digest {
+	if s == nil || s.adopted > 0 && now-s.adopted < n.timing.DigestInterval {
 		return
 	}
 	s.adopted = now
-	n.send(node, Pull{Held: n.held(), Adopt: true})
+	n.send(node, Pull{Held: n.held(), Subscribe: true})
 }
--- a/internal/decide/configlog/topology.go
+++ b/internal/decide/configlog/topology.go
@@ -32,9 +32,9 @@
 // ErrRoster is wrapped by what says why a roster cannot be used.
 var ErrRoster = errors.New("roster")
 
-// Check returns an error for a roster that cannot be used: names twice or beyond a limit, or a number of origins
+// Validate returns an error for a roster that cannot be used: names twice or beyond a limit, or a number of origins
 // other than 1, 3 or 5.
-func (r Roster) Check() error {
+func (r Roster) Validate() error {
 	if len(r) > MaxMembers {
 		return fmt.Errorf("%w: %d members, more than %d", ErrRoster, len(r), MaxMembers)
 	}
@@ -105,7 +105,7 @@
 // NewTopology works out who feeds whom. In each region the heads are its relays, or followers where it has fewer than
 // three; origins feed them. All others are in levels, each fed by the one before within the bound on its fan-out.
 func NewTopology(roster Roster, fan FanOut) (*Topology, error) {
-	if err := roster.Check(); err != nil {
+	if err := roster.Validate(); err != nil {
 		return nil, err
 	}
 	t := &Topology{members: map[NodeID]Member{}, level: map[NodeID]int{}, parents: map[NodeID][]NodeID{},
@@ -209,9 +209,9 @@
 // Depth is the highest level.
 func (t *Topology) Depth() int { return t.depth }
 
-// Substitutes are those who may feed a member that has lost its parents: members of its region that are above it, in
+// FallbackParents are those who may feed a member that has lost its parents: members of its region that are above it, in
 // the order of rendezvous hashing, then the origins. Heads have the origins, then the heads of other regions.
-func (t *Topology) Substitutes(n NodeID) []NodeID {
+func (t *Topology) FallbackParents(n NodeID) []NodeID {
 	var above, heads []NodeID
 	for _, o := range t.byRegion[t.members[n].Region] {
 		if t.level[o] < t.level[n] {
--- a/internal/decide/configlog/topology_test.go
+++ b/internal/decide/configlog/topology_test.go
@@ -48,7 +48,7 @@
 			if len(roster) > 400 && i%10 > 0 {
 				continue // the ranking of thousands for each of thousands takes long
 			}
-			for _, s := range top.Substitutes(m.Node) {
+			for _, s := range top.FallbackParents(m.Node) {
 				require.Less(t, top.Level(s), max(2, top.Level(m.Node)))
 			}
 		}
@@ -90,7 +90,7 @@
 
 func TestRosterFaults(t *testing.T) {
 	good := installation(2)
-	require.NoError(t, good.Check())
+	require.NoError(t, good.Validate())
 	for name, bad := range map[string]Roster{
 		"no origin":    good[3:],
 		"two origins":  good[1:],
@@ -100,9 +100,9 @@
 		"a long name":  append(slices.Clone(good), Member{Node: NodeID(make([]byte, MaxNodeID+1))}),
 		"too many":     make(Roster, MaxMembers+1),
 	} {
-		require.ErrorIs(t, bad.Check(), ErrRoster, name)
+		require.ErrorIs(t, bad.Validate(), ErrRoster, name)
 	}
-	_, err := New(Options{Node: "nobody", Roster: good}, Saved{})
+	_, err := New(Options{Node: "nobody", Roster: good}, SavedState{})
 	require.ErrorIs(t, err, ErrRoster)
 }
 
@@ -111,9 +111,9 @@
 func TestBounds(t *testing.T) {
 	top, err := NewTopology(installation(300), DefaultFanOut())
 	require.NoError(t, err)
-	b := NewBounds(DefaultTiming(), top.Depth(), Links{Far: 80_000, Near: 4_000})
+	b := NewDelayBounds(DefaultTiming(), top.Depth(), LinkDelays{BetweenRegions: 80_000, WithinRegion: 4_000})
 	for _, line := range b.Formulas() {
 		t.Log(line)
 	}
-	require.LessOrEqual(t, b.Worst(), int64(4_000_000))
+	require.LessOrEqual(t, b.WorstCase(), int64(4_000_000))
 }
--- a/internal/decide/configlog/walk_test.go
+++ b/internal/decide/configlog/walk_test.go
@@ -49,7 +49,7 @@
 
 func (w *walked) start(id NodeID, first bool) *Node {
 	w.lives++
-	n, err := New(Options{Node: id, Roster: testRoster(3, 0), Life: w.lives, First: first}, Saved{})
+	n, err := New(Options{Node: id, Roster: testRoster(3, 0), Incarnation: w.lives, Bootstrap: first}, SavedState{})
 	if err != nil {
 		panic(err)
 	}
@@ -130,7 +130,7 @@
 
 // carryOut checks what has come into force or was told, and sends.
 func (w *walked) carryOut(e Effects) {
-	for _, d := range e.Taken {
+	for _, d := range e.Deltas {
 		r := d.Revision
 		if known, ok := w.committed[r.Number]; ok && known != r {
 			w.fail("%v and %v are both committed", known, r)
@@ -204,7 +204,7 @@
 func (w *walked) Steps() (steps []explore.Step[*walked]) {
 	add := func(to *walked, format string, args ...any) {
 		steps = append(steps,
-			explore.Step[*walked]{Name: func() string { return fmt.Sprintf(format, args...) }, To: to})
+			explore.Step[*walked]{Name: func() string { return fmt.Sprintf(format, args...) }, Next: to})
 	}
 	for k, m := range w.net {
 		i := slices.IndexFunc(w.origins, func(n *Node) bool { return n.me == m.message.To })
@@ -228,7 +228,7 @@
 // stepsOf are what one origin may do of its own accord.
 func (w *walked) stepsOf(i int, n *Node, add func(*walked, string, ...any)) {
 	o := n.origin
-	if w.left.campaigns > 0 && o.vote.Settled && o.role != leading {
+	if w.left.campaigns > 0 && o.vote.CanVote && o.role != leading {
 		to, n := w.with(i)
 		to.left.campaigns--
 		n.campaign()
@@ -282,7 +282,7 @@
 
 func (w *walked) settledBut(i int) bool {
 	for k, n := range w.origins {
-		if k != i && !n.origin.vote.Settled {
+		if k != i && !n.origin.vote.CanVote {
 			return false
 		}
 	}
@@ -309,7 +309,7 @@
 		t.Run(fmt.Sprintf("%+v", b), func(t *testing.T) {
 			r, err := explore.Walk(startOf(rules{}, b), *most)
 			t.Logf("%+v, all: %v", r, err == nil)
-			if !errors.Is(err, explore.ErrBound) {
+			if !errors.Is(err, explore.ErrStateLimit) {
 				require.NoError(t, err)
 			}
 			require.Greater(t, r.States, 1000)
@@ -342,7 +342,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, err := explore.Walk(startOf(m.rules, m.bounds), 10**most)
-			var f *explore.Fault
+			var f *explore.Violation
 			require.ErrorAs(t, err, &f)
 			t.Logf("%+v: %v", r, f)
 		})
--- a/internal/decide/ownership/ownership_test.go
+++ b/internal/decide/ownership/ownership_test.go
@@ -287,7 +287,7 @@
 		n := s.clone()
 		do(n)
 		n.dropObsolete()
-		steps = append(steps, explore.Step[*state]{Name: func() string { return fmt.Sprintf(name, about...) }, To: n})
+		steps = append(steps, explore.Step[*state]{Name: func() string { return fmt.Sprintf(name, about...) }, Next: n})
 	}
 	s.ownerSteps(add)
 	s.restartSteps(add)
@@ -432,7 +432,7 @@
 			report, err := explore.Walk(
 				newState(testFaults{noAnswers: limits.restarts+limits.duplicates > 0}, limits), *maxStates)
 			t.Logf("%+v, all: %v", report, err == nil)
-			if !errors.Is(err, explore.ErrBound) {
+			if !errors.Is(err, explore.ErrStateLimit) {
 				require.NoError(t, err)
 			}
 			require.Greater(t, report.States, 1000)
@@ -494,7 +494,7 @@
 				s = s.withFirstOwner()
 			}
 			report, err := explore.Walk(s, 5**maxStates)
-			var fault *explore.Fault
+			var fault *explore.Violation
 			require.ErrorAs(t, err, &fault)
 			t.Logf("%+v: %v", report, fault)
 		})
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -15,17 +15,17 @@
 	ID, Class, Tenant string
 	Key               string // of a class whose repeats go by one; "" for none
 	Body              []byte
-	Wait              time.Duration // for the answer
+	Timeout           time.Duration // for the answer
 	Hint              time.Duration // of its work
 }
 
 // Answer is the final answer. Status 0 is for none.
 type Answer struct {
-	Status int
-	Body   string
-	Sent   time.Time // just before the first byte
-	Took   time.Duration
-	Err    error
+	Status  int
+	Body    string
+	Sent    time.Time // just before the first byte
+	Latency time.Duration
+	Err     error
 }
 
 // Client speaks to one dispatcher.
@@ -53,14 +53,14 @@
 	req.Header.Set("X-Request-ID", m.ID)
 	req.Header.Set("X-Priority-Class", m.Class)
 	req.Header.Set("X-Tenant-Id", m.Tenant)
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(m.Wait.Milliseconds(), 10))
+	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(m.Timeout.Milliseconds(), 10))
 	if m.Hint > 0 {
 		req.Header.Set("X-Cost", strconv.FormatInt(m.Hint.Microseconds(), 10))
 	}
 	req.SetBody(m.Body)
 	a := Answer{Sent: time.Now()}
-	a.Err = c.host.DoTimeout(req, resp, m.Wait+time.Second)
-	a.Took = time.Since(a.Sent)
+	a.Err = c.host.DoTimeout(req, resp, m.Timeout+time.Second)
+	a.Latency = time.Since(a.Sent)
 	if a.Err == nil {
 		a.Status, a.Body = resp.StatusCode(), string(resp.Body())
 	}
--- a/internal/lab/client/connection.go
+++ b/internal/lab/client/connection.go
@@ -12,53 +12,53 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Manner is how a client behaves on a connection.
-type Manner int
+// Behavior is how a client behaves on a connection.
+type Behavior int
 
 // The manners.
 const (
-	AtOnce      Manner = iota // a request in one write
-	InPieces                  // in several, with pauses between them
-	Leaving                   // the client closes its connection before the answer
-	HalfClosing               // it shuts its sending side before the answer
-	StopMidway                // it sends half of a request and stays
-	Doubled                   // two requests in one write
+	SingleWrite    Behavior = iota // a request in one write
+	SeveralWrites                  // in several, with pauses between them
+	CloseEarly                     // the client closes its connection before the answer
+	HalfClose                      // it shuts its sending side before the answer
+	StopMidRequest                 // it sends half of a request and stays
+	TwoRequests                    // two requests in one write
 )
 
 var manners = [...]string{"at once", "in pieces", "leaving", "half closing", "stop midway", "doubled"}
 
-func (m Manner) String() string { return manners[m] }
+func (m Behavior) String() string { return manners[m] }
 
-// Bad tells whether clients of this manner do what the protocol does not allow: they are owed an error or a close.
-func (m Manner) Bad() bool { return m == StopMidway || m == Doubled }
+// ViolatesProtocol tells whether clients of this manner do what the protocol does not allow: they are owed an error or a close.
+func (m Behavior) ViolatesProtocol() bool { return m == StopMidRequest || m == TwoRequests }
 
-// End is how an exchange on a connection ended.
-type End int
+// Outcome is how an exchange on a connection ended.
+type Outcome int
 
 // The ends.
 const (
-	Answered End = iota // a whole answer came
-	Unread              // the connection was reset over a request that nobody had read
-	Closed              // it was closed though the whole request had been read
-	Silent              // nothing came in time
-	Left                // the client went
+	Answered        Outcome = iota // a whole answer came
+	ResetUnread                    // the connection was reset over a request that nobody had read
+	ClosedAfterRead                // it was closed though the whole request had been read
+	TimedOut                       // nothing came in time
+	Disconnected                   // the client went
 )
 
 var ends = [...]string{"answered", "unread", "closed", "silent", "left"}
 
-func (e End) String() string { return ends[e] }
+func (e Outcome) String() string { return ends[e] }
 
 // Result is what became of a request on a connection.
 type Result struct {
-	Began  time.Time // just before the first byte
-	Sent   time.Time // just after the last byte
-	Ended  time.Time
-	End    End
-	Status int
-	Body   string
+	Started time.Time // just before the first byte
+	Sent    time.Time // just after the last byte
+	Ended   time.Time
+	Outcome Outcome
+	Status  int
+	Body    string
 	// Surplus is how many bytes came behind the answer.
-	Surplus int
-	Err     error // why it ended so, where it was not answered
+	ExtraBytes int
+	Err        error // why it ended so, where it was not answered
 }
 
 // Connection is a client's connection, on which it brings one request after the other.
@@ -78,11 +78,11 @@
 	return &Connection{nc: nc.(*net.TCPConn), in: bufio.NewReader(nc)}, nil
 }
 
-// Used tells whether a request was answered on it.
-func (c *Connection) Used() bool { return c.used }
+// HasServed tells whether a request was answered on it.
+func (c *Connection) HasServed() bool { return c.used }
 
-// Over tells whether it is of no use any more.
-func (c *Connection) Over() bool { return c.over }
+// IsUnusable tells whether it is of no use any more.
+func (c *Connection) IsUnusable() bool { return c.over }
 
 // Close ends it.
 func (c *Connection) Close() { c.nc.Close() }
@@ -90,60 +90,60 @@
 // Delivery is a request and how it is brought.
 type Delivery struct {
 	Message
-	Manner  Manner
-	Pause   time.Duration // between pieces, or before the client leaves
-	Overdue time.Duration // how long beyond its time the client still listens
-	Second  string        // id of the second request of a doubled one
+	Behavior  Behavior
+	Pause     time.Duration // between pieces, or before the client leaves
+	ReadGrace time.Duration // how long beyond its time the client still listens
+	SecondID  string        // id of the second request of a doubled one
 }
 
 // pieces are how many writes a request in pieces takes.
 const pieces = 4
 
-// Bring brings a request and waits for its answer.
-func (c *Connection) Bring(d Delivery) Result {
-	r := Result{Began: time.Now()}
+// Do brings a request and waits for its answer.
+func (c *Connection) Do(d Delivery) Result {
+	r := Result{Started: time.Now()}
 	err := c.write(d)
 	r.Sent = time.Now()
 	switch {
-	case err == nil && d.Manner == Leaving:
+	case err == nil && d.Behavior == CloseEarly:
 		time.Sleep(d.Pause)
-		r.End, r.Ended = Left, time.Now() // before the close: what begins after it is counted from then on
+		r.Outcome, r.Ended = Disconnected, time.Now() // before the close: what begins after it is counted from then on
 		c.nc.Close()
 		c.over = true
 		return r
-	case err == nil && d.Manner == HalfClosing:
+	case err == nil && d.Behavior == HalfClose:
 		time.Sleep(d.Pause)
-		r.End, r.Ended = Left, time.Now()
+		r.Outcome, r.Ended = Disconnected, time.Now()
 		c.nc.CloseWrite()
 		c.over = true
 		return r
 	}
 	if err == nil {
-		c.nc.SetReadDeadline(r.Sent.Add(d.Wait + d.Overdue))
+		c.nc.SetReadDeadline(r.Sent.Add(d.Timeout + d.ReadGrace))
 		err = c.read(&r)
 	}
 	r.Ended = time.Now()
 	if err != nil {
 		c.over = true
-		r.End, r.Err = c.endOf(err), err
+		r.Outcome, r.Err = c.endOf(err), err
 		return r
 	}
 	c.used = true
-	r.Surplus = c.in.Buffered()
+	r.ExtraBytes = c.in.Buffered()
 	return r
 }
 
 // write writes the request as its manner says.
 func (c *Connection) write(d Delivery) error {
 	text := d.wire(d.ID)
-	switch d.Manner {
-	case StopMidway:
+	switch d.Behavior {
+	case StopMidRequest:
 		_, err := c.nc.Write(text[:len(text)/2])
 		return err
-	case Doubled:
-		_, err := c.nc.Write(append(text, d.wire(d.Second)...))
+	case TwoRequests:
+		_, err := c.nc.Write(append(text, d.wire(d.SecondID)...))
 		return err
-	case InPieces:
+	case SeveralWrites:
 		for i := range pieces {
 			if i > 0 {
 				time.Sleep(d.Pause)
@@ -176,32 +176,32 @@
 
 // endOf tells what an error in bringing a request says. What is written to a connection that its peer has closed is
 // answered with a reset, and so is a close over bytes that nobody has read: without one, the request had been read.
-func (c *Connection) endOf(err error) End {
+func (c *Connection) endOf(err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return Unread
+		return ResetUnread
 	case !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
-		return Silent
+		return TimedOut
 	}
 	time.Sleep(crossing)
 	raw, fault := c.nc.SyscallConn()
 	if fault != nil {
-		return Closed
+		return ClosedAfterRead
 	}
 	pending := 0
 	raw.Control(func(fd uintptr) {
 		pending, fault = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
 	})
 	if fault == nil && pending != 0 {
-		return Unread
+		return ResetUnread
 	}
-	return Closed
+	return ClosedAfterRead
 }
 
 // wire is a request as it goes over the connection.
 func (m Message) wire(id string) []byte {
 	text := fmt.Appendf(nil, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
-		"X-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n", id, m.Class, m.Tenant, max(m.Wait.Milliseconds(), 1))
+		"X-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n", id, m.Class, m.Tenant, max(m.Timeout.Milliseconds(), 1))
 	if m.Hint > 0 {
 		text = fmt.Appendf(text, "X-Cost: %d\r\n", m.Hint.Microseconds())
 	}
--- a/internal/lab/client/crowd.go
+++ b/internal/lab/client/crowd.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Crowd is many idle clients that connect, stay, and come again when they are sent away. Most say nothing; every third
+// IdleClients is many idle clients that connect, stay, and come again when they are sent away. Most say nothing; every third
 // brings something of use first, and may be quiet for long after that.
-type Crowd struct {
+type IdleClients struct {
 	stop     chan struct{}
 	stopOnce sync.Once
 	wait     sync.WaitGroup
@@ -24,22 +24,22 @@
 const useful = "POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: 41\r\n\r\n" +
 	`{"id":"none","from":"","state":"started"}`
 
-// Gather lets so many clients come to an address.
-func Gather(address string, size int) *Crowd {
-	c := &Crowd{stop: make(chan struct{})}
+// StartIdleClients lets so many clients come to an address.
+func StartIdleClients(address string, size int) *IdleClients {
+	c := &IdleClients{stop: make(chan struct{})}
 	for i := range size {
 		c.wait.Go(func() { c.idle(address, i%usefulPart == 0) })
 	}
 	return c
 }
 
-// Disperse sends them all away, and returns when they have gone.
-func (c *Crowd) Disperse() {
+// Stop sends them all away, and returns when they have gone.
+func (c *IdleClients) Stop() {
 	c.stopOnce.Do(func() { close(c.stop) })
 	c.wait.Wait()
 }
 
-func (c *Crowd) idle(address string, proves bool) {
+func (c *IdleClients) idle(address string, proves bool) {
 	for {
 		c.stay(address, proves)
 		select {
@@ -51,7 +51,7 @@
 }
 
 // stay connects, and returns when the connection has ended or the crowd disperses.
-func (c *Crowd) stay(address string, proves bool) {
+func (c *IdleClients) stay(address string, proves bool) {
 	nc, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
--- a/internal/lab/configmodel/faults.go
+++ b/internal/lab/configmodel/faults.go
@@ -9,7 +9,7 @@
 	}
 	i.down, i.frozen = true, false
 	if !keepsDisk {
-		i.saved, i.held = configlog.Saved{}, 0
+		i.saved, i.held = configlog.SavedState{}, 0
 	}
 	m.after(d, func() {
 		i.troubled = m.now
--- a/internal/lab/configmodel/model.go
+++ b/internal/lab/configmodel/model.go
@@ -23,23 +23,23 @@
 
 // Network is what is wrong with links in ordinary times. Shares are of messages.
 type Network struct {
-	Lost, Doubled, Replayed float64 // replayed ones come again up to a minute later
-	SameZone, SameRegion    int64   // the shortest delay, microseconds one way
-	Regions                 int64   // between regions
-	Jitter                  float64 // mean of the exponential part, as a share of the shortest delay
+	LossRate, DuplicateRate, ReplayRate float64 // replayed ones come again up to a minute later
+	SameZoneDelay, SameRegionDelay      int64   // the shortest delay, microseconds one way
+	InterRegionDelay                    int64   // between regions
+	Jitter                              float64 // mean of the exponential part, as a share of the shortest delay
 }
 
-// OrdinaryNetwork is assumed, and not measured: 0.3 ms within a zone, 1 ms within a region, 40 ms between regions,
+// DefaultNetwork is assumed, and not measured: 0.3 ms within a zone, 1 ms within a region, 40 ms between regions,
 // and one message of a thousand lost, where TCP would delay it.
-func OrdinaryNetwork() Network {
-	return Network{Lost: 0.001, Doubled: 0.001, SameZone: 300, SameRegion: 1000, Regions: 40_000, Jitter: 0.5}
+func DefaultNetwork() Network {
+	return Network{LossRate: 0.001, DuplicateRate: 0.001, SameZoneDelay: 300, SameRegionDelay: 1000, InterRegionDelay: 40_000, Jitter: 0.5}
 }
 
 // member is one instance, its disk and what is wrong with it.
 type member struct {
 	configlog.Member
 	node      *configlog.Node
-	saved     configlog.Saved
+	saved     configlog.SavedState
 	lives     uint64
 	held      uint64 // the number of the revision in force
 	down      bool
@@ -87,7 +87,7 @@
 	members  []*member
 	byID     map[configlog.NodeID]*member
 	carrying int64 // messages that have carried revisions, or asked for them
-	drops    map[configlog.Drop]int64
+	drops    map[configlog.DropReason]int64
 	scratch  []byte
 
 	changes   map[uint64]*change // of late, by number
@@ -111,9 +111,9 @@
 	number    uint64 // 0 as long as it is not committed
 }
 
-// Roster is an installation of so many dispatchers in 4 regions with 3 zones each, and 18 control machines: 3 origins
+// NewRoster is an installation of so many dispatchers in 4 regions with 3 zones each, and 18 control machines: 3 origins
 // in different regions, a relay in each zone, and 3 further relays.
-func Roster(followers int) (r configlog.Roster) {
+func NewRoster(followers int) (r configlog.Roster) {
 	add := func(name string, i, region, zone int, role configlog.Role) {
 		id := configlog.NodeID(fmt.Sprintf("%s-%d", name, i))
 		r = append(r, configlog.Member{Node: id, Role: role,
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	m := &Model{network: network, roster: roster, topology: topology, random: rand.New(rand.NewPCG(seed, 0)),
-		now: second, byID: map[configlog.NodeID]*member{}, drops: map[configlog.Drop]int64{},
+		now: second, byID: map[configlog.NodeID]*member{}, drops: map[configlog.DropReason]int64{},
 		changes: map[uint64]*change{}, committed: map[uint64]configlog.Revision{}, tries: map[uint64]try{},
 		again: map[uint64]func(){}}
 	for _, r := range roster {
@@ -151,7 +151,7 @@
 		}
 	}
 	for phase := range int64(phases) {
-		m.after(phase*configlog.TickPeriod/phases, func() { m.tick(int(phase)) })
+		m.after(phase*configlog.MaxTickInterval/phases, func() { m.tick(int(phase)) })
 	}
 	return m, nil
 }
@@ -162,8 +162,8 @@
 	heap.Push(&m.events, event{m.now + max(d, 0), m.order, do})
 }
 
-// Run lets so much time pass, in microseconds, and returns an error if an invariant was broken.
-func (m *Model) Run(d int64) error {
+// Advance lets so much time pass, in microseconds, and returns an error if an invariant was broken.
+func (m *Model) Advance(d int64) error {
 	until := m.now + d
 	for m.fault == nil && len(m.events) > 0 && m.events[0].at <= until {
 		e := heap.Pop(&m.events).(event)
@@ -181,8 +181,8 @@
 		saved.Document = saved.Document.Clone()
 	}
 	n, err := configlog.New(configlog.Options{Node: i.Node, Roster: m.roster, Topology: m.topology,
-		Seed: m.random.Uint64(), Life: i.lives, First: first,
-		Counted: func(why configlog.Drop) { m.drops[why]++ }}, saved)
+		Seed: m.random.Uint64(), Incarnation: i.lives, Bootstrap: first,
+		OnDrop: func(why configlog.DropReason) { m.drops[why]++ }}, saved)
 	if err != nil {
 		return err
 	}
@@ -201,12 +201,12 @@
 			m.carryOut(i, i.node.Tick(m.now))
 		}
 	}
-	m.after(configlog.TickPeriod, func() { m.tick(phase) })
+	m.after(configlog.MaxTickInterval, func() { m.tick(phase) })
 }
 
 // carryOut does what a member has decided: it saves, brings into force and sends.
 func (m *Model) carryOut(i *member, e configlog.Effects) {
-	if e.Replaced || len(e.Taken) > 0 {
+	if e.Replaced || len(e.Deltas) > 0 {
 		m.inForce(i, e)
 	}
 	if e.SaveVote {
@@ -235,25 +235,25 @@
 	from.sent += size
 	m.count(message.Body)
 	to := m.byID[message.To]
-	if from.mute || to.deaf || from.Region != to.Region && (from.cut || to.cut) || m.random.Float64() < m.network.Lost {
+	if from.mute || to.deaf || from.Region != to.Region && (from.cut || to.cut) || m.random.Float64() < m.network.LossRate {
 		return
 	}
 	arrive := func() { m.arrive(to, message, size) }
 	m.after(m.delay(from, to), arrive)
-	if m.random.Float64() < m.network.Doubled {
+	if m.random.Float64() < m.network.DuplicateRate {
 		m.after(m.delay(from, to), arrive)
 	}
-	if m.random.Float64() < m.network.Replayed {
+	if m.random.Float64() < m.network.ReplayRate {
 		m.after(m.random.Int64N(60*second), arrive)
 	}
 }
 
 func (m *Model) delay(from, to *member) int64 {
-	base := m.network.Regions
+	base := m.network.InterRegionDelay
 	if from.Zone == to.Zone {
-		base = m.network.SameZone
+		base = m.network.SameZoneDelay
 	} else if from.Region == to.Region {
-		base = m.network.SameRegion
+		base = m.network.SameRegionDelay
 	}
 	return base + int64(m.random.ExpFloat64()*m.network.Jitter*float64(base))
 }
--- a/internal/lab/configmodel/model_test.go
+++ b/internal/lab/configmodel/model_test.go
@@ -36,19 +36,19 @@
 func TestSeedRepeatsTheRun(t *testing.T) {
 	s := Scenarios()[5]
 	s.Seconds = 20
-	a, err := Play(s, 30, 7)
+	a, err := RunScenario(s, 30, 7)
 	require.NoError(t, err)
-	b, err := Play(s, 30, 7)
+	b, err := RunScenario(s, 30, 7)
 	require.NoError(t, err)
 	require.Equal(t, a, b)
-	c, err := Play(s, 30, 8)
+	c, err := RunScenario(s, 30, 8)
 	require.NoError(t, err)
 	require.NotEqual(t, a, c)
 }
 
 func TestBounds(t *testing.T) {
 	for _, followers := range []int{30, 300, 1000} {
-		lines, err := Bounds(followers)
+		lines, err := BoundFormulas(followers)
 		require.NoError(t, err)
 		require.Len(t, lines, 7)
 		t.Logf("%d dispatchers:\n%s", followers, strings.Join(lines, "\n"))
@@ -57,7 +57,7 @@
 
 // Of the ways that were weighed only the one that was built is in force at 99.9% within 4 s while members are frozen.
 func TestOptions(t *testing.T) {
-	r, err := Options(300, *seedOf)
+	r, err := CompareOptions(300, *seedOf)
 	require.NoError(t, err)
 	out := &strings.Builder{}
 	require.NoError(t, r.Finish(out, ""))
--- a/internal/lab/configmodel/operator.go
+++ b/internal/lab/configmodel/operator.go
@@ -106,13 +106,13 @@
 // inForce checks and measures what has come into force at a member.
 func (m *Model) inForce(i *member, e configlog.Effects) {
 	first := i.node.Document().Revision().Number + 1
-	if len(e.Taken) > 0 {
-		first = e.Taken[0].Revision.Number
+	if len(e.Deltas) > 0 {
+		first = e.Deltas[0].Revision.Number
 	}
 	if e.Replaced {
 		first = i.held + 1
 	}
-	for _, d := range e.Taken {
+	for _, d := range e.Deltas {
 		m.isCommitted(d)
 	}
 	revision := i.node.Document().Revision()
--- a/internal/lab/configmodel/options.go
+++ b/internal/lab/configmodel/options.go
@@ -41,7 +41,7 @@
 // link returns a delay from one to another; a lost message is repeated after 200 ms, as TCP's shortest timeout has it.
 func (o *optionRun) link(from, to *member) int64 {
 	d := o.delay(from, to)
-	for o.random.Float64() < o.network.Lost {
+	for o.random.Float64() < o.network.LossRate {
 		d += 200 * millisecond
 	}
 	return d
@@ -159,7 +159,7 @@
 		}
 		at := int64(never)
 		for _, p := range o.topology.Parents(i.Node)[:of] {
-			if t, ok := has[p]; ok && t != never && !o.frozen[p] && o.random.Float64() >= o.network.Lost {
+			if t, ok := has[p]; ok && t != never && !o.frozen[p] && o.random.Float64() >= o.network.LossRate {
 				at = min(at, t+o.delay(o.byID[p], i))
 			}
 		}
@@ -174,8 +174,8 @@
 // options are the other ways.
 func options() []option {
 	digest := float64(len(configlog.AppendBody(nil, configlog.Digest{
-		Beat: configlog.Beat{Epoch: configlog.Epoch{Round: 1, Origin: "origin-0"}, Tick: 1 << 20},
-		Held: configlog.Revision{Epoch: configlog.Epoch{Round: 1, Origin: "origin-0"}, Number: 5200}}))) + overhead
+		Heartbeat: configlog.HeartbeatID{Epoch: configlog.Epoch{Round: 1, Leader: "origin-0"}, Tick: 1 << 20},
+		Held:      configlog.Revision{Epoch: configlog.Epoch{Round: 1, Leader: "origin-0"}, Number: 5200}}))) + overhead
 	perSecond := func(period int64) float64 { return float64(second) / float64(period) }
 	return []option{
 		{"one after the other, by a tool", 0, (*optionRun).one},
@@ -187,12 +187,12 @@
 	}
 }
 
-// Options compares the ways to bring a change to all of so many dispatchers, while 2% of the members are frozen.
-func Options(followers int, seed uint64) (*report.Report, error) {
+// CompareOptions compares the ways to bring a change to all of so many dispatchers, while 2% of the members are frozen.
+func CompareOptions(followers int, seed uint64) (*report.Report, error) {
 	r := report.New("configuration-options", seed, "way", "dispatchers", "p50 ms", "p99 ms", "p99.9 ms", "within 4 s",
 		"left behind", "idle B/s")
 	for _, way := range options() {
-		m, err := NewModel(Roster(followers), OrdinaryNetwork(), seed)
+		m, err := NewModel(NewRoster(followers), DefaultNetwork(), seed)
 		if err != nil {
 			return nil, err
 		}
@@ -211,7 +211,7 @@
 			}
 			return "never"
 		}
-		r.Add(way.name, followers, text(0.5), text(0.99), text(0.999),
+		r.AddRow(way.name, followers, text(0.5), text(0.99), text(0.999),
 			fmt.Sprintf("%.2f%%", 100*within(times, 4*second)), fmt.Sprintf("%.2f%%", 100*behind),
 			fmt.Sprintf("%.0f", way.idle))
 	}
@@ -223,7 +223,7 @@
 
 // addTaken plays what was built under the same conditions: 2% of the members frozen at any time, for 10 s each.
 func addTaken(r *report.Report, followers int, seed uint64) error {
-	s := Scenario{Name: "as the others", Seconds: optionChanges, Rate: 1, Faults: func(m *Model, seconds int64) {
+	s := Scenario{Name: "as the others", Seconds: optionChanges, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 		for at := int64(0); at < seconds; at++ {
 			m.after(at*second, func() {
 				for _, i := range m.some(optionFrozen/10, configlog.Follower, configlog.Relay, configlog.Origin) {
@@ -232,16 +232,16 @@
 			})
 		}
 	}}
-	x, err := Play(s, followers, seed)
+	x, err := RunScenario(s, followers, seed)
 	if err != nil {
 		return err
 	}
-	quiet, err := Play(Scenario{Name: "idle", Seconds: 100, Rate: 0.001}, followers, seed)
+	quiet, err := RunScenario(Scenario{Name: "idle", Seconds: 100, ChangeRate: 0.001}, followers, seed)
 	if err != nil {
 		return err
 	}
-	r.Add("tree, two parents, digests and pulls", followers, milliseconds(x.P50), milliseconds(x.P99),
-		milliseconds(x.P999), fmt.Sprintf("%.2f%%", 100*x.Within4s), fmt.Sprintf("%.2f%%", 100*x.GivenUp),
+	r.AddRow("tree, two parents, digests and pulls", followers, milliseconds(x.P50), milliseconds(x.P99),
+		milliseconds(x.P999), fmt.Sprintf("%.2f%%", 100*x.Within4s), fmt.Sprintf("%.2f%%", 100*x.NeverApplied),
 		fmt.Sprintf("%.0f", quiet.MeanBytes))
 	return nil
 }
--- a/internal/lab/configmodel/scenario.go
+++ b/internal/lab/configmodel/scenario.go
@@ -9,36 +9,36 @@
 
 // Scenario is what goes wrong in a run.
 type Scenario struct {
-	Name    string
-	Seconds int64   // how long changes are asked for
-	Rate    float64 // changes a second
-	Network func(*Network)
+	Name       string
+	Seconds    int64   // how long changes are asked for
+	ChangeRate float64 // changes a second
+	Network    func(*Network)
 	// NoQuorum tells that no majority of origins is there for a while: nothing can be committed then, and the 4 s
 	// count from when a change is committed.
-	NoQuorum bool
-	Faults   func(m *Model, seconds int64) // lets faults happen; nil for none
+	NoQuorum     bool
+	InjectFaults func(m *Model, seconds int64) // lets faults happen; nil for none
 }
 
 // Result is what a run has measured. Times are microseconds.
 type Result struct {
-	Scenario            string
-	Followers           int
-	Changes             int     // committed
-	Samples             int     // of a change and a dispatcher that could be reached
-	P50, P99, P999, Max int64   // until in force there, from the asking that was taken
-	Within4s            float64 // share of the samples
-	GivenUp             float64 // share that was not in force after 30 s
-	CommittedWithin4s   float64 // and counted from when it was committed
-	CommittedP999       int64   // until in force there, from when it was committed
-	TakenP99            int64   // until an operator's change is committed, from the first asking, all repeats included
-	MessagesPerChange   float64 // pushes, pulls and their answers, for each member and change
-	RelayBytes          float64 // mean bytes a second sent and received by the busiest relay or origin
-	FeederBytes         float64 // and by the busiest dispatcher
-	MeanBytes           float64 // and by all dispatchers on average
+	Scenario               string
+	Followers              int
+	Changes                int     // committed
+	Samples                int     // of a change and a dispatcher that could be reached
+	P50, P99, P999, Max    int64   // until in force there, from the asking that was taken
+	Within4s               float64 // share of the samples
+	NeverApplied           float64 // share that was not in force after 30 s
+	Within4sOfCommit       float64 // and counted from when it was committed
+	P999FromCommit         int64   // until in force there, from when it was committed
+	CommitP99              int64   // until an operator's change is committed, from the first asking, all repeats included
+	MessagesPerChange      float64 // pushes, pulls and their answers, for each member and change
+	BusiestRelayBytes      float64 // mean bytes a second sent and received by the busiest relay or origin
+	BusiestDispatcherBytes float64 // and by the busiest dispatcher
+	MeanBytes              float64 // and by all dispatchers on average
 	// from a heal until all have what the others had at the heal; 0 where nothing was healed
-	CatchUp      int64
-	CatchUpBytes float64 // received in that time for each member that was cut off, heartbeats among them
-	Drops        map[configlog.Drop]int64
+	CatchUpTime     int64
+	CatchUpBytes    float64 // received in that time for each member that was cut off, heartbeats among them
+	DroppedMessages map[configlog.DropReason]int64
 }
 
 // operatorsRate is 5,200 changes a day, in changes a second.
@@ -56,25 +56,25 @@
 			}
 			return c
 		})
-		if err := m.Run(2 * second); err != nil {
+		if err := m.Advance(2 * second); err != nil {
 			return err
 		}
 	}
-	return m.Run(warmUp)
+	return m.Advance(warmUp)
 }
 
-// Play runs a scenario among so many dispatchers. An invariant that was broken is an error: two documents under one
+// RunScenario runs a scenario among so many dispatchers. An invariant that was broken is an error: two documents under one
 // number, a member that goes back, or one that does not hold the newest revision in the end.
-func Play(s Scenario, followers int, seed uint64) (Result, error) {
-	network := OrdinaryNetwork()
+func RunScenario(s Scenario, followers int, seed uint64) (Result, error) {
+	network := DefaultNetwork()
 	if s.Network != nil {
 		s.Network(&network)
 	}
-	m, err := NewModel(Roster(followers), network, seed)
+	m, err := NewModel(NewRoster(followers), network, seed)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := m.Run(warmUp); err != nil {
+	if err := m.Advance(warmUp); err != nil {
 		return Result{}, err
 	}
 	if err := m.fill(); err != nil {
@@ -86,18 +86,18 @@
 	for _, i := range m.members {
 		i.sent, i.got = 0, 0
 	}
-	if s.Faults != nil {
-		s.Faults(m, s.Seconds)
+	if s.InjectFaults != nil {
+		s.InjectFaults(m, s.Seconds)
 	}
-	m.askAtRate(s.Rate, s.Seconds)
-	if err := m.Run(s.Seconds * second); err != nil {
+	m.askAtRate(s.ChangeRate, s.Seconds)
+	if err := m.Advance(s.Seconds * second); err != nil {
 		return Result{}, err
 	}
 	r := m.traffic(s, followers, float64(m.now-counted)/1e6)
 	if n := m.newest - committed; n > 0 {
 		r.MessagesPerChange = float64(m.carrying-before) / float64(n) / float64(len(m.members))
 	}
-	if err := m.Run(givenUp + 90*second); err != nil {
+	if err := m.Advance(givenUp + 90*second); err != nil {
 		return r, err
 	}
 	m.finish(&r, int(m.newest-committed))
@@ -122,10 +122,10 @@
 	for _, i := range m.members {
 		rate := float64(i.sent+i.got) / seconds
 		if i.Role == configlog.Follower {
-			r.FeederBytes = max(r.FeederBytes, rate)
+			r.BusiestDispatcherBytes = max(r.BusiestDispatcherBytes, rate)
 			r.MeanBytes += rate / float64(followers)
 		} else {
-			r.RelayBytes = max(r.RelayBytes, rate)
+			r.BusiestRelayBytes = max(r.BusiestRelayBytes, rate)
 		}
 	}
 	return r
@@ -134,14 +134,14 @@
 // finish adds what is known in the end.
 func (m *Model) finish(r *Result, changes int) {
 	in := m.samples.inForce
-	r.Changes, r.Samples, r.Drops = changes, len(in), m.drops
+	r.Changes, r.Samples, r.DroppedMessages = changes, len(in), m.drops
 	r.P50, r.P99, r.P999, r.Max = quantile(in, 0.5), quantile(in, 0.99), quantile(in, 0.999), quantile(in, 1)
 	r.Within4s = within(in, 4*second)
-	r.GivenUp = 1 - within(in, givenUp-1)
-	r.CommittedP999 = quantile(m.samples.committed, 0.999)
-	r.CommittedWithin4s = within(m.samples.committed, 4*second)
-	r.TakenP99 = quantile(m.samples.taken, 0.99)
-	r.CatchUp, r.CatchUpBytes = m.catchUp, m.catchUpBytes
+	r.NeverApplied = 1 - within(in, givenUp-1)
+	r.P999FromCommit = quantile(m.samples.committed, 0.999)
+	r.Within4sOfCommit = within(m.samples.committed, 4*second)
+	r.CommitP99 = quantile(m.samples.taken, 0.99)
+	r.CatchUpTime, r.CatchUpBytes = m.catchUp, m.catchUpBytes
 }
 
 // converged returns an error if a member that is up does not hold the newest revision.
@@ -196,9 +196,9 @@
 	}
 	some := []configlog.Role{configlog.Follower, configlog.Relay}
 	return []Scenario{
-		{Name: "quiet, 5,200 a day", Seconds: 1000, Rate: operatorsRate},
-		{Name: "a day in 864 s", Seconds: 864, Rate: 1, Faults: day},
-		{Name: "a zone killed", Seconds: 120, Rate: 1, Faults: func(m *Model, _ int64) {
+		{Name: "quiet, 5,200 a day", Seconds: 1000, ChangeRate: operatorsRate},
+		{Name: "a day in 864 s", Seconds: 864, ChangeRate: 1, InjectFaults: day},
+		{Name: "a zone killed", Seconds: 120, ChangeRate: 1, InjectFaults: func(m *Model, _ int64) {
 			m.after(20*second, func() {
 				for _, i := range m.members {
 					if i.Zone == "zone-1-0" { // an origin, a relay and a twelfth of the dispatchers
@@ -207,7 +207,7 @@
 				}
 			})
 		}},
-		{Name: "one-way cuts", Seconds: 240, Rate: 1, Faults: func(m *Model, seconds int64) {
+		{Name: "one-way cuts", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
 				m.after(at*second, func() {
 					for _, i := range m.some(0.05, some...) {
@@ -216,7 +216,7 @@
 				})
 			}
 		}},
-		{Name: "frozen and woken", Seconds: 240, Rate: 1, Faults: func(m *Model, seconds int64) {
+		{Name: "frozen and woken", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
 				m.after(at*second, func() {
 					for _, i := range m.some(0.05, some...) {
@@ -228,17 +228,17 @@
 				})
 			}
 		}},
-		{Name: "two of three origins frozen", Seconds: 120, Rate: 1, NoQuorum: true, Faults: func(m *Model, _ int64) {
+		{Name: "two of three origins frozen", Seconds: 120, ChangeRate: 1, NoQuorum: true, InjectFaults: func(m *Model, _ int64) {
 			m.after(20*second, func() {
 				m.freeze(m.members[0], 20*second)
 				m.freeze(m.members[1], 20*second)
 			})
 		}},
-		{Name: "lost, doubled, old", Seconds: 240, Rate: 1, Network: func(n *Network) {
-			n.Lost, n.Doubled, n.Replayed, n.Jitter = 0.05, 0.05, 0.02, 3
+		{Name: "lost, doubled, old", Seconds: 240, ChangeRate: 1, Network: func(n *Network) {
+			n.LossRate, n.DuplicateRate, n.ReplayRate, n.Jitter = 0.05, 0.05, 0.02, 3
 		}},
-		{Name: "all dispatchers start from nothing", Seconds: 600, Rate: operatorsRate, Faults: startFromNothing},
-		{Name: "region cut for an hour", Seconds: 3660, Rate: operatorsRate, Faults: cutLeadersRegion},
+		{Name: "all dispatchers start from nothing", Seconds: 600, ChangeRate: operatorsRate, InjectFaults: startFromNothing},
+		{Name: "region cut for an hour", Seconds: 3660, ChangeRate: operatorsRate, InjectFaults: cutLeadersRegion},
 	}
 }
 
@@ -258,7 +258,7 @@
 	region := "region-0"
 	m.after(10*second, func() {
 		for _, i := range m.members {
-			if i.node.Status(m.now).Leading {
+			if i.node.Status(m.now).IsLeader {
 				region = i.Region
 			}
 		}
--- a/internal/lab/configmodel/table.go
+++ b/internal/lab/configmodel/table.go
@@ -32,7 +32,7 @@
 			if tell != nil {
 				tell(fmt.Sprintf("%s, %d dispatchers", s.Name, followers))
 			}
-			result, err := Play(s, followers, seed)
+			result, err := RunScenario(s, followers, seed)
 			if err != nil {
 				return nil, fmt.Errorf("%s, %d dispatchers: %w", s.Name, followers, err)
 			}
@@ -56,11 +56,11 @@
 
 func (x Result) add(r *report.Report) {
 	whole := func(v float64) string { return fmt.Sprintf("%.0f", v) }
-	r.Add(x.Scenario, x.Followers, x.Changes, x.Samples, milliseconds(x.P50), milliseconds(x.P99), milliseconds(x.P999),
-		milliseconds(x.Max), fmt.Sprintf("%.3f%%", 100*x.Within4s), milliseconds(x.CommittedP999),
-		milliseconds(x.TakenP99),
-		fmt.Sprintf("%.2f", x.MessagesPerChange), whole(x.RelayBytes), whole(x.FeederBytes), whole(x.MeanBytes),
-		milliseconds(x.CatchUp), whole(x.CatchUpBytes))
+	r.AddRow(x.Scenario, x.Followers, x.Changes, x.Samples, milliseconds(x.P50), milliseconds(x.P99), milliseconds(x.P999),
+		milliseconds(x.Max), fmt.Sprintf("%.3f%%", 100*x.Within4s), milliseconds(x.P999FromCommit),
+		milliseconds(x.CommitP99),
+		fmt.Sprintf("%.2f", x.MessagesPerChange), whole(x.BusiestRelayBytes), whole(x.BusiestDispatcherBytes), whole(x.MeanBytes),
+		milliseconds(x.CatchUpTime), whole(x.CatchUpBytes))
 }
 
 // check notes the bars of a result. Bytes have theirs where changes come at the operators' rate; elsewhere there are
@@ -70,23 +70,23 @@
 	p999, share := x.P999, x.Within4s
 	if s.NoQuorum {
 		name += "from the commit, "
-		p999, share = x.CommittedP999, x.CommittedWithin4s
+		p999, share = x.P999FromCommit, x.Within4sOfCommit
 	}
-	r.Check(name+"p99.9 until in force", float64(p999)/1000, float64(barInForce)/1000, "ms")
-	r.Check(name+"dispatchers and changes later than 4 s", 100*(1-share), 100*(1-barShare), "%")
-	if s.Rate == operatorsRate {
-		r.Check(name+"mean bytes of a dispatcher", x.MeanBytes, barBytes, "B/s")
+	r.AddBound(name+"p99.9 until in force", float64(p999)/1000, float64(barInForce)/1000, "ms")
+	r.AddBound(name+"dispatchers and changes later than 4 s", 100*(1-share), 100*(1-barShare), "%")
+	if s.ChangeRate == operatorsRate {
+		r.AddBound(name+"mean bytes of a dispatcher", x.MeanBytes, barBytes, "B/s")
 	}
 }
 
-// Bounds are the formulas of the longest times in an installation of so many dispatchers, with the delays that the
+// BoundFormulas are the formulas of the longest times in an installation of so many dispatchers, with the delays that the
 // model reckons with.
-func Bounds(followers int) ([]string, error) {
-	top, err := configlog.NewTopology(Roster(followers), configlog.DefaultFanOut())
+func BoundFormulas(followers int) ([]string, error) {
+	top, err := configlog.NewTopology(NewRoster(followers), configlog.DefaultFanOut())
 	if err != nil {
 		return nil, err
 	}
-	n := OrdinaryNetwork()
-	links := configlog.Links{Far: 2 * n.Regions, Near: 4 * n.SameRegion}
-	return configlog.NewBounds(configlog.DefaultTiming(), top.Depth(), links).Formulas(), nil
+	n := DefaultNetwork()
+	links := configlog.LinkDelays{BetweenRegions: 2 * n.InterRegionDelay, WithinRegion: 4 * n.SameRegionDelay}
+	return configlog.NewDelayBounds(configlog.DefaultTiming(), top.Depth(), links).Formulas(), nil
 }
--- a/internal/lab/discoveryserver/discoveryserver.go
+++ b/internal/lab/discoveryserver/discoveryserver.go
@@ -12,15 +12,15 @@
 
 // Entry is one host of the list, in the form of the wire.
 type Entry struct {
-	Host      string   `json:"host"`
-	Dial      string   `json:"dial"`
-	Addresses []string `json:"addresses,omitempty"`
-	Site      string   `json:"site"`
-	Class     string   `json:"class"`
-	Block     int      `json:"block"`
-	Health    string   `json:"health"`
-	Share     float64  `json:"share"`
-	Born      int64    `json:"born_ms"`
+	Host          string   `json:"host"`
+	Dial          string   `json:"dial"`
+	Addresses     []string `json:"addresses,omitempty"`
+	Site          string   `json:"site"`
+	Class         string   `json:"class"`
+	Block         int      `json:"block"`
+	Health        string   `json:"health"`
+	Share         float64  `json:"share"`
+	StartedMillis int64    `json:"born_ms"`
 }
 
 // Server is a running stand-in.
@@ -68,8 +68,8 @@
 // Close ends it.
 func (s *Server) Close() { s.ln.Close() }
 
-// Set lists hosts, or changes them, as one change.
-func (s *Server) Set(entries ...Entry) {
+// Update lists hosts, or changes them, as one change.
+func (s *Server) Update(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
@@ -87,8 +87,8 @@
 	s.news = make(chan struct{})
 }
 
-// TellWhole makes all answers whole lists from now on, or what has changed again.
-func (s *Server) TellWhole(whole bool) {
+// SetFullLists makes all answers whole lists from now on, or what has changed again.
+func (s *Server) SetFullLists(whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.whole = whole
--- a/internal/lab/discoveryserver/entrance.go
+++ b/internal/lab/discoveryserver/entrance.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Entrance is a further address of the stand-in, for a group of callers whose traffic is counted apart, and which can
+// Endpoint is a further address of the stand-in, for a group of callers whose traffic is counted apart, and which can
 // be cut off from it as by a network that loses everything.
-type Entrance struct {
+type Endpoint struct {
 	net.Listener
 
 	in, out atomic.Int64
@@ -18,35 +18,35 @@
 }
 
 // Traffic is what went through an entrance, in bytes of the connections' contents.
-type Traffic struct{ In, Out int64 }
+type Traffic struct{ BytesIn, BytesOut int64 }
 
-// Entrance opens a further address, on a free port of 127.0.0.1.
-func (s *Server) Entrance() (*Entrance, error) {
+// AddEndpoint opens a further address, on a free port of 127.0.0.1.
+func (s *Server) AddEndpoint() (*Endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &Entrance{Listener: ln, healed: make(chan struct{})}
+	e := &Endpoint{Listener: ln, healed: make(chan struct{})}
 	close(e.healed)
 	go s.server.Serve(e)
 	return e, nil
 }
 
 // Address is where it listens.
-func (e *Entrance) Address() string { return e.Addr().String() }
+func (e *Endpoint) Address() string { return e.Addr().String() }
 
 // Traffic is what went through it so far.
-func (e *Entrance) Traffic() Traffic { return Traffic{In: e.in.Load(), Out: e.out.Load()} }
+func (e *Endpoint) Traffic() Traffic { return Traffic{BytesIn: e.in.Load(), BytesOut: e.out.Load()} }
 
-// Cut keeps everything back, in both directions, until Heal: connections stay, and nothing arrives on them.
-func (e *Entrance) Cut() {
+// Partition keeps everything back, in both directions, until Heal: connections stay, and nothing arrives on them.
+func (e *Endpoint) Partition() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.healed = make(chan struct{})
 }
 
 // Heal ends a cut. What was under way during it is lost, with the connections that it was on.
-func (e *Entrance) Heal() {
+func (e *Endpoint) Heal() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	close(e.healed)
@@ -56,7 +56,7 @@
 var errCut = errors.New("lost in a cut")
 
 // pass returns at once where there is no cut, and with an error when one has ended.
-func (e *Entrance) pass() error {
+func (e *Endpoint) pass() error {
 	e.mu.Lock()
 	healed := e.healed
 	e.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // Accept waits for a caller.
-func (e *Entrance) Accept() (net.Conn, error) {
+func (e *Endpoint) Accept() (net.Conn, error) {
 	conn, err := e.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 // counted is a connection through an entrance.
 type counted struct {
 	net.Conn
-	of *Entrance
+	of *Endpoint
 }
 
 func (c *counted) Read(p []byte) (int, error) {
--- a/internal/lab/discoveryserver/entrance_test.go
+++ b/internal/lab/discoveryserver/entrance_test.go
@@ -9,7 +9,7 @@
 )
 
 // call asks once, on a connection of its own: the library would ask again by itself.
-func call(e *Entrance, query string) (string, error) {
+func call(e *Endpoint, query string) (string, error) {
 	client := fasthttp.HostClient{Addr: e.Address(), MaxIdemponentCallAttempts: 1}
 	status, body, err := client.GetTimeout(nil, "http://"+e.Address()+"/v1/endpoints"+query, 300*time.Millisecond)
 	if err == nil && status != fasthttp.StatusOK {
@@ -23,22 +23,22 @@
 	s, err := Start()
 	require.NoError(t, err)
 	defer s.Close()
-	s.Set(Entry{Host: "a", Share: 1})
-	one, err := s.Entrance()
+	s.Update(Entry{Host: "a", Share: 1})
+	one, err := s.AddEndpoint()
 	require.NoError(t, err)
 	defer one.Close()
-	other, err := s.Entrance()
+	other, err := s.AddEndpoint()
 	require.NoError(t, err)
 	defer other.Close()
 	body, err := call(one, "")
 	require.NoError(t, err)
 	require.Contains(t, body, `"whole":true`)
 	traffic := one.Traffic()
-	require.GreaterOrEqual(t, traffic.Out, int64(len(body)))
-	require.Less(t, traffic.Out, int64(len(body)+300))
-	require.Positive(t, traffic.In)
+	require.GreaterOrEqual(t, traffic.BytesOut, int64(len(body)))
+	require.Less(t, traffic.BytesOut, int64(len(body)+300))
+	require.Positive(t, traffic.BytesIn)
 	require.Zero(t, other.Traffic())
-	one.Cut()
+	one.Partition()
 	_, err = call(one, "")
 	require.Error(t, err)
 	require.Equal(t, traffic, one.Traffic())
@@ -56,16 +56,16 @@
 	s, err := Start()
 	require.NoError(t, err)
 	defer s.Close()
-	e, err := s.Entrance()
+	e, err := s.AddEndpoint()
 	require.NoError(t, err)
 	defer e.Close()
-	s.Set(Entry{Host: "a", Share: 1}) // version 2
+	s.Update(Entry{Host: "a", Share: 1}) // version 2
 	for _, query := range []string{"", "?after=1", "?after=1"} {
 		body, err := call(e, query)
 		require.NoError(t, err)
 		require.Contains(t, body, `"share":1`)
 	}
-	s.Set(Entry{Host: "a", Share: 2}, Entry{Host: "b", Share: 1})
+	s.Update(Entry{Host: "a", Share: 2}, Entry{Host: "b", Share: 1})
 	for _, query := range []string{"", "?after=1", "?after=2"} {
 		body, err := call(e, query)
 		require.NoError(t, err)
--- a/internal/lab/discoveryserver/faults.go
+++ b/internal/lab/discoveryserver/faults.go
@@ -12,15 +12,15 @@
 
 // The faults.
 const (
-	None    Fault = iota
-	Silent        // calls are taken and never answered
-	Slow          // each answer takes SlowTime
-	Refuse        // calls are answered 503, with a Retry-After
-	Crowded       // nine calls in ten are refused
+	NoFault      Fault = iota
+	Unresponsive       // calls are taken and never answered
+	Slow               // each answer takes SlowTime
+	Unavailable        // calls are answered 503, with a Retry-After
+	Overloaded         // nine calls in ten are refused
 )
 
-// SlowTime is what an answer of a slow discovery takes: less than what a call waits for it.
-const SlowTime = time.Second
+// SlowDelay is what an answer of a slow discovery takes: less than what a call waits for it.
+const SlowDelay = time.Second
 
 const (
 	crowdedOneIn = 10 // calls of which one is answered
@@ -51,14 +51,14 @@
 	fault, healed, number := s.fault, s.healed, s.calls
 	s.mu.Unlock()
 	switch {
-	case fault == Silent:
+	case fault == Unresponsive:
 		<-healed
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return true
 	case fault == Slow:
-		time.Sleep(SlowTime)
-	case fault == Refuse, fault == Crowded && number%crowdedOneIn != 0:
+		time.Sleep(SlowDelay)
+	case fault == Unavailable, fault == Overloaded && number%crowdedOneIn != 0:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.Response.Header.Set("Retry-After", retryAfter)
 		return true
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -23,7 +23,7 @@
 // Step is something that may happen, and the state after it. Its name is asked for where it is on the way to a fault.
 type Step[S any] struct {
 	Name func() string
-	To   S
+	Next S
 }
 
 // Report tells of a walk.
@@ -32,20 +32,20 @@
 	Depth         int // steps from the start to the furthest state
 }
 
-// ErrBound says that the walk ended at its bound: nothing was found in the states that it saw.
-var ErrBound = errors.New("the bound on states is reached")
+// ErrStateLimit says that the walk ended at its bound: nothing was found in the states that it saw.
+var ErrStateLimit = errors.New("the bound on states is reached")
 
-// Fault is a state that must not be, and the steps that lead there. No other way is shorter.
-type Fault struct {
+// Violation is a state that must not be, and the steps that lead there. No other way is shorter.
+type Violation struct {
 	Err   error
 	Trace []string
 }
 
-func (f *Fault) Error() string {
+func (f *Violation) Error() string {
 	return fmt.Sprintf("%v, after %d steps:\n  %s", f.Err, len(f.Trace), strings.Join(f.Trace, "\n  "))
 }
 
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *Violation) Unwrap() error { return f.Err }
 
 // Walk goes through all states from start on, the nearest first, and no more than so many. It returns a Fault for the
 // first that must not be, and ErrBound where there are more.
@@ -69,14 +69,14 @@
 		known[short] = true
 		way = append(way, seen{int32(from), int32(step)})
 		if err := s.Check(); err != nil {
-			f, at := &Fault{Err: err}, start
+			f, at := &Violation{Err: err}, start
 			var steps []int32
 			for n := int32(len(way) - 1); n > 0; n = way[n].from {
 				steps = append(steps, way[n].step)
 			}
 			for _, i := range slices.Backward(steps) {
 				taken := at.Steps()[i]
-				f.Trace, at = append(f.Trace, taken.Name()), taken.To
+				f.Trace, at = append(f.Trace, taken.Name()), taken.Next
 			}
 			return f
 		}
@@ -91,12 +91,12 @@
 		r.Depth = w.depth
 		for i, s := range w.state.Steps() {
 			r.Steps++
-			if err = visit(s.To, w.n, i, w.depth+1); err != nil {
+			if err = visit(s.Next, w.n, i, w.depth+1); err != nil {
 				break
 			}
 		}
 		if err == nil && len(way) > most {
-			err = ErrBound
+			err = ErrStateLimit
 		}
 	}
 	r.States = len(way)
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -24,18 +24,18 @@
 
 // The faults.
 const (
-	Serve         Fault = iota
-	Refuse              // connections are refused
-	Silent              // connections do not come up, for want of room in the queue of the listener
-	AcceptLate          // connections come up at once, but nobody reads them for Options.Late
-	ResetUnread         // each connection is reset as soon as it is up
-	ResetMidway         // it is reset when the request has begun to come
-	ResetWhole          // it is reset when the request has come whole, and the job runs
-	ResetJobs           // the same, but what is no job is answered
-	ResetAccepted       // it is reset after the 202, and the job runs
-	Garbage             // the answer is none
-	Hang                // jobs are taken, and nothing is ever heard of them
-	TurnAway            // jobs are turned away unstarted
+	Serve              Fault = iota
+	Refuse                   // connections are refused
+	ConnectTimeout           // connections do not come up, for want of room in the queue of the listener
+	DelayReading             // connections come up at once, but nobody reads them for Options.Late
+	ResetOnAccept            // each connection is reset as soon as it is up
+	ResetMidRequest          // it is reset when the request has begun to come
+	ResetAfterRequest        // it is reset when the request has come whole, and the job runs
+	ResetAfterJob            // the same, but what is no job is answered
+	ResetAfterResponse       // it is reset after the 202, and the job runs
+	Garbage                  // the answer is none
+	Hang                     // jobs are taken, and nothing is ever heard of them
+	RejectJobs               // jobs are turned away unstarted
 )
 
 var faults = [...]string{"serve", "refuse", "silent", "accept-late", "reset-unread", "reset-midway", "reset-whole",
@@ -45,10 +45,10 @@
 
 // Options say how a host works.
 type Options struct {
-	Name string
-	Dir  string        // of its socket files
-	Work time.Duration // that a job takes
-	Late time.Duration // of AcceptLate
+	Name        string
+	SocketDir   string        // of its socket files
+	JobDuration time.Duration // that a job takes
+	ReadDelay   time.Duration // of AcceptLate
 }
 
 // Host is a running stand-in.
@@ -57,29 +57,29 @@
 	doors []*door
 
 	mu   sync.Mutex
-	runs map[string]int     // of each id: how often a job of it has begun
-	seen map[string][]Sight // of each id: where and when a request began to come
+	runs map[string]int       // of each id: how often a job of it has begun
+	seen map[string][]Arrival // of each id: where and when a request began to come
 	all  []*Attempt
 	byID map[string][]*Attempt
 	last time.Time
 	back func(body []byte) error // makes a call-back
 }
 
-// Sight is a request that began to come.
-type Sight struct {
-	Door int
-	At   time.Time
+// Arrival is a request that began to come.
+type Arrival struct {
+	Endpoint int
+	At       time.Time
 }
 
 // Attempt is one request for a job, as the host saw it. Times are zero where that did not happen.
 type Attempt struct {
-	ID      string
-	Began   time.Time     // its first byte came
-	Whole   time.Time     // its last byte came: it counts from then on
-	Timeout time.Duration // what the dispatcher said that it will wait
-	Ended   time.Time     // the host first tried to tell of its end, or reset its connection
-	GivenUp time.Time     // the dispatcher called it off
-	NotRun  bool          // the host turned it away unstarted
+	ID          string
+	FirstByteAt time.Time     // its first byte came
+	LastByteAt  time.Time     // its last byte came: it counts from then on
+	Timeout     time.Duration // what the dispatcher said that it will wait
+	EndedAt     time.Time     // the host first tried to tell of its end, or reset its connection
+	CancelledAt time.Time     // the dispatcher called it off
+	Rejected    bool          // the host turned it away unstarted
 }
 
 // Attempts are all that have come so far, in the order of their first bytes.
@@ -92,8 +92,8 @@
 	return list
 }
 
-// EndIdle closes the connections to an address that rest now, as a host does that wants room; some see a reset.
-func (h *Host) EndIdle(door int, resets bool) {
+// CloseIdle closes the connections to an address that rest now, as a host does that wants room; some see a reset.
+func (h *Host) CloseIdle(door int, resets bool) {
 	d := h.doors[door]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,8 +113,8 @@
 	var lost []*Attempt
 	h.note(func() {
 		for _, a := range h.all {
-			if a.Ended.IsZero() && a.GivenUp.IsZero() {
-				a.Ended = time.Now()
+			if a.EndedAt.IsZero() && a.CancelledAt.IsZero() {
+				a.EndedAt = time.Now()
 				lost = append(lost, a)
 			}
 		}
@@ -143,11 +143,11 @@
 
 // Start listens on each address: "127.0.0.1:0", "[::1]:0", or "unix" for a socket file. Call-backs go by back.
 func Start(o Options, back func(body []byte) error, listen ...string) (*Host, error) {
-	h := &Host{o: o, runs: map[string]int{}, seen: map[string][]Sight{}, byID: map[string][]*Attempt{}, back: back}
+	h := &Host{o: o, runs: map[string]int{}, seen: map[string][]Arrival{}, byID: map[string][]*Attempt{}, back: back}
 	for i, address := range listen {
 		d := &door{h: h, n: i, network: "tcp", address: address, open: map[net.Conn]bool{}}
 		if address == "unix" {
-			d.network, d.address = "unix", fmt.Sprintf("%s/%s-%d.sock", o.Dir, o.Name, i)
+			d.network, d.address = "unix", fmt.Sprintf("%s/%s-%d.sock", o.SocketDir, o.Name, i)
 		}
 		if err := d.listen(); err != nil {
 			h.Close()
@@ -174,32 +174,32 @@
 	return list
 }
 
-// Set makes an address behave so from now on. Connections that are there are reset where it refuses or is silent.
-func (h *Host) Set(door int, f Fault) error { return h.doors[door].set(f) }
+// SetFault makes an address behave so from now on. Connections that are there are reset where it refuses or is silent.
+func (h *Host) SetFault(door int, f Fault) error { return h.doors[door].set(f) }
 
-// Runs is how often a job of this id has begun.
-func (h *Host) Runs(id string) int {
+// RunCount is how often a job of this id has begun.
+func (h *Host) RunCount(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.runs[id]
 }
 
-// Seen tells on which addresses a request of this id began to come, and when.
-func (h *Host) Seen(id string) []Sight {
+// Arrivals tells on which addresses a request of this id began to come, and when.
+func (h *Host) Arrivals(id string) []Arrival {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Sight(nil), h.seen[id]...)
+	return append([]Arrival(nil), h.seen[id]...)
 }
 
-// Last is when a request last began to come, on any address.
-func (h *Host) Last() time.Time {
+// LastArrival is when a request last began to come, on any address.
+func (h *Host) LastArrival() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.last
 }
 
-// Accepted is how many connections an address has taken.
-func (h *Host) Accepted(door int) int {
+// AcceptedConns is how many connections an address has taken.
+func (h *Host) AcceptedConns(door int) int {
 	d := h.doors[door]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -255,10 +255,10 @@
 	switch {
 	case f == Refuse:
 		d.shut()
-	case f == Silent:
+	case f == ConnectTimeout:
 		d.shut()
 		return retaken(d.fill)
-	case was == Refuse || was == Silent:
+	case was == Refuse || was == ConnectTimeout:
 		d.shut()
 		return retaken(d.listen)
 	}
@@ -364,11 +364,11 @@
 // talk serves one connection. What the address does is asked anew for each request.
 func (d *door) talk(c net.Conn, f Fault) {
 	switch f {
-	case ResetUnread:
+	case ResetOnAccept:
 		reset(c)
 		return
-	case AcceptLate:
-		time.Sleep(d.h.o.Late)
+	case DelayReading:
+		time.Sleep(d.h.o.ReadDelay)
 	}
 	in := bufio.NewReader(c)
 	for d.serveOne(c, in) {
@@ -393,7 +393,7 @@
 		job = d.h.sight(id, d.n, at)
 	}
 	f := d.faulty()
-	if f == ResetMidway {
+	if f == ResetMidRequest {
 		reset(c)
 		return false
 	}
@@ -402,7 +402,7 @@
 	}
 	if job != nil {
 		wait, _ := strconv.Atoi(string(req.Header.Peek("X-Timeout-Ms")))
-		d.h.note(func() { job.Whole, job.Timeout = time.Now(), time.Duration(wait)*time.Millisecond })
+		d.h.note(func() { job.LastByteAt, job.Timeout = time.Now(), time.Duration(wait)*time.Millisecond })
 	}
 	if f == Garbage {
 		if job != nil {
@@ -416,14 +416,14 @@
 	switch path := string(req.Header.RequestURI()); {
 	case strings.HasPrefix(path, "/jobs/"):
 		d.h.callOff(strings.TrimPrefix(path, "/jobs/"))
-	case job != nil && f == TurnAway:
-		d.h.note(func() { job.NotRun, job.Ended = true, time.Now() })
+	case job != nil && f == RejectJobs:
+		d.h.note(func() { job.Rejected, job.EndedAt = true, time.Now() })
 		answer = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	case job != nil:
-		d.h.run(job, f != ResetWhole && f != ResetJobs && f != Hang)
+		d.h.run(job, f != ResetAfterRequest && f != ResetAfterJob && f != Hang)
 		answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	}
-	if f == ResetWhole || f == ResetJobs && job != nil {
+	if f == ResetAfterRequest || f == ResetAfterJob && job != nil {
 		d.h.ended(job)
 		reset(c)
 		return false
@@ -431,7 +431,7 @@
 	if _, err := io.WriteString(c, answer); err != nil {
 		return false
 	}
-	if f == ResetAccepted && job != nil {
+	if f == ResetAfterResponse && job != nil {
 		time.Sleep(time.Millisecond) // a reset may overtake what was written
 		reset(c)
 		return false
@@ -451,11 +451,11 @@
 func (h *Host) sight(id string, door int, at time.Time) *Attempt {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen[id] = append(h.seen[id], Sight{door, at})
+	h.seen[id] = append(h.seen[id], Arrival{door, at})
 	if at.After(h.last) {
 		h.last = at
 	}
-	a := &Attempt{ID: id, Began: at}
+	a := &Attempt{ID: id, FirstByteAt: at}
 	h.all, h.byID[id] = append(h.all, a), append(h.byID[id], a)
 	return a
 }
@@ -470,7 +470,7 @@
 // ended notes that an attempt, if it is one, ends now.
 func (h *Host) ended(a *Attempt) {
 	if a != nil {
-		h.note(func() { a.Ended = time.Now() })
+		h.note(func() { a.EndedAt = time.Now() })
 	}
 }
 
@@ -485,11 +485,11 @@
 	if !tells {
 		return
 	}
-	time.AfterFunc(h.o.Work, func() {
+	time.AfterFunc(h.o.JobDuration, func() {
 		over := false
 		h.note(func() {
-			if over = !a.GivenUp.IsZero() || !a.Ended.IsZero(); !over {
-				a.Ended = time.Now()
+			if over = !a.CancelledAt.IsZero() || !a.EndedAt.IsZero(); !over {
+				a.EndedAt = time.Now()
 			}
 		})
 		if !over {
@@ -519,8 +519,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range h.byID[id] {
-		if a.GivenUp.IsZero() {
-			a.GivenUp = time.Now()
+		if a.CancelledAt.IsZero() {
+			a.CancelledAt = time.Now()
 		}
 	}
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -36,9 +36,9 @@
 
 // FrameFaults are what happens to whole frames of a direction. Each field is the chance of it for a frame, 0 to 1.
 type FrameFaults struct {
-	Double  float64 // it comes twice
-	Reorder float64 // it comes after the one that follows it
-	Replay  float64 // a frame recorded earlier, on any connection of the link, comes before it
+	Duplicate float64 // it comes twice
+	Reorder   float64 // it comes after the one that follows it
+	Replay    float64 // a frame recorded earlier, on any connection of the link, comes before it
 }
 
 // Options say how a link is made.
@@ -149,8 +149,8 @@
 // with a hole cannot go on.
 func (l *Link) Cut(ds ...Direction) { l.set(func(c *conditions) { c.cut = true }, ds...) }
 
-// Frames makes faults happen to whole frames. It needs Options.Split.
-func (l *Link) Frames(f FrameFaults, ds ...Direction) {
+// SetFrameFaults makes faults happen to whole frames. It needs Options.Split.
+func (l *Link) SetFrameFaults(f FrameFaults, ds ...Direction) {
 	l.set(func(c *conditions) { c.frames = f }, ds...)
 }
 
@@ -320,7 +320,7 @@
 		old[l.chance.IntN(len(old))] = frame
 	}
 	list = append(list, frame)
-	if l.chance.Float64() < faults.Double {
+	if l.chance.Float64() < faults.Duplicate {
 		list = append(list, frame)
 	}
 	return list, l.chance.Float64() < faults.Reorder
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -173,7 +173,7 @@
 		return 0, nil, nil
 	}
 	l := start(t, split)
-	l.Frames(FrameFaults{Double: 0.2, Reorder: 0.2, Replay: 0.2}, Forward)
+	l.SetFrameFaults(FrameFaults{Duplicate: 0.2, Reorder: 0.2, Replay: 0.2}, Forward)
 	c, r := dial(t, l)
 	const frames = 200
 	for i := range frames {
