--- a/internal/lab/measure/addresses.go
+++ b/internal/lab/measure/addresses.go
@@ -24,10 +24,10 @@
 
 // AddressOptions say how the addresses are measured.
 type AddressOptions struct {
-	Program  string
-	Seed     uint64
-	Messages int // over all cases
-	Rate     int // a second
+	ProgramPath string
+	Seed        uint64
+	Messages    int // over all cases
+	Rate        int // a second
 }
 
 // The doors of each host, in the order in which they are tried while nothing is known.
@@ -55,7 +55,7 @@
 
 func (s *scene) fault(door int, f host.Fault) {
 	for _, h := range s.hosts {
-		if err := h.Set(door, f); err != nil {
+		if err := h.SetFault(door, f); err != nil {
 			// the machine lacks something: no figure would be true
 			panic(fmt.Sprintf("door %d cannot %s: %v", door, f, err))
 		}
@@ -70,16 +70,16 @@
 	{name: "first refuses", begin: always(doorLocal, host.Refuse)},
 	{name: "first is silent", begin: func(s *scene) {
 		s.fault(doorLocal, host.Refuse)
-		s.fault(doorFour, host.Silent)
+		s.fault(doorFour, host.ConnectTimeout)
 	}},
 	{name: "only the last serves", begin: func(s *scene) {
-		s.fault(doorLocal, host.ResetUnread)
+		s.fault(doorLocal, host.ResetOnAccept)
 		s.fault(doorFour, host.Refuse)
 	}},
-	{name: "one host resets whole requests", begin: func(s *scene) { s.hosts[0].Set(doorLocal, host.ResetWhole) }},
-	{name: "one host resets midway", begin: func(s *scene) { s.hosts[0].Set(doorLocal, host.ResetMidway) }},
-	{name: "one host answers garbage", begin: func(s *scene) { s.hosts[0].Set(doorLocal, host.Garbage) }},
-	{name: "reset after the 202", begin: always(doorLocal, host.ResetAccepted)},
+	{name: "one host resets whole requests", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.ResetAfterRequest) }},
+	{name: "one host resets midway", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.ResetMidRequest) }},
+	{name: "one host answers garbage", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.Garbage) }},
+	{name: "reset after the 202", begin: always(doorLocal, host.ResetAfterResponse)},
 	{name: "first flaps every second", play: func(ctx context.Context, s *scene) {
 		for down := true; pause(ctx, time.Second); down = !down {
 			f := host.Serve
@@ -132,7 +132,7 @@
 		v.refused++
 	default:
 		v.failed++
-		if program.Once(x.class) {
+		if program.IsAtMostOnce(x.class) {
 			v.lost++
 		}
 	}
@@ -152,15 +152,15 @@
 	base := float64(t.reach[addressCases[0].name].ValueAtQuantile(99)) / 1000
 	p99 := func(h *hdrhistogram.Histogram) float64 { return float64(h.ValueAtQuantile(99)) / 1000 }
 	const delay = 50 // unmeasured, milliseconds: addresses.Defaults.DelayFirst
-	r.Check("messages without a final answer", float64(t.unanswered), 0, "messages")
-	r.Check("runs of an id that must not run twice", float64(t.runs), 1, "runs")
-	r.Check("first refuses: reach p99", p99(t.reach["first refuses"]), 2*base+5, "ms")
-	r.Check("first is silent: reach p99", p99(t.reach["first is silent"]), delay+2*base+5, "ms")
-	r.Check("first is silent, after 1 s: reach p99", p99(t.late["first is silent"]), 2*base+5, "ms")
-	r.Check("first is down for a second: once messages failed",
+	r.AddBound("messages without a final answer", float64(t.unanswered), 0, "messages")
+	r.AddBound("runs of an id that must not run twice", float64(t.runs), 1, "runs")
+	r.AddBound("first refuses: reach p99", p99(t.reach["first refuses"]), 2*base+5, "ms")
+	r.AddBound("first is silent: reach p99", p99(t.reach["first is silent"]), delay+2*base+5, "ms")
+	r.AddBound("first is silent, after 1 s: reach p99", p99(t.late["first is silent"]), 2*base+5, "ms")
+	r.AddBound("first is down for a second: once messages failed",
 		float64(t.lost["first is down for a second"]), 0, "messages")
-	r.Check("first is down for a second: in use again after", t.returned, 2000, "ms")
-	r.Check("one host resets whole requests: once messages failed",
+	r.AddBound("first is down for a second: in use again after", t.returned, 2000, "ms")
+	r.AddBound("one host resets whole requests: once messages failed",
 		float64(t.lost["one host resets whole requests"]), 5, "messages")
 }
 
@@ -197,9 +197,9 @@
 			ran := 0
 			var first time.Time
 			for _, h := range s.hosts {
-				ran += h.Runs(x.id)
-				for _, seen := range h.Seen(x.id) {
-					if seen.Door == doorLocal && !s.back.IsZero() && seen.At.After(s.back) {
+				ran += h.RunCount(x.id)
+				for _, seen := range h.Arrivals(x.id) {
+					if seen.Endpoint == doorLocal && !s.back.IsZero() && seen.At.After(s.back) {
 						t.returned = min(t.returned, float64(seen.At.Sub(s.back).Microseconds())/1000)
 					}
 					if first.IsZero() || seen.At.Before(first) {
@@ -207,7 +207,7 @@
 					}
 				}
 			}
-			if program.Once(x.class) {
+			if program.IsAtMostOnce(x.class) {
 				most = max(most, ran)
 			}
 			if !first.IsZero() {
@@ -223,7 +223,7 @@
 		t.runs = max(t.runs, most)
 		t.reach[c.name], t.late[c.name] = all, after
 		ms := func(us int64) float64 { return float64(us) / 1000 }
-		r.Add(c.name, len(outcomes), count.served, count.failed, count.refused, count.none, most,
+		r.AddRow(c.name, len(outcomes), count.served, count.failed, count.refused, count.none, most,
 			dials/float64(max(len(outcomes), 1)), ms(all.ValueAtQuantile(50)), ms(all.ValueAtQuantile(99)),
 			ms(all.Max()), ms(after.ValueAtQuantile(99)))
 	}
@@ -247,8 +247,8 @@
 	defer list.Close()
 	s := &scene{length: time.Duration(n) * time.Second / time.Duration(o.Rate)}
 	for i := range 4 {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), Dir: dir, Work: 10 * time.Millisecond},
-			func(body []byte) error { return s.program.CallBack(body) }, listen...)
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: dir, JobDuration: 10 * time.Millisecond},
+			func(body []byte) error { return s.program.SendCallback(body) }, listen...)
 		if err != nil {
 			return nil, nil, 0, err
 		}
@@ -258,12 +258,12 @@
 		if single {
 			addresses = addresses[doorFour : doorFour+1]
 		}
-		list.Set(discoveryserver.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small", Share: 1})
+		list.Update(discoveryserver.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small", Share: 1})
 	}
 	if c.begin != nil {
 		c.begin(s)
 	}
-	s.program, err = program.Start(program.Options{Path: o.Program, Dir: dir, Discovery: list.Address(), Sockets: 2048})
+	s.program, err = program.Start(program.Options{ProgramPath: o.ProgramPath, Dir: dir, Discovery: list.Address(), MaxSockets: 2048})
 	if err != nil {
 		return nil, nil, 0, err
 	}
@@ -277,7 +277,7 @@
 	outcomes := load(ctx, s.program.Address(), n, o.Rate, chance)
 	cancel()
 	beside.Wait()
-	figures, err := s.program.Figures()
+	figures, err := s.program.Metrics()
 	if err != nil {
 		return nil, nil, 0, err
 	}
@@ -316,7 +316,7 @@
 		wait.Go(func() {
 			x := &outcomes[i]
 			x.id, x.class, x.at, x.due = to.NextID(), class, at, start.Add(at)
-			x.answer = to.Do(client.Message{ID: x.id, Class: class, Tenant: tenant, Wait: 4 * time.Second,
+			x.answer = to.Do(client.Message{ID: x.id, Class: class, Tenant: tenant, Timeout: 4 * time.Second,
 				Body: []byte("x"), Hint: 10 * time.Millisecond})
 		})
 	}
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -28,16 +28,16 @@
 
 // DNSOptions say how DNS as a source is measured.
 type DNSOptions struct {
-	Agent  string
-	Seed   uint64
-	Outage time.Duration
-	Drains int // messages that are sent while the roster says that their host drains
+	AgentPath     string
+	Seed          uint64
+	OutageLength  time.Duration
+	DrainMessages int // messages that are sent while the roster says that their host drains
 }
 
 // DNS measures DNS SRV as a source of hosts.
 func DNS(ctx context.Context, o DNSOptions, w io.Writer) (*report.Report, error) {
-	if o.Outage < time.Second || o.Outage > 10*time.Minute || o.Drains < 1 || o.Drains > 100_000 {
-		return nil, fmt.Errorf("outage is %s and drains %d: want 1 s to 10 m, and 1 to 100000", o.Outage, o.Drains)
+	if o.OutageLength < time.Second || o.OutageLength > 10*time.Minute || o.DrainMessages < 1 || o.DrainMessages > 100_000 {
+		return nil, fmt.Errorf("outage is %s and drains %d: want 1 s to 10 m, and 1 to 100000", o.OutageLength, o.DrainMessages)
 	}
 	dir, err := os.MkdirTemp("", "topazlab")
 	if err != nil {
@@ -93,8 +93,8 @@
 	}
 	s := &dnsScene{dns: dns}
 	for i := range workers {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("w%d.example", i), Work: 5 * time.Millisecond},
-			func(body []byte) error { return s.agent.CallBack(body) }, "127.0.0.1:0")
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("w%d.example", i), JobDuration: 5 * time.Millisecond},
+			func(body []byte) error { return s.agent.SendCallback(body) }, "127.0.0.1:0")
 		if err != nil {
 			s.close()
 			return nil, err
@@ -119,7 +119,7 @@
 	for _, h := range hosts {
 		list = append(list, targetOf(h))
 	}
-	s.dns.List(jobs, ttl, list...)
+	s.dns.SetRecords(jobs, ttl, list...)
 }
 
 // measureMerge merges 2,000 hosts of which 500 are replaced, and how long the dispatch goroutine is kept from others.
@@ -166,14 +166,14 @@
 	slices.Sort(merges)
 	merge := merges[len(merges)/2]
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	r.Add("merging 2,000 hosts, 500 replaced, median of 10", ms(merge), "ms")
-	r.Add("until the dispatch goroutine has all of it", ms(whole), "ms")
+	r.AddRow("merging 2,000 hosts, 500 replaced, median of 10", ms(merge), "ms")
+	r.AddRow("until the dispatch goroutine has all of it", ms(whole), "ms")
 	busy := func(q float64) float64 { return float64(portions.took.ValueAtQuantile(q)) / 1000 }
-	r.Add("a portion keeps the dispatch goroutine from others, median", busy(50), "ms")
-	r.Add("p99.9", busy(99.9), "ms")
-	r.Add("worst, with what the machine adds", busy(100), "ms")
-	r.Check("merging 2,000 hosts", ms(merge), 10, "ms")
-	r.Check("delay of the dispatch goroutine, p99.9", busy(99.9), 1, "ms")
+	r.AddRow("a portion keeps the dispatch goroutine from others, median", busy(50), "ms")
+	r.AddRow("p99.9", busy(99.9), "ms")
+	r.AddRow("worst, with what the machine adds", busy(100), "ms")
+	r.AddBound("merging 2,000 hosts", ms(merge), 10, "ms")
+	r.AddBound("delay of the dispatch goroutine, p99.9", busy(99.9), 1, "ms")
 	return nil
 }
 
@@ -205,7 +205,7 @@
 
 // measureChange replaces the only host, and waits for the first message at the other.
 func measureChange(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	s, err := setDNS(ctx, agentSetup{o.Agent, dir, "change", "none"}, 2, 1)
+	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "change", "none"}, 2, 1)
 	if err != nil {
 		return err
 	}
@@ -229,8 +229,8 @@
 	}
 	cancel()
 	wait.Wait()
-	r.Add("change in DNS to the list, lifetime 1 s, worst of 5", worst.Seconds()*1000, "ms")
-	r.Check("a change in use after its lifetime of 1 s and", worst.Seconds()*1000-1000, 250, "ms")
+	r.AddRow("change in DNS to the list, lifetime 1 s, worst of 5", worst.Seconds()*1000, "ms")
+	r.AddBound("a change in use after its lifetime of 1 s and", worst.Seconds()*1000-1000, 250, "ms")
 	return nil
 }
 
@@ -238,7 +238,7 @@
 func (s *dnsScene) elsewhere(only *host.Host) bool {
 	newest := only
 	for _, h := range s.hosts {
-		if h.Last().After(newest.Last()) {
+		if h.LastArrival().After(newest.LastArrival()) {
 			newest = h
 		}
 	}
@@ -247,23 +247,23 @@
 
 // measureOutage keeps every resolver silent under load.
 func measureOutage(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	s, err := setDNS(ctx, agentSetup{o.Agent, dir, "outage", "none"}, 3, 1)
+	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "outage", "none"}, 3, 1)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	s.dns.Set(resolver.Timeout)
+	s.dns.SetFault(resolver.Timeout)
 	const rate = 100
 	lost := 0
-	outcomes := load(ctx, s.agent.Address(), int(o.Outage.Seconds()*rate), rate, chance)
+	outcomes := load(ctx, s.agent.Address(), int(o.OutageLength.Seconds()*rate), rate, chance)
 	for _, x := range outcomes {
 		if x.answer.Status != 200 {
 			lost++
 		}
 	}
-	r.Add(fmt.Sprintf("messages sent in an outage of %s, lifetime 1 s", o.Outage), len(outcomes), "messages")
-	r.Add("of them not served", lost, "messages")
-	r.Check("messages lost in an outage shorter than the hold", float64(lost), 0, "messages")
+	r.AddRow(fmt.Sprintf("messages sent in an outage of %s, lifetime 1 s", o.OutageLength), len(outcomes), "messages")
+	r.AddRow("of them not served", lost, "messages")
+	r.AddBound("messages lost in an outage shorter than the hold", float64(lost), 0, "messages")
 	return nil
 }
 
@@ -274,8 +274,8 @@
 		return err
 	}
 	defer list.Close()
-	list.Set()
-	s, err := setDNS(ctx, agentSetup{o.Agent, dir, "drains", list.Address()}, 1, 0)
+	list.Update()
+	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "drains", list.Address()}, 1, 0)
 	if err != nil {
 		return err
 	}
@@ -287,13 +287,13 @@
 	}
 	const rate = 1000
 	sent, late, worst := 0, 0, time.Duration(0)
-	for round := 0; sent < o.Drains; round++ {
+	for round := 0; sent < o.DrainMessages; round++ {
 		var told time.Time
 		var telling sync.WaitGroup
 		telling.Go(func() {
 			pause(ctx, 200*time.Millisecond) // while messages are on their way
 			told = time.Now()
-			list.Set(entry([]string{"draining", "removed"}[round%2]))
+			list.Update(entry([]string{"draining", "removed"}[round%2]))
 		})
 		outcomes := load(ctx, s.agent.Address(), 2*rate, rate, chance)
 		telling.Wait()
@@ -302,21 +302,21 @@
 			return ctx.Err()
 		}
 		for _, x := range outcomes {
-			for _, seen := range s.hosts[0].Seen(x.id) {
+			for _, seen := range s.hosts[0].Arrivals(x.id) {
 				since := seen.At.Sub(told)
 				if worst = max(worst, since); since > 500*time.Millisecond {
 					late++
 				}
 			}
 		}
-		list.Set(entry("up"))
+		list.Update(entry("up"))
 		if err := s.agent.up(ctx, 1); err != nil {
 			return err
 		}
 	}
-	r.Add("messages sent while the roster drains their host and DNS lists it", sent, "messages")
-	r.Add("last send after the notice", worst.Seconds()*1000, "ms")
-	r.Check("sends later than 500 ms after the notice", float64(late), 0, "messages")
+	r.AddRow("messages sent while the roster drains their host and DNS lists it", sent, "messages")
+	r.AddRow("last send after the notice", worst.Seconds()*1000, "ms")
+	r.AddBound("sends later than 500 ms after the notice", float64(late), 0, "messages")
 	return nil
 }
 
@@ -329,13 +329,13 @@
 		if err != nil {
 			return err
 		}
-		dns.List(jobs, life, resolver.Target{Host: "w.example", Port: 9, A: []string{"127.0.0.1"}})
+		dns.SetRecords(jobs, life, resolver.Target{Host: "w.example", Port: 9, A: []string{"127.0.0.1"}})
 		var agents []*instance
 		var mu sync.Mutex
 		var starting sync.WaitGroup
 		for i := range n {
 			starting.Go(func() {
-				a, startErr := startAgent(o.Agent, dir, fmt.Sprintf("q%d-%d", n, i), "none")
+				a, startErr := startAgent(o.AgentPath, dir, fmt.Sprintf("q%d-%d", n, i), "none")
 				if startErr == nil {
 					startErr = a.follow(ctx, dns)
 				}
@@ -350,9 +350,9 @@
 			})
 		}
 		starting.Wait()
-		before := dns.Queries(jobs, "SRV")
+		before := dns.QueryCount(jobs, "SRV")
 		pause(ctx, length)
-		asked := dns.Queries(jobs, "SRV") - before
+		asked := dns.QueryCount(jobs, "SRV") - before
 		for _, a := range agents {
 			a.Kill()
 		}
@@ -361,10 +361,10 @@
 			return err
 		}
 		share := float64(asked) / float64(n) / (length.Seconds() / life)
-		r.Add(fmt.Sprintf("queries a second of %d dispatchers, lifetime %d s", n, life),
+		r.AddRow(fmt.Sprintf("queries a second of %d dispatchers, lifetime %d s", n, life),
 			float64(asked)/length.Seconds(), "1/s")
-		r.Add(fmt.Sprintf("queries of %d dispatchers for each name, lifetime and dispatcher", n), share, "")
-		r.Check(fmt.Sprintf("queries of %d for each name, lifetime and dispatcher", n), share, 1.2, "")
+		r.AddRow(fmt.Sprintf("queries of %d dispatchers for each name, lifetime and dispatcher", n), share, "")
+		r.AddBound(fmt.Sprintf("queries of %d for each name, lifetime and dispatcher", n), share, 1.2, "")
 	}
 	return nil
 }
@@ -381,8 +381,8 @@
 		list = append(list, resolver.Target{Host: fmt.Sprintf("h%d.w", i), Port: 9, Weight: 1,
 			A: []string{fmt.Sprintf("127.9.%d.%d", i/250, i%250+1)}})
 	}
-	dns.List(jobs, 5, list...)
-	a, err := startAgent(o.Agent, dir, "many", "none")
+	dns.SetRecords(jobs, 5, list...)
+	a, err := startAgent(o.AgentPath, dir, "many", "none")
 	if err != nil {
 		return err
 	}
@@ -394,18 +394,18 @@
 		return err
 	}
 	const length = 15 * time.Second
-	before, err := program.UsageOf(a.PID())
+	before, err := program.ReadUsage(a.PID())
 	if err != nil {
 		return err
 	}
 	pause(ctx, length)
-	after, err := program.UsageOf(a.PID())
+	after, err := program.ReadUsage(a.PID())
 	if err != nil {
 		return err
 	}
-	memory := float64(after.Resident) / (1 << 20)
-	r.Add("processor time with 2,000 hosts, lifetime 5 s", (after.CPU-before.CPU).Seconds()/length.Seconds()*100,
+	memory := float64(after.ResidentBytes) / (1 << 20)
+	r.AddRow("processor time with 2,000 hosts, lifetime 5 s", (after.CPU-before.CPU).Seconds()/length.Seconds()*100,
 		"% of a core")
-	r.Add("resident memory with 2,000 hosts", memory, "MB")
+	r.AddRow("resident memory with 2,000 hosts", memory, "MB")
 	return nil
 }
--- a/internal/lab/measure/dns_test.go
+++ b/internal/lab/measure/dns_test.go
@@ -12,8 +12,8 @@
 func TestMeasureMerge(t *testing.T) {
 	r := report.New("dns", 1, "measurement", "figure", "unit")
 	require.NoError(t, measureMerge(t.Context(), DNSOptions{}, t.TempDir(), nil, r))
-	require.Len(t, r.Bars, 2)
-	for _, b := range r.Bars {
+	require.Len(t, r.Bounds, 2)
+	for _, b := range r.Bounds {
 		require.Positive(t, b.Value)
 		t.Log(b)
 	}
--- a/internal/lab/measure/settings.go
+++ b/internal/lab/measure/settings.go
@@ -19,9 +19,9 @@
 
 // SettingsOptions say how the settings are measured.
 type SettingsOptions struct {
-	Agent string
-	Seed  uint64
-	Kills int
+	AgentPath string
+	Seed      uint64
+	Kills     int
 }
 
 // Settings measures the settings of an agent: many writers at once, and kills in the middle of taking one.
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	defer list.Close()
-	list.Set(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	r := report.New("settings", o.Seed, "measurement", "figure", "unit")
 	fmt.Fprintln(w, "32 writers and 8 watchers")
 	if err := measureWriters(ctx, o, dir, list.Address(), r); err != nil {
@@ -66,7 +66,7 @@
 }
 
 func measureWriters(ctx context.Context, o SettingsOptions, dir, roster string, r *report.Report) error {
-	a, err := startAgent(o.Agent, dir, "writers", roster)
+	a, err := startAgent(o.AgentPath, dir, "writers", roster)
 	if err != nil {
 		return err
 	}
@@ -127,11 +127,11 @@
 	writing.Wait()
 	took := time.Since(began)
 	watching.Wait()
-	r.Add("revisions taken of 32 writers", writers*each, "")
-	r.Add("turned down, as another came between", turned, "")
-	r.Add("revisions a second", float64(writers*each)/took.Seconds(), "1/s")
-	r.Check("revisions that a watcher did not see once and in order", float64(missed), 0, "")
-	r.Check("revisions that are a mixture", float64(odd), 0, "")
+	r.AddRow("revisions taken of 32 writers", writers*each, "")
+	r.AddRow("turned down, as another came between", turned, "")
+	r.AddRow("revisions a second", float64(writers*each)/took.Seconds(), "1/s")
+	r.AddBound("revisions that a watcher did not see once and in order", float64(missed), 0, "")
+	r.AddBound("revisions that are a mixture", float64(odd), 0, "")
 	return nil
 }
 
@@ -143,7 +143,7 @@
 			return ctx.Err()
 		}
 		began := time.Now()
-		a, err := startAgent(o.Agent, dir, "kills", roster)
+		a, err := startAgent(o.AgentPath, dir, "kills", roster)
 		if err != nil {
 			return fmt.Errorf("after kill %d: %w", i, err)
 		}
@@ -183,11 +183,11 @@
 			fmt.Fprintf(w, "%d of %d\n", i+1, o.Kills)
 		}
 	}
-	r.Add("kills while revisions were taken", o.Kills, "")
-	r.Add("revisions acknowledged", acknowledged, "")
-	r.Add("found taken and not yet acknowledged", ahead, "")
-	r.Add("slowest start", slowest.Seconds()*1000, "ms")
-	r.Check("acknowledged revisions lost", float64(lost), 0, "")
-	r.Check("snapshots that are neither the one before nor after", float64(mixed), 0, "")
+	r.AddRow("kills while revisions were taken", o.Kills, "")
+	r.AddRow("revisions acknowledged", acknowledged, "")
+	r.AddRow("found taken and not yet acknowledged", ahead, "")
+	r.AddRow("slowest start", slowest.Seconds()*1000, "ms")
+	r.AddBound("acknowledged revisions lost", float64(lost), 0, "")
+	r.AddBound("snapshots that are neither the one before nor after", float64(mixed), 0, "")
 	return nil
 }
--- a/internal/lab/program/agent.go
+++ b/internal/lab/program/agent.go
@@ -20,7 +20,7 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
-	p, err := Start(Options{Path: path, Args: []string{"--state", state}, Dir: dir, Name: name, Discovery: discovery})
+	p, err := Start(Options{ProgramPath: path, Args: []string{"--state", state}, Dir: dir, Name: name, Discovery: discovery})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -24,32 +24,32 @@
 
 // Options say how it is started.
 type Options struct {
-	Path      string // of the program
-	Args      []string
-	Env       []string // beside what names its configuration
-	Dir       string   // for its files
-	Name      string
-	Listen    string // "" for a free port
-	Discovery string
-	Sockets   int // most descriptors, 0 for 1,024
-	MemoryMB  int // 0 for 192
-	Probe     bool
-	Dial      time.Duration               // limit of connecting, 0 for 250 ms
-	Idle      time.Duration               // hosts' idle limit, 0 for 60 s
-	Attempts  int                         // 0 for 6
-	Deadline  time.Duration               // of all classes, 0 for 5 and 10 s
-	Asked     bool                        // lists must be asked for
-	Known     string                      // the list of hosts as last had, in the form of the wire; "" for none
-	Change    func(config map[string]any) // what is to be other in its configuration; nil for nothing
+	ProgramPath string // of the program
+	Args        []string
+	Env         []string // beside what names its configuration
+	Dir         string   // for its files
+	Name        string
+	Listen      string // "" for a free port
+	Discovery   string
+	MaxSockets  int // most descriptors, 0 for 1,024
+	MemoryMB    int // 0 for 192
+	MayProbe    bool
+	DialTimeout time.Duration               // limit of connecting, 0 for 250 ms
+	IdleTimeout time.Duration               // hosts' idle limit, 0 for 60 s
+	MaxAttempts int                         // 0 for 6
+	Deadline    time.Duration               // of all classes, 0 for 5 and 10 s
+	Subscribe   bool                        // lists must be asked for
+	KnownHosts  string                      // the list of hosts as last had, in the form of the wire; "" for none
+	EditConfig  func(config map[string]any) // what is to be other in its configuration; nil for nothing
 
-	Descriptors int // the system's limit on them, 0 for the one of the test
+	DescriptorLimit int // the system's limit on them, 0 for the one of the test
 }
 
 // Classes are the classes of the settings, the last two of which must not run twice.
 var Classes = []string{"lookup", "dispute-extract", "usage-report"}
 
-// Once tells whether messages of a class must not run twice.
-func Once(class string) bool { return class != Classes[0] }
+// IsAtMostOnce tells whether messages of a class must not run twice.
+func IsAtMostOnce(class string) bool { return class != Classes[0] }
 
 // Process is a running program.
 type Process struct {
@@ -99,10 +99,10 @@
 		return v.Microseconds()
 	}
 	discovery := "automatic"
-	if o.Asked {
+	if o.Subscribe {
 		discovery = "subscribe"
 	}
-	attempts := o.Attempts
+	attempts := o.MaxAttempts
 	if attempts == 0 {
 		attempts = 6
 	}
@@ -116,8 +116,8 @@
 			map[string]any{"name": "sinai-tel", "share": 0.39, "quota_per_s": 3000}},
 		"contract": map[string]any{"answer_slack_us": 16000, "cold_from": 1, "drain_grace_us": 500000,
 			"fall_multiple": 25, "fall_us": 3000000, "ramp_time_us": 1000},
-		"allowed": map[string]any{"cancel": true, "conn_idle_us": first(o.Idle, time.Minute),
-			"dial_timeout_us": first(o.Dial, 250*time.Millisecond), "max_retry_after_us": 2000000, "may_probe": o.Probe,
+		"allowed": map[string]any{"cancel": true, "conn_idle_us": first(o.IdleTimeout, time.Minute),
+			"dial_timeout_us": first(o.DialTimeout, 250*time.Millisecond), "max_retry_after_us": 2000000, "may_probe": o.MayProbe,
 			"parallel_tries": false, "retry_after": true, "send_cap": attempts},
 		"domain": map[string]any{"class_stretch": []int{2, 2, 2}, "tells_start": false, "progress_us": 0},
 		"stats":  map[string]any{"fields": []string{}, "source": "none"}}
@@ -171,18 +171,18 @@
 		return v
 	}
 	p.document = map[string]any{"name": o.Name, "listen": p.listen, "discovery": o.Discovery, "seed": "1",
-		"limits":   map[string]any{"cores": 1, "memory_mb": first(o.MemoryMB, 192), "sockets": first(o.Sockets, 1024)},
+		"limits":   map[string]any{"cores": 1, "memory_mb": first(o.MemoryMB, 192), "sockets": first(o.MaxSockets, 1024)},
 		"settings": Settings(o)}
-	if o.Known != "" {
-		p.document["known"] = jsoniter.RawMessage(o.Known)
+	if o.KnownHosts != "" {
+		p.document["known"] = jsoniter.RawMessage(o.KnownHosts)
 	}
 	p.config = filepath.Join(o.Dir, fmt.Sprintf("%s-%d.json", o.Name, time.Now().UnixNano()))
-	if _, err := p.Configure(o.Change); err != nil {
+	if _, err := p.Configure(o.EditConfig); err != nil {
 		return nil, err
 	}
-	p.cmd = exec.Command(o.Path, o.Args...)
-	if o.Descriptors > 0 { // of the program alone, which takes the shell's place
-		limited := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(o.Descriptors), o.Path}
+	p.cmd = exec.Command(o.ProgramPath, o.Args...)
+	if o.DescriptorLimit > 0 { // of the program alone, which takes the shell's place
+		limited := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(o.DescriptorLimit), o.ProgramPath}
 		p.cmd = exec.Command("/bin/sh", append(limited, o.Args...)...)
 	}
 	p.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+p.config, "LB_MANAGEMENT="+p.manage, "TMPDIR="+o.Dir),
@@ -247,8 +247,8 @@
 // Log is what it has logged so far.
 func (p *Process) Log() string { return p.log.String() }
 
-// Figures are the figures of the second address, by name; those with labels have them in their name.
-func (p *Process) Figures() (map[string]float64, error) {
+// Metrics are the figures of the second address, by name; those with labels have them in their name.
+func (p *Process) Metrics() (map[string]float64, error) {
 	_, body, err := fasthttp.Get(nil, "http://"+p.manage+"/-/metrics")
 	if err != nil {
 		return nil, err
@@ -263,8 +263,8 @@
 	return figures, nil
 }
 
-// CallBack brings a call-back of a host to the program, as a host would.
-func (p *Process) CallBack(body []byte) error {
+// SendCallback brings a call-back of a host to the program, as a host would.
+func (p *Process) SendCallback(body []byte) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -280,8 +280,8 @@
 	return nil
 }
 
-// Term tells it to end.
-func (p *Process) Term() error { return p.Signal(syscall.SIGTERM) }
+// Terminate tells it to end.
+func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
 // ExitCode is that of a process that has ended.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
@@ -289,8 +289,8 @@
 // Signal sends it a signal; its error says that the process has ended.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Ended tells whether the process has ended.
-func (p *Process) Ended() bool {
+// HasExited tells whether the process has ended.
+func (p *Process) HasExited() bool {
 	select {
 	case <-p.done:
 		return true
--- a/internal/lab/program/usage.go
+++ b/internal/lab/program/usage.go
@@ -12,14 +12,14 @@
 
 // Usage is what a process has used, as the system counts it from outside.
 type Usage struct {
-	CPU      time.Duration // since its start, of all its threads
-	Resident int64         // bytes
+	CPU           time.Duration // since its start, of all its threads
+	ResidentBytes int64         // bytes
 }
 
-// UsageOf reads the usage of a process. Processor time comes from the process's clock, which counts what
+// ReadUsage reads the usage of a process. Processor time comes from the process's clock, which counts what
 // /proc/PID/stat counts, in nanoseconds: its ticks of 10 ms are too coarse for windows of seconds. Resident memory is
 // that of /proc/PID/statm.
-func UsageOf(pid int) (Usage, error) {
+func ReadUsage(pid int) (Usage, error) {
 	var spent unix.Timespec
 	if err := unix.ClockGettime(processClock(pid), &spent); err != nil {
 		return Usage{}, fmt.Errorf("process %d: its clock: %w", pid, err)
@@ -33,7 +33,7 @@
 		return Usage{}, fmt.Errorf("process %d: its statm has %d fields", pid, len(fields))
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
-	return Usage{CPU: time.Duration(spent.Nano()), Resident: pages * int64(os.Getpagesize())}, err
+	return Usage{CPU: time.Duration(spent.Nano()), ResidentBytes: pages * int64(os.Getpagesize())}, err
 }
 
 // processClock is the clock of a process's processor time, as clock_getcpuclockid(3) makes it.
@@ -42,8 +42,8 @@
 	return int32(^pid<<3 | scheduled)
 }
 
-// Descriptors is how many the process has open.
-func (p *Process) Descriptors() (int, error) {
+// OpenDescriptors is how many the process has open.
+func (p *Process) OpenDescriptors() (int, error) {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.PID()))
 	return len(names), err
 }
--- a/internal/lab/program/usage_test.go
+++ b/internal/lab/program/usage_test.go
@@ -10,7 +10,7 @@
 
 // What this process burns shows in its usage, and what it allocates in its resident memory.
 func TestUsageOf(t *testing.T) {
-	before, err := UsageOf(os.Getpid())
+	before, err := ReadUsage(os.Getpid())
 	require.NoError(t, err)
 	block := make([]byte, 64<<20)
 	for began := time.Now(); time.Since(began) < 200*time.Millisecond; {
@@ -18,10 +18,10 @@
 			block[i]++
 		}
 	}
-	after, err := UsageOf(os.Getpid())
+	after, err := ReadUsage(os.Getpid())
 	require.NoError(t, err)
 	require.Greater(t, after.CPU-before.CPU, 20*time.Millisecond)
-	require.Greater(t, after.Resident-before.Resident, int64(60<<20))
-	_, err = UsageOf(1 << 30)
+	require.Greater(t, after.ResidentBytes-before.ResidentBytes, int64(60<<20))
+	_, err = ReadUsage(1 << 30)
 	require.Error(t, err)
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -23,31 +23,31 @@
 	Seed    uint64           `json:"seed"`
 	Columns []string         `json:"columns"`
 	Rows    []map[string]any `json:"rows"`
-	Bars    []Bar            `json:"bars"`
+	Bounds  []Bound          `json:"bars"`
 	Notes   []string         `json:"notes,omitempty"` // what was left out, and why
 	Data    any              `json:"data,omitempty"`  // all that was measured, for other programs
 }
 
-// Bar is a figure that must not lie above a bound.
-type Bar struct {
-	What  string  `json:"what"`
+// Bound is a figure that must not lie above a bound.
+type Bound struct {
+	Name  string  `json:"what"`
 	Value float64 `json:"value"`
-	Most  float64 `json:"most"`
+	Max   float64 `json:"most"`
 	Unit  string  `json:"unit"`
 	// Unjudged says why a value above the bound proves nothing; it neither keeps nor misses it then.
-	Unjudged string `json:"unjudged,omitempty"`
+	Inconclusive string `json:"unjudged,omitempty"`
 }
 
-// Holds tells whether the figure keeps its bound.
-func (b Bar) Holds() bool { return b.Value <= b.Most }
+// IsMet tells whether the figure keeps its bound.
+func (b Bound) IsMet() bool { return b.Value <= b.Max }
 
 // New returns an empty report.
 func New(name string, seed uint64, columns ...string) *Report {
 	return &Report{Name: name, Version: version.String(), Seed: seed, Columns: columns}
 }
 
-// Add adds a row, its values in the order of the columns.
-func (r *Report) Add(values ...any) {
+// AddRow adds a row, its values in the order of the columns.
+func (r *Report) AddRow(values ...any) {
 	row := map[string]any{}
 	for i, v := range values {
 		row[r.Columns[i]] = v
@@ -55,18 +55,18 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Check notes a figure that must be at most so much.
-func (r *Report) Check(what string, value, most float64, unit string) {
-	r.Bars = append(r.Bars, Bar{What: what, Value: value, Most: most, Unit: unit})
+// AddBound notes a figure that must be at most so much.
+func (r *Report) AddBound(what string, value, most float64, unit string) {
+	r.Bounds = append(r.Bounds, Bound{Name: what, Value: value, Max: most, Unit: unit})
 }
 
 // Verdict says of a bar whether it is kept.
-func (b Bar) Verdict() string {
+func (b Bound) Verdict() string {
 	switch {
-	case b.Holds():
+	case b.IsMet():
 		return "kept"
-	case b.Unjudged != "":
-		return b.Unjudged
+	case b.Inconclusive != "":
+		return b.Inconclusive
 	}
 	return "MISSED"
 }
@@ -114,34 +114,34 @@
 }
 
 func (r *Report) printBars(w io.Writer) {
-	if len(r.Bars) == 0 {
+	if len(r.Bounds) == 0 {
 		return
 	}
 	t := newTable(w)
 	t.AppendHeader(table.Row{"must hold", "figure", "at most", "unit", ""})
-	for _, b := range r.Bars {
-		t.AppendRow(table.Row{b.What, number(b.Value), number(b.Most), b.Unit, b.Verdict()})
+	for _, b := range r.Bounds {
+		t.AppendRow(table.Row{b.Name, number(b.Value), number(b.Max), b.Unit, b.Verdict()})
 	}
 	t.Render()
 }
 
 func (r *Report) verdict() error {
 	var missed, unjudged []string
-	for _, b := range r.Bars {
+	for _, b := range r.Bounds {
 		switch {
-		case b.Holds():
-		case b.Unjudged != "":
-			unjudged = append(unjudged, fmt.Sprintf("%s (%s)", b.What, b.Unjudged))
+		case b.IsMet():
+		case b.Inconclusive != "":
+			unjudged = append(unjudged, fmt.Sprintf("%s (%s)", b.Name, b.Inconclusive))
 		default:
-			missed = append(missed, b.What)
+			missed = append(missed, b.Name)
 		}
 	}
 	if len(missed) > 0 {
-		return fmt.Errorf("%d of %d bars were missed: %s", len(missed), len(r.Bars),
+		return fmt.Errorf("%d of %d bars were missed: %s", len(missed), len(r.Bounds),
 			strings.Join(append(missed, unjudged...), "; "))
 	}
 	if len(unjudged) > 0 {
-		return fmt.Errorf("%d of %d bars were not judged: %s", len(unjudged), len(r.Bars), strings.Join(unjudged, "; "))
+		return fmt.Errorf("%d of %d bars were not judged: %s", len(unjudged), len(r.Bounds), strings.Join(unjudged, "; "))
 	}
 	return nil
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,12 +13,12 @@
 // A missed bar is an error, after all was printed and kept.
 func TestFinish(t *testing.T) {
 	r := New("test", 7, "case", "figure")
-	r.Add("one", 1.5)
-	r.Check("kept", 1, 1, "ms")
+	r.AddRow("one", 1.5)
+	r.AddBound("kept", 1, 1, "ms")
 	file := filepath.Join(t.TempDir(), "r.json")
 	var out strings.Builder
 	require.NoError(t, r.Finish(&out, file))
-	r.Check("missed", 1.01, 1, "ms")
+	r.AddBound("missed", 1.01, 1, "ms")
 	require.ErrorContains(t, r.Finish(&out, file), "1 of 2 bars")
 	require.Contains(t, out.String(), "MISSED")
 	require.Contains(t, out.String(), "seed 7")
@@ -27,19 +27,19 @@
 	var back Report
 	require.NoError(t, jsoniter.Unmarshal(text, &back))
 	require.Equal(t, 1.5, back.Rows[0]["figure"])
-	require.False(t, back.Bars[1].Holds())
+	require.False(t, back.Bounds[1].IsMet())
 }
 
 // What a busy machine has spoilt is neither kept nor missed, and an error all the same; one that is kept is kept.
 func TestUnjudged(t *testing.T) {
 	r := New("test", 7, "case")
-	r.Bars = []Bar{{What: "slow", Value: 2, Most: 1, Unjudged: "machine too busy"},
-		{What: "fast", Value: 1, Most: 1, Unjudged: "machine too busy"}}
+	r.Bounds = []Bound{{Name: "slow", Value: 2, Max: 1, Inconclusive: "machine too busy"},
+		{Name: "fast", Value: 1, Max: 1, Inconclusive: "machine too busy"}}
 	var out strings.Builder
 	require.ErrorContains(t, r.Finish(&out, ""), "1 of 2 bars were not judged: slow (machine too busy)")
 	require.Contains(t, out.String(), "kept")
 	require.NotContains(t, out.String(), "MISSED")
-	r.Check("wrong", 0.0012, 0, "s")
+	r.AddBound("wrong", 0.0012, 0, "s")
 	require.ErrorContains(t, r.Finish(&out, ""), "1 of 3 bars were missed: wrong; slow (machine too busy)")
 	require.Contains(t, out.String(), "0.0012")
 }
--- a/internal/lab/resolver/resolver.go
+++ b/internal/lab/resolver/resolver.go
@@ -23,15 +23,15 @@
 	Timeout
 	Late // answers after 300 ms
 	ServFail
-	NXDomain // with the zone's word for it
-	Empty    // no records, with the zone's word
-	Silent   // no records, and no word
+	NXDomain        // with the zone's word for it
+	Empty           // no records, with the zone's word
+	EmptyWithoutSOA // no records, and no word
 	WrongID
 	WrongQuestion
 	Garbage
-	CutName // the message ends within a name
-	Loop    // a name that points to itself
-	Circle  // aliases in a circle
+	TruncatedName // the message ends within a name
+	PointerLoop   // a name that points to itself
+	AliasLoop     // aliases in a circle
 	Truncate
 	TruncateTCPSlow   // and TCP does not answer
 	TruncateTCPRefuse // and TCP closes
@@ -108,22 +108,22 @@
 	}
 }
 
-// Set makes it behave so from now on.
-func (r *Resolver) Set(f Fault) {
+// SetFault makes it behave so from now on.
+func (r *Resolver) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// Bare leaves the additional section out.
-func (r *Resolver) Bare(bare bool) {
+// OmitAdditional leaves the additional section out.
+func (r *Resolver) OmitAdditional(bare bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bare = bare
 }
 
-// List gives a name its records.
-func (r *Resolver) List(name string, ttl uint32, targets ...Target) {
+// SetRecords gives a name its records.
+func (r *Resolver) SetRecords(name string, ttl uint32, targets ...Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := strings.ToLower(dns.Fqdn(name))
@@ -134,30 +134,30 @@
 	}
 }
 
-// Alias makes a name one of another.
-func (r *Resolver) Alias(name, of string, ttl uint32) {
+// SetAlias makes a name one of another.
+func (r *Resolver) SetAlias(name, of string, ttl uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := strings.ToLower(dns.Fqdn(name))
 	r.alias[key], r.ttl[key] = dns.Fqdn(of), ttl
 }
 
-// Queries is how often a name was asked for by a type, such as "SRV".
-func (r *Resolver) Queries(name, kind string) int {
+// QueryCount is how often a name was asked for by a type, such as "SRV".
+func (r *Resolver) QueryCount(name, kind string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.queries[kind+" "+strings.ToLower(dns.Fqdn(name))]
 }
 
-// Moments is when queries came.
-func (r *Resolver) Moments() []time.Time {
+// QueryTimes is when queries came.
+func (r *Resolver) QueryTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]time.Time(nil), r.moments...)
 }
 
-// OverTCP is how many queries came over TCP.
-func (r *Resolver) OverTCP() int {
+// TCPQueryCount is how many queries came over TCP.
+func (r *Resolver) TCPQueryCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.overTCP
@@ -248,7 +248,7 @@
 		if f == NXDomain {
 			m.Rcode = dns.RcodeNameError
 		}
-	case Silent:
+	case EmptyWithoutSOA:
 		m.Answer, m.Extra, m.Ns = nil, nil, nil
 	case FormErr:
 		if q.IsEdns0() != nil {
@@ -258,7 +258,7 @@
 		m.Id++
 	case WrongQuestion:
 		m.Question[0].Name = "other.example."
-	case Circle:
+	case AliasLoop:
 		m.Answer = []dns.RR{cname(name, "b."+name), cname("b."+name, name)}
 	case Truncate, TruncateTCPSlow, TruncateTCPRefuse:
 		if !tcp {
@@ -282,9 +282,9 @@
 	switch f {
 	case Garbage:
 		return [][]byte{{1, 2, 3}, append(text[:2:2], 0xff, 0xff, 0xff)}
-	case CutName:
+	case TruncatedName:
 		return [][]byte{text[:len(text)-3]}
-	case Loop: // the question's name is a pointer to itself
+	case PointerLoop: // the question's name is a pointer to itself
 		return [][]byte{append(text[:12:12], 0xc0, 12, 0, byte(kind), 0, 1)}
 	}
 	return [][]byte{text}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -33,10 +33,10 @@
 
 // Member is what a process is told of its place.
 type Member struct {
-	Name   string
-	State  string            // folder that outlives a restart
-	Listen string            // IP:port where it listens for the others
-	Peers  map[string]string // by name: IP:port of the link that leads to each of the others
+	Name       string
+	StateDir   string            // folder that outlives a restart
+	PeerListen string            // IP:port where it listens for the others
+	PeerLinks  map[string]string // by name: IP:port of the link that leads to each of the others
 }
 
 // Rig is a running installation.
@@ -88,9 +88,9 @@
 			return err
 		}
 		m := &member{clients: free[0], files: filepath.Join(r.options.Dir, name)}
-		m.Member = Member{Name: name, State: filepath.Join(m.files, "state"), Listen: free[1],
-			Peers: map[string]string{}}
-		if err := os.MkdirAll(m.State, 0o700); err != nil {
+		m.Member = Member{Name: name, StateDir: filepath.Join(m.files, "state"), PeerListen: free[1],
+			PeerLinks: map[string]string{}}
+		if err := os.MkdirAll(m.StateDir, 0o700); err != nil {
 			return err
 		}
 		r.members[name] = m
@@ -100,13 +100,13 @@
 			if from == to {
 				continue
 			}
-			l, err := link.Start(link.Options{Listen: "127.0.0.1:0", Target: r.members[to].Listen,
+			l, err := link.Start(link.Options{Listen: "127.0.0.1:0", Target: r.members[to].PeerListen,
 				Split: r.options.Split, Seed: r.options.Seed + uint64(i*len(r.options.Names)+j)})
 			if err != nil {
 				return err
 			}
 			r.links[pair{from, to}] = l
-			r.members[from].Peers[to] = l.Address()
+			r.members[from].PeerLinks[to] = l.Address()
 		}
 	}
 	return nil
@@ -165,8 +165,8 @@
 // Link is the one on which a member dials another.
 func (r *Rig) Link(from, to string) *link.Link { return r.links[pair{from, to}] }
 
-// Cut cuts both links between each of some members and each of the rest, both ways.
-func (r *Rig) Cut(names ...string) {
+// Partition cuts both links between each of some members and each of the rest, both ways.
+func (r *Rig) Partition(names ...string) {
 	for p, l := range r.links {
 		if slices.Contains(names, p.from) != slices.Contains(names, p.to) {
 			l.Cut()
@@ -174,8 +174,8 @@
 	}
 }
 
-// CutFrom loses what a member says, and passes on what it is told.
-func (r *Rig) CutFrom(name string) {
+// CutOutgoing loses what a member says, and passes on what it is told.
+func (r *Rig) CutOutgoing(name string) {
 	for p, l := range r.links {
 		switch name {
 		case p.from:
@@ -186,10 +186,10 @@
 	}
 }
 
-// Disturb makes faults happen to the frames of all links.
-func (r *Rig) Disturb(f link.FrameFaults) {
+// SetFrameFaults makes faults happen to the frames of all links.
+func (r *Rig) SetFrameFaults(f link.FrameFaults) {
 	for _, l := range r.links {
-		l.Frames(f)
+		l.SetFrameFaults(f)
 	}
 }
 
@@ -203,8 +203,8 @@
 // Freeze stops a member's process where it is (SIGSTOP), and returns when it stands still.
 func (r *Rig) Freeze(name string) error { return r.Process(name).Freeze() }
 
-// Wake lets a frozen process go on (SIGCONT).
-func (r *Rig) Wake(name string) error { return r.Process(name).Thaw() }
+// Thaw lets a frozen process go on (SIGCONT).
+func (r *Rig) Thaw(name string) error { return r.Process(name).Thaw() }
 
 // Kill ends the processes of some members within one moment (SIGKILL).
 func (r *Rig) Kill(names ...string) {
@@ -214,9 +214,9 @@
 	})
 }
 
-// Wipe removes what a member's process has kept; none of its processes may run.
-func (r *Rig) Wipe(name string) error {
-	state := r.members[name].State
+// WipeState removes what a member's process has kept; none of its processes may run.
+func (r *Rig) WipeState(name string) error {
+	state := r.members[name].StateDir
 	return errors.Join(os.RemoveAll(state), os.MkdirAll(state, 0o700))
 }
 
@@ -230,9 +230,9 @@
 	return old, r.launch(name)
 }
 
-// End tells a process to end (SIGTERM) and waits for that.
-func (r *Rig) End(p *program.Process) error {
-	if err := p.Term(); err != nil {
+// Terminate tells a process to end (SIGTERM) and waits for that.
+func (r *Rig) Terminate(p *program.Process) error {
+	if err := p.Terminate(); err != nil {
 		return err
 	}
 	return p.Wait(leaveTime)
@@ -243,7 +243,7 @@
 	for _, m := range r.members {
 		m.mu.Lock()
 		for _, p := range m.processes {
-			if !p.Ended() {
+			if !p.HasExited() {
 				p.Kill()
 			}
 		}
--- a/internal/lab/scale/assumptions.go
+++ b/internal/lab/scale/assumptions.go
@@ -8,8 +8,8 @@
 
 var assumptions = []assumption{
 	{"changes of workers", func(l *Load, by float64) { l.Changes *= by }},
-	{"words of other dispatchers, as with a third of the dispatchers", func(l *Load, by float64) { l.Words *= by }},
-	{"whole lists", func(l *Load, by float64) { l.Lists *= by }},
+	{"words of other dispatchers, as with a third of the dispatchers", func(l *Load, by float64) { l.GossipMessages *= by }},
+	{"whole lists", func(l *Load, by float64) { l.Snapshots *= by }},
 	{"changes of configuration", func(l *Load, by float64) { l.Revisions *= by }},
 }
 
@@ -22,8 +22,8 @@
 	workedBytes = "worked out: bytes for control, ordinary day, with 3 times the "
 )
 
-// Sensitivity adds what an ordinary day takes if one assumption is wrong by 3 times, each by itself.
-func (b *Bench) Sensitivity() error {
+// AddSensitivity adds what an ordinary day takes if one assumption is wrong by 3 times, each by itself.
+func (b *Bench) AddSensitivity() error {
 	for _, a := range assumptions {
 		l := ordinary()
 		a.change(&l, wrongBy)
@@ -54,9 +54,9 @@
 		what string
 		load Load
 	}{{"the watch while nothing changes", Load{}}, {"changes of workers", Load{Changes: day.Changes}},
-		{"words of other dispatchers", Load{Words: day.Words}}, {"whole lists", Load{Lists: day.Lists}},
+		{"words of other dispatchers", Load{GossipMessages: day.GossipMessages}}, {"whole lists", Load{Snapshots: day.Snapshots}},
 		{"changes of configuration", Load{Revisions: day.Revisions}},
-		{"live weights of all once a second", Load{Reweighs: reweighsAssumed}}} {
+		{"live weights of all once a second", Load{WeightUpdates: reweighsAssumed}}} {
 		cpu, err := b.CPU(part.load)
 		if err != nil {
 			return err
--- a/internal/lab/scale/bench.go
+++ b/internal/lab/scale/bench.go
@@ -27,21 +27,21 @@
 type Bench struct {
 	Options
 	Data
-	Pace   *Pace
-	Bars   []Bar
-	Notes  []string // what was left out, and why
-	worked []worked // figures that follow from others
-	log    io.Writer
-	began  time.Time
+	Calibration *Calibration
+	Bounds      []Bound
+	Notes       []string // what was left out, and why
+	worked      []worked // figures that follow from others
+	log         io.Writer
+	began       time.Time
 }
 
-// Bar is a figure that must not lie above a bound.
-type Bar struct {
-	What  string
-	Value float64
-	Most  float64
-	Unit  string
-	Timed bool // in wall-clock time, which a busy machine makes longer
+// Bound is a figure that must not lie above a bound.
+type Bound struct {
+	Name        string
+	Value       float64
+	Max         float64
+	Unit        string
+	IsWallClock bool // in wall-clock time, which a busy machine makes longer
 }
 
 const (
@@ -51,19 +51,19 @@
 
 // NewBench returns an empty bench that tells its progress to log.
 func NewBench(o Options, log io.Writer) *Bench {
-	return &Bench{Options: o, Pace: NewPace(), log: log, began: time.Now()}
+	return &Bench{Options: o, Calibration: NewCalibration(), log: log, began: time.Now()}
 }
 
 // Run makes all measurements, one after the other.
 func (b *Bench) Run(ctx context.Context, all []Measurement) error {
 	for i, m := range all {
 		b.Progress("%d of %d: %s", i+1, len(all), m.Name())
-		b.Pace.Time(paceLoops)
+		b.Calibration.Run(paceLoops)
 		if err := m.Measure(ctx, b); err != nil {
 			return fmt.Errorf("%s: %w", m.Name(), err)
 		}
 	}
-	b.Pace.Time(paceLoops)
+	b.Calibration.Run(paceLoops)
 	b.keepPace()
 	return b.Fit()
 }
@@ -76,7 +76,7 @@
 )
 
 func (b *Bench) keepPace() {
-	b.Add(figureLoop, axisTimings, "us", fromRun, 1, b.Pace.Loop().Seconds()*1e6)
+	b.Add(figureLoop, axisTimings, "us", fromRun, 1, b.Calibration.LoopTime().Seconds()*1e6)
 }
 
 // Progress tells what the run does.
@@ -84,13 +84,13 @@
 	fmt.Fprintf(b.log, "%6.1f s  %s\n", time.Since(b.began).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// Note keeps what was left out, for the report.
-func (b *Bench) Note(format string, values ...any) {
+// AddNote keeps what was left out, for the report.
+func (b *Bench) AddNote(format string, values ...any) {
 	b.Notes = append(b.Notes, fmt.Sprintf(format, values...))
 }
 
-// Check keeps a bar.
-func (b *Bench) Check(bar Bar) { b.Bars = append(b.Bars, bar) }
+// AddBound keeps a bar.
+func (b *Bench) AddBound(bar Bound) { b.Bounds = append(b.Bounds, bar) }
 
 // pick is the value for a quick run or for a whole one.
 func pick[T any](b *Bench, quick, whole T) T {
@@ -106,14 +106,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if fits := hollowWithin(room, s); fits < s.Hollow {
-		b.Note("%d hollow dispatchers with %d workers in place of %d, for half of the machine's memory", fits,
-			s.Workers, s.Hollow)
-		s.Hollow = fits
+	if fits := hollowWithin(room, s); fits < s.Simulated {
+		b.AddNote("%d hollow dispatchers with %d workers in place of %d, for half of the machine's memory", fits,
+			s.Workers, s.Simulated)
+		s.Simulated = fits
 	}
-	b.Pace.Time(paceLoops)
+	b.Calibration.Run(paceLoops)
 	b.Progress("%d workers, %d dispatchers (%d real, %d hollow), %d teams", s.Workers, s.Dispatchers, s.Real,
-		s.Hollow, s.Teams)
+		s.Simulated, s.Teams)
 	return Start(ctx, b.Programs, s, b.Seed)
 }
 
@@ -121,5 +121,5 @@
 func (b *Bench) paceNote() string {
 	return fmt.Sprintf("the fixed loop takes %s of processor time, and its 90th percentile %.2f times that by the "+
 		"clock (too busy above %.1f)",
-		b.Pace.Loop(), b.Pace.Variation(), unsteady)
+		b.Calibration.LoopTime(), b.Calibration.Variation(), unsteady)
 }
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -18,12 +18,12 @@
 
 // Load is how often a second each dispatcher has to do with what it is controlled by.
 type Load struct {
-	Name      string
-	Changes   float64 // of one worker
-	Reweighs  float64 // of the live weights of all
-	Words     float64 // of other dispatchers
-	Lists     float64 // whole ones
-	Revisions float64 // of the configuration, with the quotas of all teams
+	Name           string
+	Changes        float64 // of one worker
+	WeightUpdates  float64 // of the live weights of all
+	GossipMessages float64 // of other dispatchers
+	Snapshots      float64 // whole ones
+	Revisions      float64 // of the configuration, with the quotas of all teams
 }
 
 // What the operators' figures make of an ordinary day.
@@ -42,18 +42,18 @@
 
 // ordinary is the load of an ordinary day, with the most words that there can be.
 func ordinary() Load {
-	return Load{Name: "ordinary day", Changes: (2*failures + 4*restarts) / day, Lists: listsADay / day,
-		Revisions: revisionsADay / day,
-		Words:     startsAtPeak * wordsOfAStart * sharers / sizeDispatchers}
+	return Load{Name: "ordinary day", Changes: (2*failures + 4*restarts) / day, Snapshots: listsADay / day,
+		Revisions:      revisionsADay / day,
+		GossipMessages: startsAtPeak * wordsOfAStart * sharers / sizeDispatchers}
 }
 
 // loads are those that the bars are worked out for.
 func loads() []Load {
 	busiest := ordinary()
 	busiest.Name = "busiest minutes"
-	busiest.Changes, busiest.Lists, busiest.Revisions = peak*busiest.Changes, peak*busiest.Lists, peak*busiest.Revisions
+	busiest.Changes, busiest.Snapshots, busiest.Revisions = peak*busiest.Changes, peak*busiest.Snapshots, peak*busiest.Revisions
 	live := ordinary()
-	live.Name, live.Reweighs = "ordinary day with live weights", reweighsAssumed
+	live.Name, live.WeightUpdates = "ordinary day with live weights", reweighsAssumed
 	return []Load{ordinary(), busiest, live}
 }
 
@@ -81,9 +81,9 @@
 	const ms = 1e-3 * 100 // to % of a core
 	return d.work([]cost{{1, figureIdle, axisWorkers, sizeWorkers, 1}, {l.Changes, figureChange, axisWorkers,
 		sizeWorkers, ms},
-		{l.Reweighs, figureReweigh, axisWorkers, sizeWorkers, ms}, {l.Words, figureWordReal, axisWorkers,
+		{l.WeightUpdates, figureReweigh, axisWorkers, sizeWorkers, ms}, {l.GossipMessages, figureWordReal, axisWorkers,
 			sizeWorkers, ms},
-		{l.Lists, figureLoad, axisWorkers, sizeWorkers, ms}, {l.Revisions, figureReload, axisTeams, sizeTeams, ms}})
+		{l.Snapshots, figureLoad, axisWorkers, sizeWorkers, ms}, {l.Revisions, figureReload, axisTeams, sizeTeams, ms}})
 }
 
 // Bytes are those that a load takes a second, at the size in two years.
@@ -91,17 +91,17 @@
 	const kilo = 1e3
 	sum, err := d.work([]cost{{1, figureIdleBytes, axisWorkers, sizeWorkers, 1}, {l.Changes, figureChangeBytes,
 		axisWorkers, sizeWorkers, 1},
-		{l.Reweighs, figureReweighB, axisWorkers, sizeWorkers, 1}, {l.Lists, figureLoadBytes, axisWorkers,
+		{l.WeightUpdates, figureReweighB, axisWorkers, sizeWorkers, 1}, {l.Snapshots, figureLoadBytes, axisWorkers,
 			sizeWorkers, kilo},
 		{l.Revisions, figureReloadBytes, axisTeams, sizeTeams, 1}})
-	return sum + l.Words*(gossip.MessageSize+datagramOverhead), err
+	return sum + l.GossipMessages*(gossip.MessageSize+datagramOverhead), err
 }
 
 // margin is by how much the cost of a hollow dispatcher may differ from that of a real one, as a part of the latter.
 const margin = 0.35
 
-// Judge adds the bars that follow from all that was measured.
-func (b *Bench) Judge() error {
+// AddCapacityBounds adds the bars that follow from all that was measured.
+func (b *Bench) AddCapacityBounds() error {
 	for _, l := range loads() {
 		cpu, err := b.CPU(l)
 		if err != nil {
@@ -111,15 +111,15 @@
 		if err != nil {
 			return err
 		}
-		b.Check(Bar{What: "processor time for control, " + l.Name, Value: cpu, Most: mostCPU, Unit: "% of a core"})
-		b.Check(Bar{What: "bytes for control, " + l.Name, Value: bytes, Most: mostBytes, Unit: "B/s"})
+		b.AddBound(Bound{Name: "processor time for control, " + l.Name, Value: cpu, Max: mostCPU, Unit: "% of a core"})
+		b.AddBound(Bound{Name: "bytes for control, " + l.Name, Value: bytes, Max: mostBytes, Unit: "B/s"})
 	}
 	memory, err := b.At(figureResident, axisWorkers, fromReal, sizeWorkers)
 	if err != nil {
 		return err
 	}
-	b.Check(Bar{What: "resident memory of a dispatcher", Value: memory, Most: mostMemory, Unit: "MB"})
-	if err := b.Sensitivity(); err != nil {
+	b.AddBound(Bound{Name: "resident memory of a dispatcher", Value: memory, Max: mostMemory, Unit: "MB"})
+	if err := b.AddSensitivity(); err != nil {
 		return err
 	}
 	return b.compareKinds()
@@ -137,9 +137,9 @@
 		if err != nil {
 			return err
 		}
-		b.Check(Bar{What: fmt.Sprintf("hollow dispatchers differ from real ones: %s", c.figure),
+		b.AddBound(Bound{Name: fmt.Sprintf("hollow dispatchers differ from real ones: %s", c.figure),
 			Value: math.Abs(hollow/full - 1),
-			Most:  margin, Unit: "part"})
+			Max:   margin, Unit: "part"})
 	}
 	return nil
 }
--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -17,7 +17,7 @@
 // cheap is a bench whose every figure was measured and keeps the operators' figures; times are in ms.
 func cheap() *Bench {
 	b := NewBench(Options{Seed: 7}, &strings.Builder{})
-	b.Pace = &Pace{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{time.Millisecond}}
+	b.Calibration = &Calibration{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{time.Millisecond}}
 	b.keepPace()
 	for _, k := range []string{fromReal, fromHollow} {
 		for _, workers := range []float64{200, 800, 1600, 3000, 5500} {
@@ -43,7 +43,7 @@
 // finish judges a bench and returns what the command returns.
 func finish(t *testing.T, b *Bench) (string, error) {
 	require.NoError(t, b.Fit())
-	require.NoError(t, b.Judge())
+	require.NoError(t, b.AddCapacityBounds())
 	var out strings.Builder
 	err := b.Report().Finish(&out, "")
 	return out.String(), err
@@ -63,7 +63,7 @@
 	} {
 		b := cheap()
 		for _, s := range b.Series {
-			if s.Figure == figure {
+			if s.Metric == figure {
 				for i := range s.Points {
 					s.Points[i].Y *= 1000
 				}
@@ -79,7 +79,7 @@
 func TestHollowThatDiffers(t *testing.T) {
 	b := cheap()
 	for _, s := range b.Series {
-		if s.Figure == figureChange && s.Source == fromHollow {
+		if s.Metric == figureChange && s.Source == fromHollow {
 			for i := range s.Points {
 				s.Points[i].Y /= 2
 			}
@@ -92,17 +92,17 @@
 // A figure in wall-clock time that is missed on a busy machine is not judged, and still no success; one that is
 // missed on a steady one is missed, and so is one that counts events whatever the machine does.
 func TestBusyMachine(t *testing.T) {
-	slow := Bar{What: "slow", Value: 5, Most: 4, Unit: "s", Timed: true}
+	slow := Bound{Name: "slow", Value: 5, Max: 4, Unit: "s", IsWallClock: true}
 	for _, c := range []struct {
 		wall time.Duration
 		want string
 	}{{time.Millisecond, "were missed: slow"}, {3 * time.Millisecond, "not judged: slow (machine too busy)"}} {
 		b := cheap()
-		b.Pace = &Pace{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{c.wall}}
-		b.Check(slow)
+		b.Calibration = &Calibration{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{c.wall}}
+		b.AddBound(slow)
 		_, err := finish(t, b)
 		require.ErrorContains(t, err, c.want)
-		b.Check(Bar{What: "lost", Value: 1})
+		b.AddBound(Bound{Name: "lost", Value: 1})
 		_, err = finish(t, b)
 		require.ErrorContains(t, err, "were missed: ")
 		require.Contains(t, strings.Split(strings.Split(err.Error(), ": ")[1], "(machine")[0], "lost")
@@ -113,7 +113,7 @@
 func TestRoundTrip(t *testing.T) {
 	b := cheap()
 	require.NoError(t, b.Fit())
-	require.NoError(t, b.Judge())
+	require.NoError(t, b.AddCapacityBounds())
 	file := filepath.Join(t.TempDir(), "scale.json")
 	require.NoError(t, b.Report().Finish(&strings.Builder{}, file))
 	text, err := os.ReadFile(file)
@@ -124,7 +124,7 @@
 	}
 	require.NoError(t, jsoniter.Unmarshal(text, &back))
 	require.Equal(t, b.Series, back.Data)
-	require.Equal(t, b.Report().Bars, back.Bars)
+	require.Equal(t, b.Report().Bounds, back.Bounds)
 	require.EqualValues(t, 7, back.Seed)
 }
 
@@ -132,10 +132,10 @@
 func TestUnmeasured(t *testing.T) {
 	b := cheap()
 	b.Series = slices.DeleteFunc(b.Series, func(s *Series) bool {
-		return s.Figure == figureIdle && s.Source == fromReal
+		return s.Metric == figureIdle && s.Source == fromReal
 	})
 	require.NoError(t, b.Fit())
-	require.ErrorContains(t, b.Judge(), figureIdle+" over workers (real) is not measured")
+	require.ErrorContains(t, b.AddCapacityBounds(), figureIdle+" over workers (real) is not measured")
 }
 
 // Where it was measured a figure is the median, elsewhere the fit.
@@ -160,7 +160,7 @@
 func TestCharts(t *testing.T) {
 	b, dir := cheap(), t.TempDir()
 	require.NoError(t, b.Fit())
-	require.NoError(t, Charts(dir, b.Series))
+	require.NoError(t, WriteCharts(dir, b.Series))
 	text, err := os.ReadFile(filepath.Join(dir, "resident-memory-over-workers.svg"))
 	require.NoError(t, err)
 	require.Contains(t, string(text), "<svg")
@@ -170,7 +170,7 @@
 
 // No more hollow dispatchers are started than there is memory for.
 func TestMemoryBound(t *testing.T) {
-	s := Setup{Workers: 5500, Real: 5, Hollow: 300}
+	s := Setup{Workers: 5500, Real: 5, Simulated: 300}
 	require.Less(t, hollowWithin(4<<30, s), 60)
 	require.Positive(t, hollowWithin(4<<30, s))
 	require.Zero(t, hollowWithin(0, s))
@@ -186,22 +186,22 @@
 func TestRework(t *testing.T) {
 	b := cheap()
 	require.NoError(t, b.Fit())
-	require.NoError(t, b.Judge())
-	b.Check(Bar{What: "lost", Value: 1})
+	require.NoError(t, b.AddCapacityBounds())
+	b.AddBound(Bound{Name: "lost", Value: 1})
 	whole, part := filepath.Join(t.TempDir(), "whole.json"), filepath.Join(t.TempDir(), "part.json")
 	require.Error(t, b.Report().Finish(&strings.Builder{}, whole))
-	again, err := Rework([]string{whole}, "")
+	again, err := Recompute([]string{whole}, "")
 	require.NoError(t, err)
-	require.ElementsMatch(t, b.Report().Bars, again.Bars)
+	require.ElementsMatch(t, b.Report().Bounds, again.Bounds)
 	require.Equal(t, b.Report().Rows, again.Rows)
 
 	later := NewBench(Options{Seed: 7}, &strings.Builder{})
 	later.Add(figureIdle, axisWorkers, "% of a core", fromReal, 5500, 100)
 	require.NoError(t, later.Report().Finish(&strings.Builder{}, part))
-	again, err = Rework([]string{whole, part}, "")
+	again, err = Recompute([]string{whole, part}, "")
 	require.NoError(t, err)
 	require.ErrorContains(t, again.Finish(&strings.Builder{}, ""), "processor time for control, ordinary day")
-	_, err = Rework([]string{whole + "x"}, "")
+	_, err = Recompute([]string{whole + "x"}, "")
 	require.Error(t, err)
 }
 
@@ -211,7 +211,7 @@
 	require.NoError(t, b.Fit())
 	day, err := b.Bytes(ordinary())
 	require.NoError(t, err)
-	require.NoError(t, b.Sensitivity())
+	require.NoError(t, b.AddSensitivity())
 	shown := 0
 	for _, w := range b.worked {
 		if strings.HasPrefix(w.what, workedBytes) {
--- a/internal/lab/scale/chart.go
+++ b/internal/lab/scale/chart.go
@@ -23,26 +23,26 @@
 var lineColours = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255},
 	color.RGBA{R: 44, G: 160, B: 44, A: 255}}
 
-// Charts draws each figure over its axis, with the fit of each source, as an SVG file in a folder.
-func Charts(dir string, all []*Series) error {
+// WriteCharts draws each figure over its axis, with the fit of each source, as an SVG file in a folder.
+func WriteCharts(dir string, all []*Series) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	drawn := map[string]bool{}
 	for _, s := range all {
-		name := fileName(s.Figure + " over " + s.Axis)
+		name := fileName(s.Metric + " over " + s.Axis)
 		if drawn[name] {
 			continue
 		}
 		drawn[name] = true
 		var together []*Series
 		for _, o := range all {
-			if o.Figure == s.Figure && o.Axis == s.Axis {
+			if o.Metric == s.Metric && o.Axis == s.Axis {
 				together = append(together, o)
 			}
 		}
 		if err := draw(filepath.Join(dir, name+".svg"), together); err != nil {
-			return fmt.Errorf("chart of %s: %w", s.Figure, err)
+			return fmt.Errorf("chart of %s: %w", s.Metric, err)
 		}
 	}
 	return nil
@@ -59,7 +59,7 @@
 
 func draw(file string, together []*Series) error {
 	p := plot.New()
-	p.Title.Text = together[0].Figure
+	p.Title.Text = together[0].Metric
 	p.X.Label.Text, p.Y.Label.Text = together[0].Axis, together[0].Unit
 	for i, s := range together {
 		points := make(plotter.XYs, len(s.Points))
--- a/internal/lab/scale/configuration.go
+++ b/internal/lab/scale/configuration.go
@@ -15,27 +15,27 @@
 	"topazfall/internal/lab/program"
 )
 
-// Carrier brings revisions of the configuration to all instances. Each way of doing that is one, so that they are
+// Distributor brings revisions of the configuration to all instances. Each way of doing that is one, so that they are
 // measured alike, in one run: the one before, and what takes its place.
-type Carrier interface {
+type Distributor interface {
 	Name() string
 	// Start starts so many agents, with files below dir.
 	Start(ctx context.Context, b *Bench, dir string, instances int) error
 	// Bring hands revision number n to whoever takes it, and returns when there is nothing left to do for the caller.
-	Bring(ctx context.Context, n uint64) error
+	Distribute(ctx context.Context, n uint64) error
 	// InTurn tells whether instances are reached one after the other, so that the time grows with their number.
-	InTurn() bool
+	IsSequential() bool
 	// Sizes are the numbers of instances that it is measured with; realCount is one of them.
 	Sizes(quick bool) []int
 	// Holds is the revision in force at an instance.
-	Holds(ctx context.Context, instance int) (uint64, error)
+	Revision(ctx context.Context, instance int) (uint64, error)
 	// Process is that of an instance, to freeze it.
 	Process(instance int) *program.Process
 	Close()
 }
 
 // Configuration measures carriers.
-type Configuration struct{ Carriers []Carrier }
+type Configuration struct{ Distributors []Distributor }
 
 const (
 	inForce       = 4 * time.Second        // within which a change must be in force everywhere
@@ -75,14 +75,14 @@
 		return err
 	}
 	b.Add(figureSave, axisTimings, "ms", fromRun, 1, saves...)
-	b.Note("%s: median %.1f ms, longest %.1f ms of %d", figureSave,
+	b.AddNote("%s: median %.1f ms, longest %.1f ms of %d", figureSave,
 		quantile(saves, 0.5), quantile(saves, 1), len(saves))
 	return nil
 }
 
 // carryAll measures each carrier at each of its sizes.
 func (c Configuration) carryAll(ctx context.Context, b *Bench) error {
-	for _, carrier := range c.Carriers {
+	for _, carrier := range c.Distributors {
 		for _, instances := range carrier.Sizes(b.Quick) {
 			if err := c.carry(ctx, b, carrier, instances); err != nil {
 				return fmt.Errorf("%s, %d instances: %w", carrier.Name(), instances, err)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (c Configuration) carry(ctx context.Context, b *Bench, carrier Carrier, instances int) error {
+func (c Configuration) carry(ctx context.Context, b *Bench, carrier Distributor, instances int) error {
 	dir, err := os.MkdirTemp("", "topazlab-scale")
 	if err != nil {
 		return err
@@ -106,10 +106,10 @@
 	if err != nil || instances < realCount {
 		return err
 	}
-	b.Check(Bar{What: fmt.Sprintf("%s: slowest change at %d instances", carrier.Name(), instances),
-		Value: slowest, Most: mostInForce,
-		Unit: "s", Timed: true})
-	if carrier.InTurn() {
+	b.AddBound(Bound{Name: fmt.Sprintf("%s: slowest change at %d instances", carrier.Name(), instances),
+		Value: slowest, Max: mostInForce,
+		Unit: "s", IsWallClock: true})
+	if carrier.IsSequential() {
 		if revision, err = c.allInTurn(ctx, b, carrier, revision, instances); err != nil {
 			return err
 		}
@@ -125,13 +125,13 @@
 
 // changes brings some changes, one after the other, and measures the time until each is in force at all instances
 // from the first one named on. It returns the last revision and the longest time, in seconds.
-func (Configuration) changes(ctx context.Context, b *Bench, carrier Carrier, figure string, revision uint64,
+func (Configuration) changes(ctx context.Context, b *Bench, carrier Distributor, figure string, revision uint64,
 	asked span) (uint64, float64, error) {
 	slowest := 0.0
 	for range pick(b, 5, 20) {
 		revision++
 		began := time.Now()
-		if err := carrier.Bring(ctx, revision); err != nil {
+		if err := carrier.Distribute(ctx, revision); err != nil {
 			return revision, 0, err
 		}
 		if err := awaitRevision(ctx, carrier, revision, asked.first, asked.instances); err != nil {
@@ -146,28 +146,28 @@
 
 // allInTurn measures the time until a change is in force at as many instances as there are to be dispatchers: by so
 // many rounds over those that run that as many calls are made, one after the other.
-func (Configuration) allInTurn(ctx context.Context, b *Bench, carrier Carrier, revision uint64,
+func (Configuration) allInTurn(ctx context.Context, b *Bench, carrier Distributor, revision uint64,
 	instances int) (uint64, error) {
 	began := time.Now()
 	for range sizeDispatchers / instances {
 		revision++
-		if err := carrier.Bring(ctx, revision); err != nil {
+		if err := carrier.Distribute(ctx, revision); err != nil {
 			return revision, err
 		}
 	}
-	b.Check(Bar{What: fmt.Sprintf("%s: time for %d instances on one machine, in rounds over %d, none frozen",
+	b.AddBound(Bound{Name: fmt.Sprintf("%s: time for %d instances on one machine, in rounds over %d, none frozen",
 		carrier.Name(),
-		sizeDispatchers, instances), Value: time.Since(began).Seconds(), Most: mostInForce, Unit: "s", Timed: true})
+		sizeDispatchers, instances), Value: time.Since(began).Seconds(), Max: mostInForce, Unit: "s", IsWallClock: true})
 	return revision, awaitRevision(ctx, carrier, revision, 0, instances)
 }
 
 // awaitRevision waits until all instances from the first one named on hold a revision.
-func awaitRevision(ctx context.Context, carrier Carrier, revision uint64, first, instances int) error {
+func awaitRevision(ctx context.Context, carrier Distributor, revision uint64, first, instances int) error {
 	ctx, cancel := context.WithTimeout(ctx, loading)
 	defer cancel()
 	for i := first; i < instances; i++ {
 		for {
-			held, err := carrier.Holds(ctx, i)
+			held, err := carrier.Revision(ctx, i)
 			if err == nil && held >= revision {
 				break
 			}
@@ -181,7 +181,7 @@
 
 // frozen freezes the first instance and measures what the others get meanwhile; where none lacks the change, further
 // ones follow, and then the time until the first has what it missed after it is woken.
-func (c Configuration) frozen(ctx context.Context, b *Bench, carrier Carrier, revision uint64, instances int) error {
+func (c Configuration) frozen(ctx context.Context, b *Bench, carrier Distributor, revision uint64, instances int) error {
 	if err := carrier.Process(0).Freeze(); err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	b.Check(Bar{What: fmt.Sprintf("%s: reachable instances, of %d, without the change after 4 s while one is frozen",
+	b.AddBound(Bound{Name: fmt.Sprintf("%s: reachable instances, of %d, without the change after 4 s while one is frozen",
 		carrier.Name(), instances-1), Value: float64(lacking)})
 	if lacking > 0 {
 		return nil
@@ -200,8 +200,8 @@
 	if err != nil {
 		return err
 	}
-	b.Check(Bar{What: fmt.Sprintf("%s: slowest change at the others of %d instances while one is frozen",
-		carrier.Name(), instances), Value: slowest, Most: mostInForce, Unit: "s", Timed: true})
+	b.AddBound(Bound{Name: fmt.Sprintf("%s: slowest change at the others of %d instances while one is frozen",
+		carrier.Name(), instances), Value: slowest, Max: mostInForce, Unit: "s", IsWallClock: true})
 	if err := carrier.Process(0).Thaw(); err != nil {
 		return err
 	}
@@ -216,11 +216,11 @@
 
 // lackingAfterLimit brings a change and counts the instances, all but the first, that lack it when it should be in
 // force.
-func lackingAfterLimit(ctx context.Context, carrier Carrier, revision uint64, instances int) (lacking int, err error) {
+func lackingAfterLimit(ctx context.Context, carrier Distributor, revision uint64, instances int) (lacking int, err error) {
 	began := time.Now()
 	bringing, cancel := context.WithCancel(ctx)
 	brought := make(chan error, 1)
-	go func() { brought <- carrier.Bring(bringing, revision) }()
+	go func() { brought <- carrier.Distribute(bringing, revision) }()
 	defer func() { // who brings it must have ended when the carrier is closed
 		cancel()
 		<-brought
@@ -230,7 +230,7 @@
 	}
 	for i := 1; i < instances; i++ {
 		asking, cancel := context.WithTimeout(ctx, askLimit)
-		if held, err := carrier.Holds(asking, i); err != nil || held < revision {
+		if held, err := carrier.Revision(asking, i); err != nil || held < revision {
 			lacking++
 		}
 		cancel()
@@ -248,8 +248,8 @@
 // Name implements Carrier.
 func (s *SerialApply) Name() string { return "one Apply after the other" }
 
-// InTurn implements Carrier.
-func (s *SerialApply) InTurn() bool { return true }
+// IsSequential implements Carrier.
+func (s *SerialApply) IsSequential() bool { return true }
 
 // Sizes implements Carrier.
 func (s *SerialApply) Sizes(bool) []int { return []int{1, 2, 3, 4, realCount} }
@@ -259,7 +259,7 @@
 	if s.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	s.list.Set()
+	s.list.Update()
 	for i := range instances {
 		a, err := program.StartAgent(b.Agent, dir, fmt.Sprintf("agent-%d", i), s.list.Address())
 		if err != nil {
@@ -270,8 +270,8 @@
 	return nil
 }
 
-// Bring implements Carrier.
-func (s *SerialApply) Bring(ctx context.Context, n uint64) (faults error) {
+// Distribute implements Carrier.
+func (s *SerialApply) Distribute(ctx context.Context, n uint64) (faults error) {
 	for i, a := range s.agents {
 		if err := s.apply(ctx, a, n); err != nil {
 			faults = errors.Join(faults, fmt.Errorf("agent %d: %w", i, err))
@@ -292,8 +292,8 @@
 	return err
 }
 
-// Holds implements Carrier.
-func (s *SerialApply) Holds(ctx context.Context, instance int) (uint64, error) {
+// Revision implements Carrier.
+func (s *SerialApply) Revision(ctx context.Context, instance int) (uint64, error) {
 	now, err := s.agents[instance].API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 	if err != nil {
 		return 0, err
--- a/internal/lab/scale/dispatchers.go
+++ b/internal/lab/scale/dispatchers.go
@@ -27,19 +27,19 @@
 }
 
 func measureDispatchers(ctx context.Context, b *Bench, n int) error {
-	in, err := b.start(ctx, Setup{Workers: smallFleet, Dispatchers: n, Real: realCount, Hollow: n - realCount,
+	in, err := b.start(ctx, Setup{Workers: smallFleet, Dispatchers: n, Real: realCount, Simulated: n - realCount,
 		PerProcess: 5, Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	length := pick(b, time.Second, 4*time.Second)
-	quiet, err := in.Watch(ctx, length, 0, nil)
+	quiet, err := in.MeasureWindow(ctx, length, 0, nil)
 	if err != nil {
 		return err
 	}
 	b.addQuiet(quiet, axisDispatchers, float64(n))
-	restarts, err := in.Watch(ctx, length, changeRate, in.restartAll(ctx))
+	restarts, err := in.MeasureWindow(ctx, length, changeRate, in.restartAll(ctx))
 	if err != nil {
 		return err
 	}
@@ -47,12 +47,12 @@
 	b.Add("bytes that discovery sends all dispatchers, at 10 changes a second", axisDispatchers, "kB/s", "all",
 		float64(n),
 		(restarts.Traffic[realKind].FromDiscovery*float64(len(in.real))+
-			restarts.Traffic[hollowKind].FromDiscovery*float64(in.setup.Hollow))/1e3)
+			restarts.Traffic[hollowKind].FromDiscovery*float64(in.setup.Simulated))/1e3)
 	return nil
 }
 
-// Changes measures dispatchers over the rate at which workers change.
-type Changes struct{}
+// ChangeRates measures dispatchers over the rate at which workers change.
+type ChangeRates struct{}
 
 const (
 	figureChangesCPU   = "processor time while workers change"
@@ -60,20 +60,20 @@
 )
 
 // Name implements Measurement.
-func (Changes) Name() string { return "dispatchers over changes a second" }
+func (ChangeRates) Name() string { return "dispatchers over changes a second" }
 
 // Measure implements Measurement.
-func (Changes) Measure(ctx context.Context, b *Bench) error {
+func (ChangeRates) Measure(ctx context.Context, b *Bench) error {
 	in, err := b.start(ctx, Setup{Workers: someFleet, Dispatchers: sizeDispatchers, Real: realCount,
-		Hollow:     pick(b, 12, 40),
+		Simulated:  pick(b, 12, 40),
 		PerProcess: pick(b, 6, 10), Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	for _, rate := range []float64{0, 2, 5, 10, 20, 40} {
-		w, err := in.Watch(ctx, pick(b, time.Second, 4*time.Second), rate,
-			func() error { in.Restart(); return nil })
+		w, err := in.MeasureWindow(ctx, pick(b, time.Second, 4*time.Second), rate,
+			func() error { in.RestartWorker(); return nil })
 		if err != nil {
 			return err
 		}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -21,19 +21,19 @@
 
 // The models. All have an intercept, so that they differ in their curve alone.
 const (
-	Linear Model = "linear"  // y = a + b x
-	NLogN  Model = "n log n" // y = a + b x log2 x
-	Square Model = "n^2"     // y = a + b x^2
+	Linear    Model = "linear"  // y = a + b x
+	NLogN     Model = "n log n" // y = a + b x log2 x
+	Quadratic Model = "n^2"     // y = a + b x^2
 )
 
 // models are all of them, the slowest growth first: of equally likely ones it counts.
-var models = []Model{Linear, NLogN, Square}
+var models = []Model{Linear, NLogN, Quadratic}
 
 func (m Model) transform(x float64) float64 {
 	switch {
 	case m == NLogN && x > 0:
 		return x * math.Log2(x)
-	case m == Square:
+	case m == Quadratic:
 		return x * x
 	}
 	return x
@@ -47,7 +47,7 @@
 	Slope     float64 `json:"slope"`
 	Low       float64 `json:"slope_low"` // the 95% confidence interval of the slope
 	High      float64 `json:"slope_high"`
-	Places    int     `json:"places"` // different values of X
+	DistinctX int     `json:"places"` // different values of X
 	Points    int     `json:"points"`
 	Spread    float64 `json:"spread"` // standard deviation of the residuals, in the unit of Y at the largest X
 }
@@ -97,7 +97,7 @@
 	if against == none { // nothing speaks for a curve
 		best = line
 	}
-	best.Places, best.Rejected = len(places), against
+	best.DistinctX, best.Rejected = len(places), against
 	return best, nil
 }
 
@@ -164,12 +164,12 @@
 // At is the fitted value at a place of the axis.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*f.Model.transform(x) }
 
-// Flat tells whether the points do not show that the figure depends on the axis at all.
-func (f Fit) Flat() bool { return f.Low <= 0 && f.High >= 0 }
+// IsFlat tells whether the points do not show that the figure depends on the axis at all.
+func (f Fit) IsFlat() bool { return f.Low <= 0 && f.High >= 0 }
 
 // name is the model for a reader: "flat" where the slope may as well be none.
 func (f Fit) name() string {
-	if f.Flat() {
+	if f.IsFlat() {
 		return "flat"
 	}
 	return string(f.Model)
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -24,7 +24,7 @@
 // Lines, n log n curves and parabolas are told apart, with the slope that was planted within the interval: of so many
 // fits about one in twenty may miss.
 func TestModelsAreToldApart(t *testing.T) {
-	for _, model := range []Model{Linear, NLogN, Square} {
+	for _, model := range []Model{Linear, NLogN, Quadratic} {
 		const fits = 100
 		found, alone, within := 0, 0, 0
 		for seed := range uint64(fits) {
@@ -64,10 +64,10 @@
 	for seed := range uint64(100) {
 		f, err := Regress(planted(Linear, 30, 0, 0.05, seed))
 		require.NoError(t, err)
-		if f.Flat() {
+		if f.IsFlat() {
 			flat++
 		}
-		if f, err = Regress(planted(Linear, 30, 0.01, 0.05, seed)); err == nil && !f.Flat() {
+		if f, err = Regress(planted(Linear, 30, 0.01, 0.05, seed)); err == nil && !f.IsFlat() {
 			growing++
 		}
 	}
@@ -89,5 +89,5 @@
 	require.ErrorContains(t, err, "no number")
 	f, err = Regress([]Point{{1, 0}, {2, 0}, {3, 0}, {4, 0}, {5, 0}})
 	require.NoError(t, err)
-	require.True(t, f.Flat())
+	require.True(t, f.IsFlat())
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -22,29 +22,29 @@
 	"topazfall/internal/upstream"
 )
 
-// HollowSpec says which hollow dispatchers a process holds. A hollow dispatcher has the decision module, its
+// SimulatedSpec says which hollow dispatchers a process holds. A hollow dispatcher has the decision module, its
 // goroutine, the watch of discovery, the side towards workers and the datagrams of the others, all as the program has
 // them; it listens for no clients, and gets no requests.
-type HollowSpec struct {
-	Settings    jsoniter.RawMessage `json:"settings"` // as the program's configuration has them
-	Dispatchers []HollowDispatcher  `json:"dispatchers"`
-	Words       string              `json:"words"` // address that datagrams of other dispatchers come from
+type SimulatedSpec struct {
+	Settings     jsoniter.RawMessage       `json:"settings"` // as the program's configuration has them
+	Dispatchers  []SimulatedDispatcherSpec `json:"dispatchers"`
+	GossipSource string                    `json:"words"` // address that datagrams of other dispatchers come from
 }
 
-// HollowDispatcher is one of them.
-type HollowDispatcher struct {
+// SimulatedDispatcherSpec is one of them.
+type SimulatedDispatcherSpec struct {
 	Number    int    `json:"number"` // among all dispatchers
 	Discovery string `json:"discovery"`
 	Listen    string `json:"listen"` // for datagrams
 }
 
-// HollowStatus is what the hollow dispatchers of a process have taken so far.
-type HollowStatus struct {
-	LeastWorkers int64 `json:"least_workers"` // that one of them knows
-	MostWorkers  int64 `json:"most_workers"`
-	Entries      int64 `json:"entries"` // of lists and changes, over all of them
-	Words        int64 `json:"words"`   // datagrams heard, over all of them
-	Dropped      int64 `json:"dropped"` // and of these without use
+// SimulatedStatus is what the hollow dispatchers of a process have taken so far.
+type SimulatedStatus struct {
+	MinWorkers     int64 `json:"least_workers"` // that one of them knows
+	MaxWorkers     int64 `json:"most_workers"`
+	Entries        int64 `json:"entries"` // of lists and changes, over all of them
+	GossipMessages int64 `json:"words"`   // datagrams heard, over all of them
+	Dropped        int64 `json:"dropped"` // and of these without use
 }
 
 const (
@@ -56,21 +56,21 @@
 )
 
 // hollowDispatcher is a running one. As a lister it counts what the watch tells, and hands it on.
-type hollowDispatcher struct {
+type simulatedDispatcher struct {
 	core    *dispatch.Core
 	counts  *metrics.Metrics
 	entries atomic.Int64
 }
 
 // List implements discovery.Lister.
-func (h *hollowDispatcher) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+func (h *simulatedDispatcher) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	h.entries.Add(int64(len(entries)))
 	h.core.ApplyList(kind, entries)
 }
 
-func startHollow(settings topazfall.Settings, d HollowDispatcher, words string) (*hollowDispatcher, error) {
+func startHollow(settings topazfall.Settings, d SimulatedDispatcherSpec, words string) (*simulatedDispatcher, error) {
 	settings.Me, settings.Seed = d.Number, settings.Seed+uint64(d.Number)
-	h := &hollowDispatcher{counts: &metrics.Metrics{}}
+	h := &simulatedDispatcher{counts: &metrics.Metrics{}}
 	core, err := dispatch.New(settings, h.counts)
 	if err != nil {
 		return nil, err
@@ -93,15 +93,15 @@
 	return h, nil
 }
 
-// ServeHollow runs the hollow dispatchers that the first line of in asks for, and answers each further line with
+// ServeSimulated runs the hollow dispatchers that the first line of in asks for, and answers each further line with
 // their status, until in ends.
-func ServeHollow(in io.Reader, out io.Writer) error {
+func ServeSimulated(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("hollow dispatchers: %w", err)
 	}
-	var spec HollowSpec
+	var spec SimulatedSpec
 	if err := jsoniter.Unmarshal(first, &spec); err != nil {
 		return fmt.Errorf("hollow dispatchers: %w", err)
 	}
@@ -112,9 +112,9 @@
 	if err != nil {
 		return fmt.Errorf("hollow dispatchers: %w", err)
 	}
-	all := make([]*hollowDispatcher, len(spec.Dispatchers))
+	all := make([]*simulatedDispatcher, len(spec.Dispatchers))
 	for i, d := range spec.Dispatchers {
-		if all[i], err = startHollow(settings, d, spec.Words); err != nil {
+		if all[i], err = startHollow(settings, d, spec.GossipSource); err != nil {
 			return fmt.Errorf("hollow dispatcher %d: %w", d.Number, err)
 		}
 	}
@@ -128,13 +128,13 @@
 	}
 }
 
-func statusOf(all []*hollowDispatcher) (s HollowStatus) {
-	s.LeastWorkers = 1 << 62
+func statusOf(all []*simulatedDispatcher) (s SimulatedStatus) {
+	s.MinWorkers = 1 << 62
 	for _, h := range all {
 		known := h.counts.Discovered.Load()
-		s.LeastWorkers, s.MostWorkers = min(s.LeastWorkers, known), max(s.MostWorkers, known)
+		s.MinWorkers, s.MaxWorkers = min(s.MinWorkers, known), max(s.MaxWorkers, known)
 		s.Entries += h.entries.Load()
-		s.Words += h.counts.PeerMessages.Load()
+		s.GossipMessages += h.counts.PeerMessages.Load()
 		s.Dropped += h.counts.PeerMessagesDropped.Load()
 	}
 	return s
@@ -151,7 +151,7 @@
 }
 
 // startHollowProcess starts the command, which must lead to ServeHollow.
-func startHollowProcess(command []string, spec HollowSpec) (*hollowProcess, error) {
+func startHollowProcess(command []string, spec SimulatedSpec) (*hollowProcess, error) {
 	text, err := jsoniter.Marshal(spec)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 }
 
 // status asks the process what its dispatchers have taken.
-func (p *hollowProcess) status() (s HollowStatus, err error) {
+func (p *hollowProcess) status() (s SimulatedStatus, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, err := p.in.Write([]byte("\n")); err != nil {
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -20,7 +20,7 @@
 	Workers     int
 	Dispatchers int // that share the fleet, by the settings; those that do not run are as quiet as hollow ones
 	Real        int // processes of the program
-	Hollow      int // hollow dispatchers
+	Simulated   int // hollow dispatchers
 	PerProcess  int // of these in one process
 	Teams       int
 	LiveWeights bool
@@ -29,8 +29,8 @@
 
 // Programs are what an installation is started from.
 type Programs struct {
-	Dispatcher string   // path of the program
-	Hollow     []string // command that leads to ServeHollow
+	Dispatcher       string   // path of the program
+	SimulatedCommand []string // command that leads to ServeHollow
 }
 
 const (
@@ -48,7 +48,7 @@
 	setup   Setup
 	dir     string
 	list    *discoveryserver.Server
-	doors   map[kind][]*discoveryserver.Entrance // by region
+	doors   map[kind][]*discoveryserver.Endpoint // by region
 	real    []*program.Process
 	hollow  []*hollowProcess
 	words   *wordSource
@@ -72,7 +72,7 @@
 		list[i] = discoveryserver.Entry{Host: fmt.Sprintf("worker-%05d.region-%d", i, region),
 			Dial: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Site: fmt.Sprintf("region-%d%c",
 				region, 'a'+rune(zone)),
-			Class: "small", Block: i / rackOf, Health: "up", Share: cores, Born: now.Add(-time.Hour).UnixMilli()}
+			Class: "small", Block: i / rackOf, Health: "up", Share: cores, StartedMillis: now.Add(-time.Hour).UnixMilli()}
 	}
 	return list
 }
@@ -111,7 +111,7 @@
 func Start(ctx context.Context, programs Programs, setup Setup, seed uint64) (in *Installation, err error) {
 	in = &Installation{setup: setup, chance: rand.New(rand.NewPCG(seed, uint64(setup.Workers))),
 		entries: Fleet(setup.Workers, time.Now()),
-		doors:   map[kind][]*discoveryserver.Entrance{}}
+		doors:   map[kind][]*discoveryserver.Endpoint{}}
 	defer func() {
 		if err != nil {
 			in.Close()
@@ -128,10 +128,10 @@
 			in.entries[i].Health = "draining"
 		}
 	}
-	in.list.Set(in.entries...)
+	in.list.Update(in.entries...)
 	for _, k := range []kind{realKind, hollowKind} {
 		for range regions {
-			door, err := in.list.Entrance()
+			door, err := in.list.AddEndpoint()
 			if err != nil {
 				return nil, err
 			}
@@ -146,13 +146,13 @@
 			return nil, err
 		}
 	}
-	for first := setup.Real; first < setup.Real+setup.Hollow; first += setup.PerProcess {
-		if err := in.startHollow(programs.Hollow, first, min(setup.PerProcess,
-			setup.Real+setup.Hollow-first)); err != nil {
+	for first := setup.Real; first < setup.Real+setup.Simulated; first += setup.PerProcess {
+		if err := in.startHollow(programs.SimulatedCommand, first, min(setup.PerProcess,
+			setup.Real+setup.Simulated-first)); err != nil {
 			return nil, err
 		}
 	}
-	if err := in.Await(ctx, setup.Workers, loading); err != nil {
+	if err := in.AwaitWorkers(ctx, setup.Workers, loading); err != nil {
 		return nil, err
 	}
 	return in, sleep(ctx, settle)
@@ -166,8 +166,8 @@
 
 func (in *Installation) startReal(path string, number int) error {
 	listen := wordAddress(number)
-	p, err := program.Start(program.Options{Path: path, Dir: in.dir, Name: fmt.Sprintf("n%d", number),
-		Discovery: in.doors[realKind][number%regions].Address(), Change: func(config map[string]any) {
+	p, err := program.Start(program.Options{ProgramPath: path, Dir: in.dir, Name: fmt.Sprintf("n%d", number),
+		Discovery: in.doors[realKind][number%regions].Address(), EditConfig: func(config map[string]any) {
 			in.setup.settingsFor(config["settings"].(map[string]any), number)
 			config["peer_listen"], config["peers"], config["peers_all"] = listen, []string{in.words.address()},
 				in.words.address()
@@ -187,10 +187,10 @@
 	if err != nil {
 		return err
 	}
-	spec := HollowSpec{Settings: text, Words: in.words.address()}
+	spec := SimulatedSpec{Settings: text, GossipSource: in.words.address()}
 	for number := first; number < first+count; number++ {
 		listen := wordAddress(number)
-		spec.Dispatchers = append(spec.Dispatchers, HollowDispatcher{Number: number, Listen: listen,
+		spec.Dispatchers = append(spec.Dispatchers, SimulatedDispatcherSpec{Number: number, Listen: listen,
 			Discovery: in.doors[hollowKind][number%regions].Address()})
 		in.words.to = append(in.words.to, netip.MustParseAddrPort(listen))
 	}
@@ -224,8 +224,8 @@
 	os.RemoveAll(in.dir)
 }
 
-// Await waits until all dispatchers know so many workers.
-func (in *Installation) Await(ctx context.Context, workers int, limit time.Duration) error {
+// AwaitWorkers waits until all dispatchers know so many workers.
+func (in *Installation) AwaitWorkers(ctx context.Context, workers int, limit time.Duration) error {
 	for end := time.Now().Add(limit); ; {
 		least, most, err := in.known()
 		if err != nil {
@@ -247,7 +247,7 @@
 func (in *Installation) known() (least, most int, err error) {
 	least = 1 << 62
 	for _, p := range in.real {
-		figures, err := p.Figures()
+		figures, err := p.Metrics()
 		if err != nil {
 			return 0, 0, err
 		}
@@ -262,43 +262,43 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		least, most = min(least, int(s.LeastWorkers)), max(most, int(s.MostWorkers))
+		least, most = min(least, int(s.MinWorkers)), max(most, int(s.MaxWorkers))
 	}
 	return least, most, nil
 }
 
-// Restart changes one worker that chance names, as when it is restarted: one that is up drains, one that drains comes
+// RestartWorker changes one worker that chance names, as when it is restarted: one that is up drains, one that drains comes
 // back.
-func (in *Installation) Restart() {
+func (in *Installation) RestartWorker() {
 	e := &in.entries[in.chance.IntN(len(in.entries))]
 	if e.Health == "up" {
 		e.Health = "draining"
 	} else {
-		e.Health, e.Born = "up", time.Now().UnixMilli()
+		e.Health, e.StartedMillis = "up", time.Now().UnixMilli()
 	}
-	in.list.Set(*e)
+	in.list.Update(*e)
 }
 
-// Touch gives one worker that chance names a new weight, and leaves its state.
-func (in *Installation) Touch() {
+// ReweightWorker gives one worker that chance names a new weight, and leaves its state.
+func (in *Installation) ReweightWorker() {
 	e := &in.entries[in.chance.IntN(len(in.entries))]
 	e.Share = in.weight()
-	in.list.Set(*e)
+	in.list.Update(*e)
 }
 
 // weight is a live weight of a worker.
 func (in *Installation) weight() float64 { return cores / (1 + float64(in.chance.IntN(2*cores))/cores) }
 
-// Reweigh gives all workers new live weights, as one change.
-func (in *Installation) Reweigh() {
+// ReweightAll gives all workers new live weights, as one change.
+func (in *Installation) ReweightAll() {
 	for i := range in.entries {
 		in.entries[i].Share = in.weight()
 	}
-	in.list.Set(in.entries...)
+	in.list.Update(in.entries...)
 }
 
-// Say sends every dispatcher a word about a worker that chance names.
-func (in *Installation) Say() error {
+// SendGossip sends every dispatcher a word about a worker that chance names.
+func (in *Installation) SendGossip() error {
 	return in.words.say(in.entries[in.chance.IntN(len(in.entries))].Host)
 }
 
--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -21,7 +21,7 @@
 	case "dispatcher":
 		instance.Run(nil)
 	case "hollow":
-		ServeHollow(os.Stdin, os.Stdout)
+		ServeSimulated(os.Stdin, os.Stdout)
 	case "agent":
 		if playAgent() != nil {
 			os.Exit(1)
@@ -33,7 +33,7 @@
 
 // programs are this test's own binary in both parts.
 func programs() Programs {
-	return Programs{Dispatcher: os.Args[0], Hollow: []string{"/usr/bin/env", playing + "=hollow", os.Args[0]}}
+	return Programs{Dispatcher: os.Args[0], SimulatedCommand: []string{"/usr/bin/env", playing + "=hollow", os.Args[0]}}
 }
 
 // Hollow dispatchers and real ones take every change once; what they used is counted for each of them.
@@ -41,7 +41,7 @@
 	t.Setenv(playing, "dispatcher") // for the program; hollow processes have their own
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	in, err := Start(ctx, programs(), Setup{Workers: 40, Dispatchers: 8, Real: 2, Hollow: 6, PerProcess: 3,
+	in, err := Start(ctx, programs(), Setup{Workers: 40, Dispatchers: 8, Real: 2, Simulated: 6, PerProcess: 3,
 		Teams: 6}, 1)
 	require.NoError(t, err)
 	defer in.Close()
@@ -49,12 +49,12 @@
 	require.Len(t, in.hollow, 2)
 
 	changed := 0
-	w, err := in.Watch(ctx, time.Second, 20, func() error { // each another worker: discovery tells a change once
+	w, err := in.MeasureWindow(ctx, time.Second, 20, func() error { // each another worker: discovery tells a change once
 		e := in.entries[changed]
 		changed++
 		e.Health = "draining"
-		in.list.Set(e)
-		return in.Say()
+		in.list.Update(e)
+		return in.SendGossip()
 	})
 	require.NoError(t, err)
 	require.Equal(t, 20, w.Events)
@@ -64,8 +64,8 @@
 		require.Positive(t, u.Resident, u.Kind)
 	}
 	for _, h := range in.hollow { // the list once, and each change
-		want := HollowStatus{LeastWorkers: 40, MostWorkers: 40, Entries: 3 * (40 + 20),
-			Words: 3 * 20}
+		want := SimulatedStatus{MinWorkers: 40, MaxWorkers: 40, Entries: 3 * (40 + 20),
+			GossipMessages: 3 * 20}
 		require.EventuallyWithT(t, func(c *assert.CollectT) { // a busy machine may take some after the window
 			s, err := h.status()
 			assert.NoError(c, err)
@@ -82,11 +82,11 @@
 	// The text of an entry has 110 to 150 bytes; answers have a head, and come once a second at least.
 	for k, sent := range in.traffic() {
 		const entries, answers = 40 + 20, 1 + 20 + 60
-		require.Greater(t, sent.Out/int64(in.count(k)), int64(entries*110), k)
-		require.Less(t, sent.Out/int64(in.count(k)), int64(entries*150+answers*200), k)
+		require.Greater(t, sent.BytesOut/int64(in.count(k)), int64(entries*110), k)
+		require.Less(t, sent.BytesOut/int64(in.count(k)), int64(entries*150+answers*200), k)
 	}
 	for _, r := range in.real {
-		f, err := r.Figures()
+		f, err := r.Metrics()
 		require.NoError(t, err)
 		require.EqualValues(t, 40, f["app_discovered"])
 	}
@@ -96,7 +96,7 @@
 func TestServeHollowRefuses(t *testing.T) {
 	for _, text := range []string{"", "{", `{"dispatchers":[]}` + "\n",
 		`{"settings":{},"dispatchers":[{"number":0}]}` + "\n"} {
-		require.Error(t, ServeHollow(strings.NewReader(text), os.Stderr), text)
+		require.Error(t, ServeSimulated(strings.NewReader(text), os.Stderr), text)
 	}
 }
 
--- a/internal/lab/scale/losses.go
+++ b/internal/lab/scale/losses.go
@@ -14,9 +14,9 @@
 	"topazfall/internal/lab/program"
 )
 
-// Losses measures what the loss of many workers at once costs: the list's part of it over the number that is lost,
+// WorkerLosses measures what the loss of many workers at once costs: the list's part of it over the number that is lost,
 // and what clients see while a part of those that serve is dead and still listed.
-type Losses struct{}
+type WorkerLosses struct{}
 
 const (
 	figureLossTime  = "time until all know that workers are lost"
@@ -34,10 +34,10 @@
 )
 
 // Name implements Measurement.
-func (Losses) Name() string { return "loss of workers at once" }
+func (WorkerLosses) Name() string { return "loss of workers at once" }
 
 // Measure implements Measurement.
-func (l Losses) Measure(ctx context.Context, b *Bench) error {
+func (l WorkerLosses) Measure(ctx context.Context, b *Bench) error {
 	if err := l.listed(ctx, b); err != nil {
 		return err
 	}
@@ -45,16 +45,16 @@
 }
 
 // listed measures what the news of a loss costs each dispatcher.
-func (Losses) listed(ctx context.Context, b *Bench) error {
+func (WorkerLosses) listed(ctx context.Context, b *Bench) error {
 	in, err := b.start(ctx, Setup{Workers: sizeWorkers, Dispatchers: sizeDispatchers, Real: realCount,
-		Hollow:     pick(b, 12, 40),
+		Simulated:  pick(b, 12, 40),
 		PerProcess: pick(b, 6, 10), Teams: sizeTeams})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	length := pick(b, time.Second, 3*time.Second)
-	quiet, err := in.Watch(ctx, 2*length, 0, nil)
+	quiet, err := in.MeasureWindow(ctx, 2*length, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -64,10 +64,10 @@
 			gone[i].Health = "removed"
 		}
 		var known time.Duration
-		w, err := in.Watch(ctx, length, 1/length.Seconds(), func() error {
+		w, err := in.MeasureWindow(ctx, length, 1/length.Seconds(), func() error {
 			began := time.Now()
-			in.list.Set(gone...)
-			err := in.Await(ctx, sizeWorkers-lost, loading)
+			in.list.Update(gone...)
+			err := in.AwaitWorkers(ctx, sizeWorkers-lost, loading)
 			known = time.Since(began)
 			return err
 		})
@@ -76,8 +76,8 @@
 		}
 		b.Add(figureLossTime, axisLost, "s", "all", float64(lost), known.Seconds())
 		b.addEvents(figureLossCPU, figureLossBytes, axisLost, float64(lost), quiet, w)
-		in.list.Set(in.entries[:lost]...)
-		if err := in.Await(ctx, sizeWorkers, loading); err != nil {
+		in.list.Update(in.entries[:lost]...)
+		if err := in.AwaitWorkers(ctx, sizeWorkers, loading); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 
 // served measures what clients see while a part of the workers is dead: they refuse connections, and are taken off
 // the list some time later.
-func (l Losses) served(ctx context.Context, b *Bench) error {
+func (l WorkerLosses) served(ctx context.Context, b *Bench) error {
 	for _, d := range pick(b, deaths[len(deaths)-1:], deaths) {
 		s, err := startServing(ctx, b)
 		if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (Losses) die(ctx context.Context, b *Bench, s *serving, dead int) error {
+func (WorkerLosses) die(ctx context.Context, b *Bench, s *serving, dead int) error {
 	deathAt := pick(b, time.Second, 2*time.Second)
 	killing := time.AfterFunc(deathAt, func() { s.kill(dead) })
 	defer killing.Stop()
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	for i := range servingWorkers {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("serving-%02d", i), Work: workTime}, s.backOf(i),
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("serving-%02d", i), JobDuration: workTime}, s.backOf(i),
 			"127.0.0.1:0")
 		if err != nil {
 			s.close()
@@ -166,8 +166,8 @@
 			Site: s.in.entries[i].Site, Class: "small",
 			Share: cores})
 	}
-	s.in.list.Set(s.entries...)
-	if err := s.in.Await(ctx, sizeWorkers, loading); err != nil {
+	s.in.list.Update(s.entries...)
+	if err := s.in.AwaitWorkers(ctx, sizeWorkers, loading); err != nil {
 		s.close()
 		return nil, err
 	}
@@ -195,7 +195,7 @@
 func (s *serving) kill(n int) {
 	s.dead.Store(int64(n))
 	for _, h := range s.workers[:n] {
-		h.Set(0, host.Refuse)
+		h.SetFault(0, host.Refuse)
 	}
 }
 
@@ -203,7 +203,7 @@
 func (s *serving) unlist(n int) {
 	for _, e := range s.entries[:n] {
 		e.Health = "removed"
-		s.in.list.Set(e)
+		s.in.list.Update(e)
 	}
 }
 
@@ -227,7 +227,7 @@
 	began, n := time.Now(), 0
 	_, err = drive(ctx, length, rate, func() error {
 		if n%int(max(rate/changeRate, 1)) == 0 {
-			s.in.Touch()
+			s.in.ReweightWorker()
 		}
 		c, due := clients[n%len(clients)], time.Now()
 		n++
@@ -246,7 +246,7 @@
 func (s *serving) ask(c *client.Client, began, due time.Time) answer {
 	id := c.NextID()
 	got := c.Do(client.Message{ID: id, Class: program.Classes[0], Tenant: "team-000", Body: []byte("{}"),
-		Wait: urgentWait, Hint: workTime})
+		Timeout: urgentWait, Hint: workTime})
 	a := answer{due: due.Sub(began), status: got.Status, took: time.Since(due)}
 	if at, ok := startOf(s.workers, id); ok {
 		a.start, a.begun = at.Sub(due), true
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -36,5 +36,5 @@
 func hollowWithin(room float64, s Setup) int {
 	list := float64(s.Workers) * workerMemory
 	room -= float64(s.Real) * (realBaseMemory + list)
-	return min(s.Hollow, max(int(room/(baseMemory+list)), 0))
+	return min(s.Simulated, max(int(room/(baseMemory+list)), 0))
 }
--- a/internal/lab/scale/model.go
+++ b/internal/lab/scale/model.go
@@ -33,16 +33,16 @@
 	}
 	const toSeconds, toPercent = 1e-6, 100
 	b.Add(figureModelForce, axisDispatchers, "s", fromModel, sizeDispatchers, float64(day.P999)*toSeconds)
-	b.Check(Bar{What: "model, 300 dispatchers: " + figureModelForce, Value: float64(day.P999) * toSeconds,
-		Most: mostInForce, Unit: "s"})
-	b.Check(Bar{What: "model, 300 dispatchers: reachable dispatchers and changes later than 4 s",
-		Value: (1 - day.Within4s) * toPercent, Most: 0.1, Unit: "%"})
+	b.AddBound(Bound{Name: "model, 300 dispatchers: " + figureModelForce, Value: float64(day.P999) * toSeconds,
+		Max: mostInForce, Unit: "s"})
+	b.AddBound(Bound{Name: "model, 300 dispatchers: reachable dispatchers and changes later than 4 s",
+		Value: (1 - day.Within4s) * toPercent, Max: 0.1, Unit: "%"})
 	quiet, err := play(b, scenarioQuiet)
 	if err != nil {
 		return err
 	}
 	b.Add(figureModelBytes, axisDispatchers, "B/s", fromModel, sizeDispatchers, quiet.MeanBytes)
-	b.Check(Bar{What: "model, 300 dispatchers: " + figureModelBytes, Value: quiet.MeanBytes, Most: mostBytes,
+	b.AddBound(Bound{Name: "model, 300 dispatchers: " + figureModelBytes, Value: quiet.MeanBytes, Max: mostBytes,
 		Unit: "B/s"})
 	return ctx.Err()
 }
@@ -53,5 +53,5 @@
 	if i < 0 {
 		return configmodel.Result{}, fmt.Errorf("the model has no scenario %q", name)
 	}
-	return configmodel.Play(all[i], sizeDispatchers, b.Seed)
+	return configmodel.RunScenario(all[i], sizeDispatchers, b.Seed)
 }
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -15,11 +15,11 @@
 	"topazfall/internal/lab/program"
 )
 
-// Module measures the decision module alone: processor time for each event over workers and over teams.
-type Module struct{}
+// DecisionModule measures the decision module alone: processor time for each event over workers and over teams.
+type DecisionModule struct{}
 
 // Name implements Measurement.
-func (Module) Name() string { return "decision module alone" }
+func (DecisionModule) Name() string { return "decision module alone" }
 
 // Figures of the module.
 const (
@@ -51,7 +51,7 @@
 )
 
 // Measure implements Measurement.
-func (m Module) Measure(ctx context.Context, b *Bench) error {
+func (m DecisionModule) Measure(ctx context.Context, b *Bench) error {
 	for _, workers := range pick(b, []int{200, 800, 1600, 3000, sizeWorkers}, []int{200, 500, 1000, 2000, 3500,
 		sizeWorkers}) {
 		if err := m.atSize(ctx, b, axisWorkers, workers, sizeTeams, float64(workers)); err != nil {
@@ -102,7 +102,7 @@
 
 func workerOf(e discoveryserver.Entry) topazfall.Worker {
 	return topazfall.Worker{ID: e.Host, Zone: e.Site, Kind: e.Class, Cell: e.Block, Weight: e.Share,
-		StartedAt: e.Born * 1000}
+		StartedAt: e.StartedMillis * 1000}
 }
 
 func (p *player) on(e topazfall.Event) {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (Module) atSize(ctx context.Context, b *Bench, axis string, workers, teams int, x float64) error {
+func (DecisionModule) atSize(ctx context.Context, b *Bench, axis string, workers, teams int, x float64) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/lab/scale/pace.go
+++ b/internal/lab/scale/pace.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Pace is how fast the machine is, by a fixed loop that is timed in the same run again and again: processor time is
+// Calibration is how fast the machine is, by a fixed loop that is timed in the same run again and again: processor time is
 // also given in loops, as machines differ, and figures in wall-clock time are only judged where the loop's own time
 // is steady.
-type Pace struct {
+type Calibration struct {
 	wall, spent []time.Duration
 	block       []byte
 }
@@ -24,17 +24,17 @@
 	unsteady = 1.5
 )
 
-// NewPace returns a pace that has not been timed yet.
-func NewPace() *Pace {
-	p := &Pace{block: make([]byte, blockSize)}
+// NewCalibration returns a pace that has not been timed yet.
+func NewCalibration() *Calibration {
+	p := &Calibration{block: make([]byte, blockSize)}
 	for i := range p.block {
 		p.block[i] = byte(i * 7)
 	}
 	return p
 }
 
-// Time runs the loop so many times.
-func (p *Pace) Time(loops int) {
+// Run runs the loop so many times.
+func (p *Calibration) Run(loops int) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for range loops {
@@ -49,20 +49,20 @@
 	}
 }
 
-// Loop is the processor time of one loop: the median.
-func (p *Pace) Loop() time.Duration { return quantile(p.spent, 0.5) }
+// LoopTime is the processor time of one loop: the median.
+func (p *Calibration) LoopTime() time.Duration { return quantile(p.spent, 0.5) }
 
 // Variation is the 90th percentile of the loop's wall-clock time as a ratio to its median processor time: 1 on a
 // machine that nothing else uses.
-func (p *Pace) Variation() float64 {
+func (p *Calibration) Variation() float64 {
 	if len(p.wall) == 0 {
 		return 0
 	}
-	return float64(quantile(p.wall, 0.9)) / float64(max(p.Loop(), 1))
+	return float64(quantile(p.wall, 0.9)) / float64(max(p.LoopTime(), 1))
 }
 
-// Busy tells whether the machine was too busy for figures in wall-clock time.
-func (p *Pace) Busy() bool { return p.Variation() > unsteady }
+// IsBusy tells whether the machine was too busy for figures in wall-clock time.
+func (p *Calibration) IsBusy() bool { return p.Variation() > unsteady }
 
 // quantile is the value that this part of them lie below; 0 of none.
 func quantile[T int64 | float64 | time.Duration](values []T, part float64) (v T) {
--- a/internal/lab/scale/quotas.go
+++ b/internal/lab/scale/quotas.go
@@ -30,7 +30,7 @@
 	}
 	defer in.Close()
 	length := pick(b, time.Second, 4*time.Second)
-	quiet, err := in.Watch(ctx, 2*length, 0, nil)
+	quiet, err := in.MeasureWindow(ctx, 2*length, 0, nil)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 		b.Add(figureReloadTime, axisTeams, "ms", fromReal, x, took.Seconds()*1e3)
 		b.Add(figureReloadBytes, axisTeams, "B", fromReal, x, float64(size))
 	}
-	w, err := in.Watch(ctx, length, quotaRate, func() error {
+	w, err := in.MeasureWindow(ctx, length, quotaRate, func() error {
 		for _, p := range in.real {
 			if _, err := configure(p); err != nil {
 				return err
@@ -93,7 +93,7 @@
 // reloaded tells a process to take its configuration, and returns when it has.
 func reloaded(ctx context.Context, p *program.Process) (time.Duration, error) {
 	taken := func() (float64, error) {
-		f, err := p.Figures()
+		f, err := p.Metrics()
 		return f["app_sighup_applied_total"], err
 	}
 	before, err := taken()
--- a/internal/lab/scale/regions.go
+++ b/internal/lab/scale/regions.go
@@ -8,8 +8,8 @@
 	"topazfall/internal/lab/discoveryserver"
 )
 
-// Regions measures what a cut of regions from discovery costs, and how soon what changed meanwhile is known after it.
-type Regions struct{}
+// RegionCuts measures what a cut of regions from discovery costs, and how soon what changed meanwhile is known after it.
+type RegionCuts struct{}
 
 const (
 	figureCutCPU   = "processor time while regions are cut"
@@ -19,10 +19,10 @@
 )
 
 // Name implements Measurement.
-func (Regions) Name() string { return "regions cut from discovery" }
+func (RegionCuts) Name() string { return "regions cut from discovery" }
 
 // Measure implements Measurement.
-func (r Regions) Measure(ctx context.Context, b *Bench) error {
+func (r RegionCuts) Measure(ctx context.Context, b *Bench) error {
 	for cut := range regions + 1 {
 		if err := r.cut(ctx, b, cut); err != nil {
 			return err
@@ -31,20 +31,20 @@
 	return nil
 }
 
-func (Regions) cut(ctx context.Context, b *Bench, regionsCut int) error {
+func (RegionCuts) cut(ctx context.Context, b *Bench, regionsCut int) error {
 	in, err := b.start(ctx, Setup{Workers: someFleet, Dispatchers: sizeDispatchers, Real: realCount,
-		Hollow:     pick(b, 12, 40),
+		Simulated:  pick(b, 12, 40),
 		PerProcess: pick(b, 6, 10), Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	for region := range regionsCut {
-		in.doors[realKind][region].Cut()
-		in.doors[hollowKind][region].Cut()
+		in.doors[realKind][region].Partition()
+		in.doors[hollowKind][region].Partition()
 	}
 	more := Fleet(someFleet+cutWorkers, time.Now())[someFleet:]
-	w, err := in.Watch(ctx, pick(b, time.Second, 12*time.Second), 0, nil)
+	w, err := in.MeasureWindow(ctx, pick(b, time.Second, 12*time.Second), 0, nil)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 func (in *Installation) heal(ctx context.Context, b *Bench, x float64, regionsCut int,
 	more []discoveryserver.Entry) error {
 	for _, e := range more {
-		in.list.Set(e)
+		in.list.Update(e)
 	}
 	if regionsCut < regions { // the others know at once, and their bytes are not those of catching up
 		if err := sleep(ctx, settle); err != nil {
@@ -71,13 +71,13 @@
 		in.doors[realKind][region].Heal()
 		in.doors[hollowKind][region].Heal()
 	}
-	if err := in.Await(ctx, len(in.entries)+len(more), loading); err != nil {
+	if err := in.AwaitWorkers(ctx, len(in.entries)+len(more), loading); err != nil {
 		return fmt.Errorf("%d regions cut: %w", regionsCut, err)
 	}
 	b.Add(figureCatchUp, axisRegions, "s", "all", x, time.Since(began).Seconds())
 	after, sent := in.traffic(), 0.0
 	for k := range after {
-		sent += float64(after[k].Out-before[k].Out) / 1e3
+		sent += float64(after[k].BytesOut-before[k].BytesOut) / 1e3
 	}
 	b.Add(figureHealSent, axisRegions, "kB", "all", x, sent)
 	return nil
--- a/internal/lab/scale/rework.go
+++ b/internal/lab/scale/rework.go
@@ -18,11 +18,11 @@
 	Data []*Series `json:"data"`
 }
 
-// Rework works the operators' figures out anew from the files of earlier runs: what was measured is theirs, and so
+// Recompute works the operators' figures out anew from the files of earlier runs: what was measured is theirs, and so
 // are the bars that follow from no slope. A series that several hold is the last one's.
-func Rework(files []string, charts string) (*report.Report, error) {
+func Recompute(files []string, charts string) (*report.Report, error) {
 	b := NewBench(Options{}, io.Discard)
-	var bars []report.Bar
+	var bars []report.Bound
 	for _, file := range files {
 		var k kept
 		text, err := os.ReadFile(file)
@@ -34,22 +34,22 @@
 		}
 		b.Seed = k.Seed
 		b.replace(k.Data)
-		bars = append(bars, k.Bars...)
+		bars = append(bars, k.Bounds...)
 		for _, note := range k.Notes {
-			b.Note("%s: %s", file, note)
+			b.AddNote("%s: %s", file, note)
 		}
 	}
 	if loop := b.Find(figureLoop, axisTimings, fromRun); loop != nil {
-		b.Pace.spent = []time.Duration{time.Duration(loop.Points[0].Y * float64(time.Microsecond))}
+		b.Calibration.spent = []time.Duration{time.Duration(loop.Points[0].Y * float64(time.Microsecond))}
 	}
 	if err := b.Fit(); err != nil {
 		return nil, err
 	}
-	if err := b.Judge(); err != nil {
+	if err := b.AddCapacityBounds(); err != nil {
 		return nil, err
 	}
 	if charts != "" {
-		if err := Charts(charts, b.Series); err != nil {
+		if err := WriteCharts(charts, b.Series); err != nil {
 			return nil, err
 		}
 	}
@@ -57,8 +57,8 @@
 	r.Name = "scale, worked out anew from earlier runs"
 	r.Notes = b.Notes // the machine's pace is that of the runs
 	for _, bar := range bars {
-		if !slices.ContainsFunc(r.Bars, func(o report.Bar) bool { return o.What == bar.What }) {
-			r.Bars = append(r.Bars, bar)
+		if !slices.ContainsFunc(r.Bounds, func(o report.Bound) bool { return o.Name == bar.Name }) {
+			r.Bounds = append(r.Bounds, bar)
 		}
 	}
 	return r, nil
@@ -68,7 +68,7 @@
 func (d *Data) replace(all []*Series) {
 	for _, s := range all {
 		d.Series = slices.DeleteFunc(d.Series, func(o *Series) bool {
-			return o.Figure == s.Figure && o.Axis == s.Axis && o.Source == s.Source
+			return o.Metric == s.Metric && o.Axis == s.Axis && o.Source == s.Source
 		})
 		d.Series = append(d.Series, s)
 	}
--- a/internal/lab/scale/roster.go
+++ b/internal/lab/scale/roster.go
@@ -43,8 +43,8 @@
 // Name implements Carrier.
 func (s *SharedRoster) Name() string { return "one Apply at an origin of a roster" }
 
-// InTurn implements Carrier.
-func (s *SharedRoster) InTurn() bool { return false }
+// IsSequential implements Carrier.
+func (s *SharedRoster) IsSequential() bool { return false }
 
 // Sizes implements Carrier. A quick run has no time for more than what the other carrier is compared at.
 func (s *SharedRoster) Sizes(quick bool) []int {
@@ -59,7 +59,7 @@
 	if s.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	s.list.Set()
+	s.list.Update()
 	origins := 1
 	if instances > originCount {
 		origins = originCount
@@ -72,12 +72,12 @@
 	}
 	s.names = append(s.names, s.origins...)
 	s.rig, err = rig.Start(rig.Options{Dir: dir, Names: s.names, Args: s.arguments, Split: configsync.SplitFrames,
-		Seed: b.Seed, Program: program.Options{Path: b.Agent, Discovery: s.list.Address()}})
+		Seed: b.Seed, Program: program.Options{ProgramPath: b.Agent, Discovery: s.list.Address()}})
 	if err != nil {
 		return err
 	}
 	for _, name := range s.names {
-		api, err := client.New("unix:" + filepath.Join(s.rig.Member(name).State, "control.sock"))
+		api, err := client.New("unix:" + filepath.Join(s.rig.Member(name).StateDir, "control.sock"))
 		if err != nil {
 			return err
 		}
@@ -90,10 +90,10 @@
 func (s *SharedRoster) arguments(m rig.Member) ([]string, error) {
 	roster := configsync.Roster{Installation: "scale"}
 	for i, name := range s.names {
-		one := configsync.Member{Name: name, Address: m.Peers[name], Region: "region-0",
+		one := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "region-0",
 			Zone: fmt.Sprint("zone-", i%zones)}
 		if name == m.Name {
-			one.Address = m.Listen
+			one.Address = m.PeerListen
 		}
 		if slices.Contains(s.origins, name) {
 			one.Role = "origin"
@@ -104,8 +104,8 @@
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(filepath.Dir(m.State), "roster.json")
-	return []string{"--state", m.State, "--roster", path, "--bootstrap"}, os.WriteFile(path, text, 0o600)
+	path := filepath.Join(filepath.Dir(m.StateDir), "roster.json")
+	return []string{"--state", m.StateDir, "--roster", path, "--bootstrap"}, os.WriteFile(path, text, 0o600)
 }
 
 // awaitLeader waits until all instances have heard of a leader, so that the first change waits for no election.
@@ -114,7 +114,7 @@
 	defer cancel()
 	for _, name := range s.names {
 		for {
-			figures, err := s.rig.Process(name).Figures()
+			figures, err := s.rig.Process(name).Metrics()
 			if silent, ok := figures[figureLeaderSilent]; err == nil && ok && silent >= 0 {
 				break
 			}
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// Bring implements Carrier. An origin that cannot take the change now is followed by the next, as an operator would go
+// Distribute implements Carrier. An origin that cannot take the change now is followed by the next, as an operator would go
 // on: the time that this takes counts.
-func (s *SharedRoster) Bring(ctx context.Context, n uint64) error {
+func (s *SharedRoster) Distribute(ctx context.Context, n uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, loading)
 	defer cancel()
 	for first := len(s.names) - len(s.origins); ; {
@@ -148,7 +148,7 @@
 func (s *SharedRoster) apply(ctx context.Context, origin int, n uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, applyLimit)
 	defer cancel()
-	held, err := s.Holds(ctx, origin)
+	held, err := s.Revision(ctx, origin)
 	if err != nil || held >= n {
 		return err
 	}
@@ -160,8 +160,8 @@
 	return err
 }
 
-// Holds implements Carrier.
-func (s *SharedRoster) Holds(ctx context.Context, instance int) (uint64, error) {
+// Revision implements Carrier.
+func (s *SharedRoster) Revision(ctx context.Context, instance int) (uint64, error) {
 	now, err := s.clients[instance].Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 	if err != nil {
 		return 0, err
--- a/internal/lab/scale/roster_test.go
+++ b/internal/lab/scale/roster_test.go
@@ -36,14 +36,14 @@
 	carrier := &SharedRoster{}
 	began := time.Now()
 	err := Configuration{}.carry(ctx, b, carrier, realCount)
-	t.Logf("took %v, bars %v", time.Since(began), b.Bars)
+	t.Logf("took %v, bars %v", time.Since(began), b.Bounds)
 	for _, s := range b.Series {
-		t.Log(s.Figure, s.Unit, s.Points)
+		t.Log(s.Metric, s.Unit, s.Points)
 	}
 	require.NoError(t, err)
-	bars := map[string]Bar{}
-	for _, bar := range b.Bars {
-		bars[bar.What] = bar
+	bars := map[string]Bound{}
+	for _, bar := range b.Bounds {
+		bars[bar.Name] = bar
 	}
 	name := carrier.Name()
 	require.Contains(t, bars, name+": slowest change at 5 instances")
@@ -81,12 +81,12 @@
 
 func (l *leavesOut) Name() string                                     { return "leaves one out" }
 func (l *leavesOut) Start(context.Context, *Bench, string, int) error { return nil }
-func (l *leavesOut) Bring(context.Context, uint64) error              { return nil }
-func (l *leavesOut) InTurn() bool                                     { return false }
+func (l *leavesOut) Distribute(context.Context, uint64) error         { return nil }
+func (l *leavesOut) IsSequential() bool                               { return false }
 func (l *leavesOut) Sizes(bool) []int                                 { return []int{realCount} }
 func (l *leavesOut) Process(int) *program.Process                     { return nil }
 func (l *leavesOut) Close()                                           {}
-func (l *leavesOut) Holds(_ context.Context, instance int) (uint64, error) {
+func (l *leavesOut) Revision(_ context.Context, instance int) (uint64, error) {
 	if instance == l.instance {
 		return 0, nil
 	}
@@ -104,8 +104,8 @@
 	require.NoError(t, err)
 	defer os.RemoveAll(dir)
 	require.NoError(t, carrier.Start(ctx, NewBench(Options{Agent: os.Args[0]}, &strings.Builder{}), dir, 2))
-	require.NoError(t, carrier.Bring(ctx, 1))
-	require.NoError(t, carrier.Bring(ctx, 1)) // it is there already
+	require.NoError(t, carrier.Distribute(ctx, 1))
+	require.NoError(t, carrier.Distribute(ctx, 1)) // it is there already
 	require.NoError(t, awaitRevision(ctx, carrier, 1, 0, 2))
 	require.ErrorContains(t, carrier.apply(ctx, 1, 3),
 		fmt.Sprintf("holds revision %d and cannot make revision %d", 1, 3))
@@ -117,10 +117,10 @@
 	require.NoError(t, ConfigurationModel{}.Measure(t.Context(), b))
 	require.NotNil(t, b.Find(figureModelForce, axisDispatchers, fromModel))
 	require.NotNil(t, b.Find(figureModelBytes, axisDispatchers, fromModel))
-	require.Len(t, b.Bars, 3)
-	for _, bar := range b.Bars {
-		require.Contains(t, bar.What, "model, 300 dispatchers: ")
-		require.Positive(t, bar.Most)
+	require.Len(t, b.Bounds, 3)
+	for _, bar := range b.Bounds {
+		require.Contains(t, bar.Name, "model, 300 dispatchers: ")
+		require.Positive(t, bar.Max)
 	}
 	_, err := play(b, "no such")
 	require.ErrorContains(t, err, `no scenario "no such"`)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -17,8 +17,8 @@
 
 // Measurements are those of a run, in order.
 func Measurements() []Measurement {
-	return []Measurement{Module{}, Workers{}, Dispatchers{}, Changes{}, Quotas{}, Regions{}, Losses{}, Urgent{},
-		Configuration{Carriers: []Carrier{&SerialApply{}, &SharedRoster{}}}, ConfigurationModel{}}
+	return []Measurement{DecisionModule{}, Workers{}, Dispatchers{}, ChangeRates{}, Quotas{}, RegionCuts{}, WorkerLosses{}, UrgentStarts{},
+		Configuration{Distributors: []Distributor{&SerialApply{}, &SharedRoster{}}}, ConfigurationModel{}}
 }
 
 // Bounds in time of a run, beyond which it ends with an error: a few times what it takes on a busy machine.
@@ -40,12 +40,12 @@
 		return nil, err
 	}
 	if o.Only != "" {
-		b.Note("measured are only parts with %q in their names: what they alone do not tell is not judged", o.Only)
-	} else if err := b.Judge(); err != nil {
+		b.AddNote("measured are only parts with %q in their names: what they alone do not tell is not judged", o.Only)
+	} else if err := b.AddCapacityBounds(); err != nil {
 		return nil, err
 	}
 	if o.Charts != "" {
-		if err := Charts(o.Charts, b.Series); err != nil {
+		if err := WriteCharts(o.Charts, b.Series); err != nil {
 			return nil, err
 		}
 	}
@@ -66,25 +66,25 @@
 		x, _ := s.ranges()
 		if s.Fit == nil {
 			is, _ := s.at(x[1])
-			r.Add(s.Figure, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), "none", "", "", "", "", "",
+			r.AddRow(s.Metric, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), "none", "", "", "", "", "",
 				x[1], is, "")
 			continue
 		}
 		f, at := s.Fit, sizes[s.Axis]
 		is, _ := s.at(at)
-		r.Add(s.Figure, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), f.name(), f.Rejected, f.Slope, f.Low,
+		r.AddRow(s.Metric, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), f.name(), f.Rejected, f.Slope, f.Low,
 			f.High,
 			f.Spread, at, is, b.loops(s.Unit, is))
 	}
 	for _, w := range b.worked {
-		r.Add(w.what, "", "", "", "", w.unit, "", "", "", "", "", "", "", "", w.value, "")
+		r.AddRow(w.what, "", "", "", "", w.unit, "", "", "", "", "", "", "", "", w.value, "")
 	}
-	for _, bar := range b.Bars {
-		kept := report.Bar{What: bar.What, Value: bar.Value, Most: bar.Most, Unit: bar.Unit}
-		if bar.Timed && b.Pace.Busy() {
-			kept.Unjudged = "machine too busy"
+	for _, bar := range b.Bounds {
+		kept := report.Bound{Name: bar.Name, Value: bar.Value, Max: bar.Max, Unit: bar.Unit}
+		if bar.IsWallClock && b.Calibration.IsBusy() {
+			kept.Inconclusive = "machine too busy"
 		}
-		r.Bars = append(r.Bars, kept)
+		r.Bounds = append(r.Bounds, kept)
 	}
 	r.Notes, r.Data = b.Notes, b.Series
 	r.Notes = append(r.Notes, b.paceNote())
@@ -94,8 +94,8 @@
 // loops is a time as a ratio to the fixed loop's, where the unit is one of time.
 func (b *Bench) loops(unit string, value float64) any {
 	seconds, ok := map[string]float64{"us": 1e-6, "ms": 1e-3, "s": 1}[unit]
-	if !ok || b.Pace.Loop() == 0 {
+	if !ok || b.Calibration.LoopTime() == 0 {
 		return ""
 	}
-	return value * seconds / b.Pace.Loop().Seconds()
+	return value * seconds / b.Calibration.LoopTime().Seconds()
 }
--- a/internal/lab/scale/series.go
+++ b/internal/lab/scale/series.go
@@ -8,7 +8,7 @@
 
 // Series is one figure along one axis.
 type Series struct {
-	Figure string  `json:"figure"`
+	Metric string  `json:"figure"`
 	Axis   string  `json:"axis"`
 	Unit   string  `json:"unit"`
 	Source string  `json:"source"` // real, hollow, or module for the decision module alone
@@ -39,7 +39,7 @@
 func (d *Data) Add(figure, axis, unit, source string, x float64, ys ...float64) {
 	s := d.Find(figure, axis, source)
 	if s == nil {
-		s = &Series{Figure: figure, Axis: axis, Unit: unit, Source: source}
+		s = &Series{Metric: figure, Axis: axis, Unit: unit, Source: source}
 		d.Series = append(d.Series, s)
 	}
 	for _, y := range ys {
@@ -50,7 +50,7 @@
 // Find returns the series, or nil.
 func (d *Data) Find(figure, axis, source string) *Series {
 	for _, s := range d.Series {
-		if s.Figure == figure && s.Axis == axis && s.Source == source {
+		if s.Metric == figure && s.Axis == axis && s.Source == source {
 			return s
 		}
 	}
@@ -65,7 +65,7 @@
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("%s over %s: %w", s.Figure, s.Axis, err)
+			return fmt.Errorf("%s over %s: %w", s.Metric, s.Axis, err)
 		}
 		s.Fit = &f
 	}
--- a/internal/lab/scale/spending.go
+++ b/internal/lab/scale/spending.go
@@ -30,11 +30,11 @@
 
 // spending reads what a process has used. The figures are read between the windows that are measured.
 func spending(p *program.Process) (spent, error) {
-	figures, err := p.Figures()
+	figures, err := p.Metrics()
 	if err != nil {
 		return spent{}, err
 	}
-	usage, err := program.UsageOf(p.PID())
+	usage, err := program.ReadUsage(p.PID())
 	return spent{usage.CPU, figures[figureLinksSent] + figures[figureLinksReceived]}, err
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return spent{}, err
 	}
-	read, err := program.UsageOf(p.PID()) // without what the reading of the figures took
+	read, err := program.ReadUsage(p.PID()) // without what the reading of the figures took
 	if err != nil {
 		return spent{}, err
 	}
@@ -60,7 +60,7 @@
 	if err := sleep(ctx, settle); err != nil { // what the last one leaves behind
 		return spent{}, err
 	}
-	usage, err := program.UsageOf(p.PID())
+	usage, err := program.ReadUsage(p.PID())
 	if err != nil {
 		return spent{}, err
 	}
@@ -70,7 +70,7 @@
 
 // cost measures what a change costs the first instance, beyond what it uses while nothing changes; nobody asks it
 // meanwhile. It returns the last revision.
-func (Configuration) cost(ctx context.Context, b *Bench, carrier Carrier, revision uint64, instances int) (uint64,
+func (Configuration) cost(ctx context.Context, b *Bench, carrier Distributor, revision uint64, instances int) (uint64,
 	error) {
 	p, axis := carrier.Process(0), float64(instances)
 	const length = changesInWindow*changeEvery + settle
@@ -81,7 +81,7 @@
 		}
 		busy, err := spends(ctx, p, changesInWindow, func() error {
 			revision++
-			return carrier.Bring(ctx, revision)
+			return carrier.Distribute(ctx, revision)
 		})
 		if err != nil {
 			return revision, err
--- a/internal/lab/scale/urgent.go
+++ b/internal/lab/scale/urgent.go
@@ -9,8 +9,8 @@
 	"topazfall/internal/lab/host"
 )
 
-// Urgent measures how soon work begins at a worker, at real dispatchers that hold the whole list while it changes.
-type Urgent struct{}
+// UrgentStarts measures how soon work begins at a worker, at real dispatchers that hold the whole list while it changes.
+type UrgentStarts struct{}
 
 const (
 	figureStart  = "time from a client's call to the start at a worker, 99.9th percentile"
@@ -22,10 +22,10 @@
 )
 
 // Name implements Measurement.
-func (Urgent) Name() string { return "start of urgent work" }
+func (UrgentStarts) Name() string { return "start of urgent work" }
 
 // Measure implements Measurement.
-func (Urgent) Measure(ctx context.Context, b *Bench) error {
+func (UrgentStarts) Measure(ctx context.Context, b *Bench) error {
 	s, err := startServing(ctx, b)
 	if err != nil {
 		return err
@@ -44,11 +44,11 @@
 			}
 		}
 		b.Add(figureStart, axisRequests, "ms", fromReal, rate, quantile(starts, 0.999)*1e3)
-		b.Check(Bar{What: fmt.Sprintf("urgent work without a start, of %d requests at %.0f a second",
+		b.AddBound(Bound{Name: fmt.Sprintf("urgent work without a start, of %d requests at %.0f a second",
 			len(answers), rate),
 			Value: float64(len(answers) - len(starts))})
-		b.Check(Bar{What: fmt.Sprintf("time until urgent work starts, p99.9 of %d at %.0f a second", len(starts), rate),
-			Value: quantile(starts, 0.999), Most: mostStarting, Unit: "s", Timed: true})
+		b.AddBound(Bound{Name: fmt.Sprintf("time until urgent work starts, p99.9 of %d at %.0f a second", len(starts), rate),
+			Value: quantile(starts, 0.999), Max: mostStarting, Unit: "s", IsWallClock: true})
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 func (in *Installation) callBack(body []byte) error {
 	for i, p := range in.real {
 		if strings.Contains(string(body), prefixOf(i)) {
-			return p.CallBack(body)
+			return p.SendCallback(body)
 		}
 	}
 	return fmt.Errorf("no dispatcher has this id: %s", body)
@@ -69,7 +69,7 @@
 // startOf is when a request first came to a worker.
 func startOf(workers []*host.Host, id string) (first time.Time, ok bool) {
 	for _, w := range workers {
-		for _, s := range w.Seen(id) {
+		for _, s := range w.Arrivals(id) {
 			if !ok || s.At.Before(first) {
 				first, ok = s.At, true
 			}
--- a/internal/lab/scale/window.go
+++ b/internal/lab/scale/window.go
@@ -30,8 +30,8 @@
 // Sum is both directions.
 func (b Bandwidth) Sum() float64 { return b.FromDiscovery + b.ToDiscovery }
 
-// Watch measures for so long, while do is called so often a second; a rate of 0 calls nothing.
-func (in *Installation) Watch(ctx context.Context, length time.Duration, rate float64, do func() error) (w Window,
+// MeasureWindow measures for so long, while do is called so often a second; a rate of 0 calls nothing.
+func (in *Installation) MeasureWindow(ctx context.Context, length time.Duration, rate float64, do func() error) (w Window,
 	err error) {
 	before, err := in.usages()
 	if err != nil {
@@ -54,8 +54,8 @@
 	w.Usages, w.Traffic = after, map[kind]Bandwidth{}
 	for k, now := range in.traffic() {
 		if n := float64(in.count(k)); n > 0 {
-			w.Traffic[k] = Bandwidth{float64(now.Out-traffic[k].Out) / n / w.Length.Seconds(),
-				float64(now.In-traffic[k].In) / n / w.Length.Seconds()}
+			w.Traffic[k] = Bandwidth{float64(now.BytesOut-traffic[k].BytesOut) / n / w.Length.Seconds(),
+				float64(now.BytesIn-traffic[k].BytesIn) / n / w.Length.Seconds()}
 		}
 	}
 	return w, nil
@@ -68,9 +68,9 @@
 	goneLimit  = 20 * time.Second
 )
 
-// Sent makes a change of so many entries, and waits until discovery has sent it to all dispatchers of these kinds:
+// ChangeAndAwait makes a change of so many entries, and waits until discovery has sent it to all dispatchers of these kinds:
 // further ones before that would reach them together with it, as one.
-func (in *Installation) Sent(ctx context.Context, change func() error, entries int, kinds ...kind) error {
+func (in *Installation) ChangeAndAwait(ctx context.Context, change func() error, entries int, kinds ...kind) error {
 	before := in.traffic()
 	if err := change(); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	for end := time.Now().Add(goneLimit); time.Now().Before(end); {
 		now, all := in.traffic(), true
 		for _, k := range kinds {
-			all = all && now[k].Out-before[k].Out >= int64(in.count(k)*(leastHead+entries*leastEntry))
+			all = all && now[k].BytesOut-before[k].BytesOut >= int64(in.count(k)*(leastHead+entries*leastEntry))
 		}
 		if all {
 			return nil
@@ -113,24 +113,24 @@
 	if k == realKind {
 		return len(in.real)
 	}
-	return in.setup.Hollow
+	return in.setup.Simulated
 }
 
 // usages are those of all processes since their start, for each of their dispatchers.
 func (in *Installation) usages() (list []Usage, err error) {
 	for _, p := range in.real {
-		u, err := program.UsageOf(p.PID())
+		u, err := program.ReadUsage(p.PID())
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, Usage{realKind, u.CPU, float64(u.Resident)})
+		list = append(list, Usage{realKind, u.CPU, float64(u.ResidentBytes)})
 	}
 	for _, p := range in.hollow {
-		u, err := program.UsageOf(p.cmd.Process.Pid)
+		u, err := program.ReadUsage(p.cmd.Process.Pid)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, Usage{hollowKind, u.CPU / time.Duration(p.count), float64(u.Resident) / float64(p.count)})
+		list = append(list, Usage{hollowKind, u.CPU / time.Duration(p.count), float64(u.ResidentBytes) / float64(p.count)})
 	}
 	return list, nil
 }
@@ -141,7 +141,7 @@
 		var sum discoveryserver.Traffic
 		for _, door := range doors {
 			t := door.Traffic()
-			sum.In, sum.Out = sum.In+t.In, sum.Out+t.Out
+			sum.BytesIn, sum.BytesOut = sum.BytesIn+t.BytesIn, sum.BytesOut+t.BytesOut
 		}
 		sums[k] = sum
 	}
--- a/internal/lab/scale/workers.go
+++ b/internal/lab/scale/workers.go
@@ -47,7 +47,7 @@
 }
 
 func (Workers) atSize(ctx context.Context, b *Bench, workers int) error {
-	in, err := b.start(ctx, Setup{Workers: workers, Dispatchers: sizeDispatchers, Real: realCount, Hollow: pick(b,
+	in, err := b.start(ctx, Setup{Workers: workers, Dispatchers: sizeDispatchers, Real: realCount, Simulated: pick(b,
 		12, 40),
 		PerProcess: pick(b, 6, 10), Teams: fewTeams, LiveWeights: true})
 	if err != nil {
@@ -56,26 +56,26 @@
 	defer in.Close()
 	for k, sent := range in.traffic() { // each has loaded the list once
 		b.Add(figureLoadBytes, axisWorkers, "kB", string(k), float64(workers),
-			float64(sent.In+sent.Out)/float64(in.count(k))/1e3)
+			float64(sent.BytesIn+sent.BytesOut)/float64(in.count(k))/1e3)
 	}
 	x, length := float64(workers), pick(b, time.Second, 4*time.Second)
-	quiet, err := in.Watch(ctx, 2*length, 0, nil)
+	quiet, err := in.MeasureWindow(ctx, 2*length, 0, nil)
 	if err != nil {
 		return err
 	}
 	b.addQuiet(quiet, axisWorkers, x)
-	restarts, err := in.Watch(ctx, length, changeRate, in.restartAll(ctx))
+	restarts, err := in.MeasureWindow(ctx, length, changeRate, in.restartAll(ctx))
 	if err != nil {
 		return err
 	}
 	b.addEvents(figureChange, figureChangeBytes, axisWorkers, x, quiet, restarts)
-	words, err := in.Watch(ctx, length, wordRate, in.Say)
+	words, err := in.MeasureWindow(ctx, length, wordRate, in.SendGossip)
 	if err != nil {
 		return err
 	}
 	b.addEvents(figureWordReal, "", axisWorkers, x, quiet, words)
-	weights, err := in.Watch(ctx, length, reweighRate, func() error {
-		return in.Sent(ctx, func() error { in.Reweigh(); return nil }, workers, realKind, hollowKind)
+	weights, err := in.MeasureWindow(ctx, length, reweighRate, func() error {
+		return in.ChangeAndAwait(ctx, func() error { in.ReweightAll(); return nil }, workers, realKind, hollowKind)
 	})
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 // restartAll changes one worker, and returns when that has gone to all.
 func (in *Installation) restartAll(ctx context.Context) func() error {
 	return func() error {
-		return in.Sent(ctx, func() error { in.Restart(); return nil }, 1, realKind, hollowKind)
+		return in.ChangeAndAwait(ctx, func() error { in.RestartWorker(); return nil }, 1, realKind, hollowKind)
 	}
 }
 
@@ -97,12 +97,12 @@
 func (in *Installation) measureLoads(ctx context.Context, b *Bench, x float64, quiet Window,
 	length time.Duration) error {
 	move := in.reloads(true)
-	still, err := in.Watch(ctx, length, loadRate, in.reloads(false))
+	still, err := in.MeasureWindow(ctx, length, loadRate, in.reloads(false))
 	if err != nil {
 		return err
 	}
-	moving, err := in.Watch(ctx, length, loadRate, func() error {
-		return in.Sent(ctx, move, len(in.entries), realKind)
+	moving, err := in.MeasureWindow(ctx, length, loadRate, func() error {
+		return in.ChangeAndAwait(ctx, move, len(in.entries), realKind)
 	})
 	if err != nil {
 		return err
--- a/internal/lab/soak/acts.go
+++ b/internal/lab/soak/acts.go
@@ -25,8 +25,8 @@
 
 // act does the steps of a member one after the other.
 func (m *member) act(ctx context.Context) error {
-	for _, s := range m.plan.Dispatch[m.index] {
-		if sleep(ctx, s.After); ctx.Err() != nil {
+	for _, s := range m.plan.ProcessSteps[m.index] {
+		if sleep(ctx, s.Delay); ctx.Err() != nil {
 			return nil
 		}
 		if err := m.step(s); err != nil {
@@ -41,12 +41,12 @@
 	m.acting.Lock()
 	defer m.acting.Unlock()
 	p := m.rig.Process(m.name)
-	if p.Ended() { // by itself
+	if p.HasExited() { // by itself
 		m.ended(p)
 		return m.launch(false)
 	}
-	switch s.Act {
-	case End, EndTwice, HangupThenEnd, EndThenHangup:
+	switch s.Action {
+	case Terminate, TerminateTwice, HangupThenTerminate, TerminateThenHangup:
 		return m.endAndStart(p, s)
 	case Reload:
 		m.hangups(s, p)
@@ -54,7 +54,7 @@
 	case Freeze:
 		held(p, func() {})
 		return nil
-	case KillAtOnce:
+	case Kill:
 		m.kill(p)
 		return m.launch(false)
 	}
@@ -62,13 +62,13 @@
 }
 
 // life notes something of the life of a process.
-func (m *member) life(p *program.Process, change func(l *Life, now time.Time)) {
+func (m *member) life(p *program.Process, change func(l *ProcessRecord, now time.Time)) {
 	m.note(func(now time.Time) { change(m.lives[p], now) })
 }
 
 // launch starts a process of the member and waits until it is ready.
 func (m *member) launch(successor bool) error {
-	l := &Life{Process: m.name, Started: time.Now(), Successor: successor}
+	l := &ProcessRecord{Process: m.name, Started: time.Now(), Successor: successor}
 	err := m.rig.Restart(m.name)
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 
 // signal sends a process a signal, as the step says.
 func (s ProcessStep) signal(p *program.Process, send func()) {
-	if s.Held {
+	if s.FreezeOnSignal {
 		held(p, send)
 		return
 	}
@@ -104,25 +104,25 @@
 // terminate tells a process to end.
 func (m *member) terminate(p *program.Process, s ProcessStep) {
 	s.signal(p, func() {
-		m.life(p, func(l *Life, now time.Time) {
+		m.life(p, func(l *ProcessRecord, now time.Time) {
 			if l.Terminated.IsZero() {
 				l.Terminated = now
 			}
 		})
-		p.Term()
+		p.Terminate()
 	})
 }
 
 // hangup tells a process to read its configuration again, which names the other address of discovery.
 func (m *member) hangup(p *program.Process, s ProcessStep) {
 	ready := time.Time{}
-	m.life(p, func(l *Life, _ time.Time) { ready = l.Ready })
+	m.life(p, func(l *ProcessRecord, _ time.Time) { ready = l.Ready })
 	time.Sleep(time.Until(ready.Add(firstHangup)))
 	p.Configure(func(config map[string]any) {
 		config["discovery"] = m.otherDoor(config["discovery"].(string))
 	})
 	s.signal(p, func() {
-		m.life(p, func(l *Life, now time.Time) { l.Moved = append(l.Moved, now) })
+		m.life(p, func(l *ProcessRecord, now time.Time) { l.DiscoveryMoves = append(l.DiscoveryMoves, now) })
 		p.Reload()
 	})
 }
@@ -140,24 +140,24 @@
 		for _, p := range processes {
 			m.hangup(p, s)
 		}
-		time.Sleep(s.Gap)
+		time.Sleep(s.SignalGap)
 	}
 }
 
 // endAndStart ends a process as a planned restart does, and starts one from nothing.
 func (m *member) endAndStart(p *program.Process, s ProcessStep) error {
-	if s.Act == HangupThenEnd {
+	if s.Action == HangupThenTerminate {
 		m.hangup(p, s)
 	}
 	m.mu.Lock()
-	m.closedFor = time.Now().Add(s.Late)
+	m.closedFor = time.Now().Add(s.AcceptAfterTerm)
 	m.mu.Unlock()
 	m.terminate(p, s)
-	time.Sleep(s.Gap)
-	switch s.Act {
-	case EndTwice:
+	time.Sleep(s.SignalGap)
+	switch s.Action {
+	case TerminateTwice:
 		m.terminate(p, s)
-	case EndThenHangup:
+	case TerminateThenHangup:
 		m.hangup(p, s)
 	}
 	m.awaitEnd(p)
@@ -167,7 +167,7 @@
 // awaitEnd waits for the end of a process that was told to end, and kills it at the earliest moment.
 func (m *member) awaitEnd(p *program.Process) {
 	told := time.Time{}
-	m.life(p, func(l *Life, _ time.Time) { told = l.Terminated })
+	m.life(p, func(l *ProcessRecord, _ time.Time) { told = l.Terminated })
 	if p.Wait(time.Until(told.Add(m.killTime()))) != nil {
 		m.kill(p)
 		return
@@ -177,19 +177,19 @@
 
 // kill kills a process.
 func (m *member) kill(p *program.Process) {
-	if p.Ended() {
+	if p.HasExited() {
 		m.ended(p)
 		return
 	}
-	m.life(p, func(l *Life, now time.Time) { l.Killed = now })
+	m.life(p, func(l *ProcessRecord, now time.Time) { l.Killed = now })
 	p.Kill()
 	m.ended(p)
 }
 
 // ended notes how a process ended.
 func (m *member) ended(p *program.Process) {
-	m.life(p, func(l *Life, now time.Time) {
-		l.Ended, l.ExitCode, l.Fatal = now, p.ExitCode(), fatal(p.Log())
+	m.life(p, func(l *ProcessRecord, now time.Time) {
+		l.Ended, l.ExitCode, l.CrashLine = now, p.ExitCode(), fatal(p.Log())
 	})
 }
 
@@ -212,21 +212,21 @@
 		m.terminate(p, s)
 		leaving.Go(func() { m.awaitEnd(p) })
 	}
-	switch s.Act {
-	case EndMidReplace:
+	switch s.Action {
+	case TerminateDuringReplace:
 		leaving.Go(func() {
-			time.Sleep(s.Gap)
+			time.Sleep(s.SignalGap)
 			m.terminate(p, s)
 		})
-	case HangupInReplace:
+	case HangupDuringReplace:
 		m.hangup(p, s)
 	}
 	if err := m.launch(true); err != nil {
 		return err
 	}
 	second := m.rig.Process(m.name)
-	switch s.Act {
-	case HangupInReplace:
+	switch s.Action {
+	case HangupDuringReplace:
 		m.hangups(s, p, second)
 	case ReplaceTwice:
 		if err := m.launch(true); err != nil {
@@ -242,7 +242,7 @@
 // joint does the joint steps of the plan.
 func (i *installation) joint(ctx context.Context) error {
 	began := time.Now()
-	for _, j := range i.plan.Joint {
+	for _, j := range i.plan.JointSteps {
 		if sleep(ctx, time.Until(began.Add(j.At))); ctx.Err() != nil {
 			return nil
 		}
@@ -264,7 +264,7 @@
 	began := time.Now()
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for _, s := range i.plan.Workers {
+	for _, s := range i.plan.WorkerSteps {
 		if sleep(ctx, time.Until(began.Add(s.At))); ctx.Err() != nil {
 			return nil
 		}
@@ -276,41 +276,41 @@
 // troubled does one step of a worker, to its end.
 func (i *installation) troubled(ctx context.Context, s WorkerStep) {
 	h := i.workers[s.Worker]
-	switch s.Trouble {
-	case Drains:
+	switch s.Disruption {
+	case DrainWorker:
 		i.listed(s.Worker, "draining", time.Time{})
-		sleep(ctx, s.For)
+		sleep(ctx, s.Duration)
 		i.listed(s.Worker, "up", time.Time{})
-	case Returns:
+	case RestartWorker:
 		i.listed(s.Worker, "removed", time.Time{})
 		h.Crash(onAddress)
-		sleep(ctx, s.For)
-		h.Set(onAddress, host.Serve)
+		sleep(ctx, s.Duration)
+		h.SetFault(onAddress, host.Serve)
 		i.listed(s.Worker, "up", time.Now())
-	case EndsIdle:
-		h.EndIdle(onAddress, s.Resets)
-	case Faulty:
+	case CloseIdleConnections:
+		h.CloseIdle(onAddress, s.Reset)
+	case FaultyWorker:
 		if s.Fault == host.Refuse {
 			h.Crash(onAddress)
 		} else {
-			h.Set(onAddress, s.Fault)
+			h.SetFault(onAddress, s.Fault)
 		}
-		sleep(ctx, s.For)
-		h.Set(onAddress, host.Serve)
+		sleep(ctx, s.Duration)
+		h.SetFault(onAddress, host.Serve)
 	}
 }
 
 // outages does the faults of discovery.
 func (i *installation) outages(ctx context.Context) error {
 	began := time.Now()
-	for _, s := range i.plan.Discovery {
+	for _, s := range i.plan.DiscoverySteps {
 		if sleep(ctx, time.Until(began.Add(s.At))); ctx.Err() != nil {
 			return nil
 		}
 		from := time.Now()
 		i.list.SetFault(s.Fault)
-		sleep(ctx, s.For)
-		i.list.SetFault(discoveryserver.None)
+		sleep(ctx, s.Duration)
+		i.list.SetFault(discoveryserver.NoFault)
 		i.note(func(now time.Time) { i.history.Outages = append(i.history.Outages, Outage{from, now}) })
 	}
 	return nil
--- a/internal/lab/soak/audit.go
+++ b/internal/lab/soak/audit.go
@@ -31,28 +31,28 @@
 
 // The rules.
 const (
-	Lost      Rule = "lost"      // a request without its one final answer in time
-	Closed    Rule = "closed"    // a request that was read and whose connection was closed without an answer
-	Duplicate Rule = "duplicate" // an attempt beside one that may run, or outside its window or class
-	Refused   Rule = "refused"   // a refusal of what may have run, and must not run again
-	Invented  Rule = "invented"  // a served body that no worker made
-	Drain     Rule = "drain"     // new work for a worker that wants none
-	Departed  Rule = "departed"  // an attempt for a client that had gone
-	Timeout   Rule = "timeout"   // an attempt that tells its worker more time than is left
-	Owed      Rule = "owed"      // neither error nor close for who does what the protocol does not allow
-	Crash     Rule = "crash"     // a process that ended by itself, or badly
-	Ready     Rule = "ready"     // a start that took too long
-	Leak      Rule = "leak"      // something left over
+	RuleLost      Rule = "lost"      // a request without its one final answer in time
+	RuleClosed    Rule = "closed"    // a request that was read and whose connection was closed without an answer
+	RuleDuplicate Rule = "duplicate" // an attempt beside one that may run, or outside its window or class
+	RuleRefused   Rule = "refused"   // a refusal of what may have run, and must not run again
+	RuleInvented  Rule = "invented"  // a served body that no worker made
+	RuleDrain     Rule = "drain"     // new work for a worker that wants none
+	RuleDeparted  Rule = "departed"  // an attempt for a client that had gone
+	RuleTimeout   Rule = "timeout"   // an attempt that tells its worker more time than is left
+	RuleErrorOwed Rule = "owed"      // neither error nor close for who does what the protocol does not allow
+	RuleCrash     Rule = "crash"     // a process that ended by itself, or badly
+	RuleReady     Rule = "ready"     // a start that took too long
+	RuleLeak      Rule = "leak"      // something left over
 )
 
-// Break is a broken rule.
-type Break struct {
+// Violation is a broken rule.
+type Violation struct {
 	Rule    Rule      `json:"rule"`
 	Process string    `json:"process,omitempty"`
 	ID      string    `json:"id,omitempty"` // of the request
 	At      time.Time `json:"at"`
-	What    string    `json:"what"`
-	Around  []string  `json:"around"` // the events round it
+	Message string    `json:"what"`
+	Events  []string  `json:"around"` // the events round it
 }
 
 // auditor judges one history.
@@ -60,11 +60,11 @@
 	*History
 	requests map[string][]Request
 	attempts map[string][]Attempt
-	breaks   []Break
+	breaks   []Violation
 }
 
 // Audit names the broken rules of a history, in the order of time.
-func Audit(h *History) []Break {
+func Audit(h *History) []Violation {
 	a := &auditor{History: h, requests: map[string][]Request{}, attempts: map[string][]Attempt{}}
 	for _, r := range h.Requests {
 		a.requests[r.ID] = append(a.requests[r.ID], r)
@@ -73,7 +73,7 @@
 		a.attempts[t.ID] = append(a.attempts[t.ID], t)
 	}
 	for _, list := range a.attempts {
-		slices.SortFunc(list, func(s, t Attempt) int { return s.Began.Compare(t.Began) })
+		slices.SortFunc(list, func(s, t Attempt) int { return s.FirstByteAt.Compare(t.FirstByteAt) })
 	}
 	for _, r := range h.Requests {
 		a.answer(r)
@@ -86,7 +86,7 @@
 	}
 	a.lives()
 	a.leftovers()
-	slices.SortFunc(a.breaks, func(b, c Break) int {
+	slices.SortFunc(a.breaks, func(b, c Violation) int {
 		return cmp.Or(b.At.Compare(c.At), cmp.Compare(b.Rule, c.Rule), cmp.Compare(b.ID, c.ID))
 	})
 	return a.breaks
@@ -94,26 +94,26 @@
 
 // broken notes a broken rule.
 func (a *auditor) broken(rule Rule, process, id string, at time.Time, what string, values ...any) {
-	a.breaks = append(a.breaks, Break{rule, process, id, at, fmt.Sprintf(what, values...), a.around(process, id, at)})
+	a.breaks = append(a.breaks, Violation{rule, process, id, at, fmt.Sprintf(what, values...), a.around(process, id, at)})
 }
 
 // answer judges what a client got.
 func (a *auditor) answer(r Request) {
-	if r.Manner.Bad() {
+	if r.Behavior.ViolatesProtocol() {
 		a.owed(r)
 		return
 	}
-	limit := r.Sent.Add(r.Wait + answerGrace + wireSlack + a.stalled(r.Sent, r.Ended))
+	limit := r.Sent.Add(r.Timeout + answerGrace + wireSlack + a.stalled(r.Sent, r.Ended))
 	switch {
-	case r.End == client.Left:
+	case r.Outcome == client.Disconnected:
 	case a.killed(r):
-	case r.End == client.Closed:
-		a.broken(Closed, r.Process, r.ID, r.Ended, "the whole request was read and its connection closed: %v", r.Err)
-	case r.End == client.Silent:
-		a.broken(Lost, r.Process, r.ID, r.Ended, "no answer %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Wait)
-	case r.End == client.Answered && r.Ended.After(limit):
-		a.broken(Lost, r.Process, r.ID, r.Ended, "answered %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Wait)
-	case r.End == client.Answered:
+	case r.Outcome == client.ClosedAfterRead:
+		a.broken(RuleClosed, r.Process, r.ID, r.Ended, "the whole request was read and its connection closed: %v", r.Err)
+	case r.Outcome == client.TimedOut:
+		a.broken(RuleLost, r.Process, r.ID, r.Ended, "no answer %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Timeout)
+	case r.Outcome == client.Answered && r.Ended.After(limit):
+		a.broken(RuleLost, r.Process, r.ID, r.Ended, "answered %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Timeout)
+	case r.Outcome == client.Answered:
 		a.said(r)
 	}
 }
@@ -123,71 +123,71 @@
 	ran := slices.ContainsFunc(a.attempts[r.ID], func(t Attempt) bool { return t.mayHaveRun() })
 	made := slices.ContainsFunc(a.attempts[r.ID], func(t Attempt) bool { return r.Body == t.Worker+" "+r.ID })
 	switch {
-	case r.Surplus > 0:
-		a.broken(Lost, r.Process, r.ID, r.Ended, "%d bytes came behind its final answer", r.Surplus)
+	case r.ExtraBytes > 0:
+		a.broken(RuleLost, r.Process, r.ID, r.Ended, "%d bytes came behind its final answer", r.ExtraBytes)
 	case r.Status == 200 && !made:
-		a.broken(Invented, r.Process, r.ID, r.Ended, "served with %q", r.Body)
-	case (r.Status == 429 || r.Status == 503) && ran && a.Rules.class(r.Class).Repeat == Once:
-		a.broken(Refused, r.Process, r.ID, r.Ended, "refused with %d though it may have run", r.Status)
+		a.broken(RuleInvented, r.Process, r.ID, r.Ended, "served with %q", r.Body)
+	case (r.Status == 429 || r.Status == 503) && ran && a.Terms.class(r.Class).Repeat == AtMostOnce:
+		a.broken(RuleRefused, r.Process, r.ID, r.Ended, "refused with %d though it may have run", r.Status)
 	}
 }
 
 // owed judges what somebody got who did what the protocol does not allow.
 func (a *auditor) owed(r Request) {
 	within := errorOwed
-	if r.Manner == client.Doubled { // the first of the two may be taken
-		within = max(within, r.Wait+answerGrace)
+	if r.Behavior == client.TwoRequests { // the first of the two may be taken
+		within = max(within, r.Timeout+answerGrace)
 	}
 	took := r.Ended.Sub(r.Sent)
-	if (r.End == client.Silent || took > within+wireSlack+a.stalled(r.Sent, r.Ended)) && !a.killed(r) {
-		a.broken(Owed, r.Process, r.ID, r.Ended, "%v: %v after %v", r.Manner, r.End, took)
+	if (r.Outcome == client.TimedOut || took > within+wireSlack+a.stalled(r.Sent, r.Ended)) && !a.killed(r) {
+		a.broken(RuleErrorOwed, r.Process, r.ID, r.Ended, "%v: %v after %v", r.Behavior, r.Outcome, took)
 	}
 }
 
 // killed tells whether a request has no answer because its process was killed. What a planned kill finds is lost if it
 // came too late after SIGTERM; what came sooner had its time.
 func (a *auditor) killed(r Request) bool {
-	return r.End != client.Answered && slices.ContainsFunc(a.Lives, func(l Life) bool {
+	return r.Outcome != client.Answered && slices.ContainsFunc(a.Processes, func(l ProcessRecord) bool {
 		planned := !l.Terminated.IsZero() && l.Killed.After(l.Terminated)
-		return l.Process == r.Process && !l.Killed.IsZero() && !l.Killed.Before(r.Began) &&
+		return l.Process == r.Process && !l.Killed.IsZero() && !l.Killed.Before(r.Started) &&
 			r.Ended.Sub(l.Killed) < killSeen && !(planned && r.Sent.Sub(l.Terminated) > lateArrival)
 	})
 }
 
 // mayHaveRun tells whether the worker may have begun the job.
-func (t Attempt) mayHaveRun() bool { return !t.Whole.IsZero() && !t.NotRun }
+func (t Attempt) mayHaveRun() bool { return !t.LastByteAt.IsZero() && !t.Rejected }
 
 // over is when the attempt had ended or was given up, zero where neither.
 func (t Attempt) over() time.Time {
 	switch {
-	case t.Ended.IsZero(), !t.GivenUp.IsZero() && t.GivenUp.Before(t.Ended):
-		return t.GivenUp
+	case t.EndedAt.IsZero(), !t.CancelledAt.IsZero() && t.CancelledAt.Before(t.EndedAt):
+		return t.CancelledAt
 	}
-	return t.Ended
+	return t.EndedAt
 }
 
 // repeats judges the attempts of one request, the first first.
 func (a *auditor) repeats(id string, list []Attempt) {
-	class, process := Class{Repeat: Once}, ""
+	class, process := Class{Repeat: AtMostOnce}, ""
 	if of := a.requests[id]; len(of) > 0 {
-		class, process = a.Rules.class(of[0].Class), of[0].Process
+		class, process = a.Terms.class(of[0].Class), of[0].Process
 	}
 	var ran []Attempt
 	for _, t := range list {
-		if t.Whole.IsZero() {
+		if t.LastByteAt.IsZero() {
 			continue
 		}
 		for _, before := range ran {
-			slack := wireSlack + a.stalled(before.Began, t.Whole)
+			slack := wireSlack + a.stalled(before.FirstByteAt, t.LastByteAt)
 			over := before.over()
 			switch {
-			case class.Repeat == Once:
-				a.broken(Duplicate, process, id, t.Whole, "%s has it after %s", t.Worker, before.Worker)
-			case over.IsZero() || over.Sub(t.Whole) > slack:
-				a.broken(Duplicate, process, id, t.Whole, "%s has it beside %s", t.Worker, before.Worker)
-			case class.Repeat == Keyed && t.Began.Sub(ran[0].Began) > class.Window+slack:
-				a.broken(Duplicate, process, id, t.Whole, "%s has it %v after the first, the window is %v", t.Worker,
-					t.Began.Sub(ran[0].Began), class.Window)
+			case class.Repeat == AtMostOnce:
+				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it after %s", t.Worker, before.Worker)
+			case over.IsZero() || over.Sub(t.LastByteAt) > slack:
+				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it beside %s", t.Worker, before.Worker)
+			case class.Repeat == Keyed && t.FirstByteAt.Sub(ran[0].FirstByteAt) > class.Window+slack:
+				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it %v after the first, the window is %v", t.Worker,
+					t.FirstByteAt.Sub(ran[0].FirstByteAt), class.Window)
 			}
 		}
 		if t.mayHaveRun() {
@@ -200,27 +200,27 @@
 func (a *auditor) attempt(t Attempt) {
 	r, known := a.requestOf(t)
 	if !known {
-		a.broken(Invented, "", t.ID, t.Began, "%s has a request that no client sent", t.Worker)
+		a.broken(RuleInvented, "", t.ID, t.FirstByteAt, "%s has a request that no client sent", t.Worker)
 		return
 	}
-	slack := wireSlack + a.stalled(t.Began.Add(-departure), t.Began)
-	if gone := t.Began.Sub(r.Ended); r.End == client.Left && gone > departure+slack {
-		a.broken(Departed, r.Process, t.ID, t.Began, "an attempt at %s %v after its client had gone", t.Worker, gone)
+	slack := wireSlack + a.stalled(t.FirstByteAt.Add(-departure), t.FirstByteAt)
+	if gone := t.FirstByteAt.Sub(r.Ended); r.Outcome == client.Disconnected && gone > departure+slack {
+		a.broken(RuleDeparted, r.Process, t.ID, t.FirstByteAt, "an attempt at %s %v after its client had gone", t.Worker, gone)
 	}
-	left := r.Sent.Add(r.Wait).Sub(t.Began)
-	if !t.Whole.IsZero() && t.Timeout > max(left, 0)+timeoutSlack+slack {
-		a.broken(Timeout, r.Process, t.ID, t.Began, "%s is told %v, %v are left", t.Worker, t.Timeout, left)
+	left := r.Sent.Add(r.Timeout).Sub(t.FirstByteAt)
+	if !t.LastByteAt.IsZero() && t.Timeout > max(left, 0)+timeoutSlack+slack {
+		a.broken(RuleTimeout, r.Process, t.ID, t.FirstByteAt, "%s is told %v, %v are left", t.Worker, t.Timeout, left)
 	}
 	if told, unwanted := a.unwanted(t, r.Process); unwanted {
-		a.broken(Drain, r.Process, t.ID, t.Began, "%s had told %v before that it wants nothing", t.Worker,
-			t.Began.Sub(told))
+		a.broken(RuleDrain, r.Process, t.ID, t.FirstByteAt, "%s had told %v before that it wants nothing", t.Worker,
+			t.FirstByteAt.Sub(told))
 	}
 }
 
 // requestOf finds the request of an attempt: the last that was brought before it.
 func (a *auditor) requestOf(t Attempt) (of Request, known bool) {
 	for _, r := range a.requests[t.ID] {
-		if !known || !r.Began.After(t.Began) {
+		if !known || !r.Started.After(t.FirstByteAt) {
 			of, known = r, true
 		}
 	}
@@ -228,7 +228,7 @@
 		return of, true
 	}
 	for _, r := range a.Requests { // the second of a doubled one
-		if r.Second == t.ID {
+		if r.SecondID == t.ID {
 			return r, true
 		}
 	}
@@ -237,17 +237,17 @@
 
 // unwanted tells whether a worker wanted no new work when an attempt began, and when the dispatcher was told so.
 func (a *auditor) unwanted(t Attempt, process string) (told time.Time, is bool) {
-	for _, l := range a.Listings {
-		if l.Worker != t.Worker || l.At.After(t.Began) {
+	for _, l := range a.WorkerUpdates {
+		if l.Worker != t.Worker || l.At.After(t.FirstByteAt) {
 			continue
 		}
 		told = time.Time{}
-		if !l.Wanted {
+		if !l.AcceptsWork {
 			told = a.told(l.At, process)
 		}
 	}
-	late := told.Add(a.Rules.DrainGrace + wireSlack + a.stalled(told, t.Began))
-	return told, !told.IsZero() && t.Began.After(late)
+	late := told.Add(a.Terms.DrainGrace + wireSlack + a.stalled(told, t.FirstByteAt))
+	return told, !told.IsZero() && t.FirstByteAt.After(late)
 }
 
 // told is when a change counts as told to a dispatcher at the latest.
@@ -257,20 +257,20 @@
 			at = o.To
 		}
 	}
-	if a.Rules.Asked {
+	if a.Terms.Subscribe {
 		return at.Add(toldAsked)
 	}
 	told := at
 	until := func(from time.Time, later time.Duration) {
-		if !from.IsZero() && from.After(at.Add(-later)) && from.Before(at.Add(a.Rules.DrainGrace)) {
+		if !from.IsZero() && from.After(at.Add(-later)) && from.Before(at.Add(a.Terms.DrainGrace)) {
 			told = latest(told, from.Add(later))
 		}
 	}
-	for _, l := range a.Lives {
+	for _, l := range a.Processes {
 		if l.Process != process {
 			continue
 		}
-		for _, moved := range l.Moved {
+		for _, moved := range l.DiscoveryMoves {
 			until(moved, toldMoved)
 		}
 		if l.Successor {
@@ -290,39 +290,39 @@
 // lives judges the starts and the ends of the processes.
 func (a *auditor) lives() {
 	late, started := 0, 0
-	for _, l := range a.Lives {
+	for _, l := range a.Processes {
 		took := l.Ready.Sub(l.Started)
 		interrupted := l.Ready.IsZero() && (!l.Terminated.IsZero() || !l.Killed.IsZero())
 		switch {
-		case l.Fatal != "":
-			a.broken(Crash, l.Process, "", l.Ended, "its log has %q", l.Fatal)
+		case l.CrashLine != "":
+			a.broken(RuleCrash, l.Process, "", l.Ended, "its log has %q", l.CrashLine)
 		case !l.Ended.IsZero() && l.Terminated.IsZero() && l.Killed.IsZero():
-			a.broken(Crash, l.Process, "", l.Ended, "ended by itself with %d", l.ExitCode)
+			a.broken(RuleCrash, l.Process, "", l.Ended, "ended by itself with %d", l.ExitCode)
 		case !l.Ended.IsZero() && l.Killed.IsZero() && l.ExitCode != 0 && !l.Ready.IsZero():
-			a.broken(Crash, l.Process, "", l.Ended, "told to end, it ended with %d", l.ExitCode)
+			a.broken(RuleCrash, l.Process, "", l.Ended, "told to end, it ended with %d", l.ExitCode)
 		}
 		if interrupted {
 			continue
 		}
 		started++
 		if l.Ready.IsZero() || took > readyAtAll+a.stalled(l.Started, l.Ready) {
-			a.broken(Ready, l.Process, "", l.Started, "ready after %v", took)
+			a.broken(RuleReady, l.Process, "", l.Started, "ready after %v", took)
 		}
 		if took > readySoon+a.stalled(l.Started, l.Ready) {
 			late++
 		}
 	}
 	if late*10 > started {
-		a.broken(Ready, "", "", time.Time{}, "%d of %d processes were not ready within %v", late, started, readySoon)
+		a.broken(RuleReady, "", "", time.Time{}, "%d of %d processes were not ready within %v", late, started, readySoon)
 	}
 }
 
 func (a *auditor) leftovers() {
 	for _, l := range a.Leftovers {
-		if l.Descriptors > l.Allowed || l.Outstanding > 0 || l.Goroutines > l.AllowedGoroutines {
-			a.broken(Leak, l.Process, "", time.Time{},
+		if l.Descriptors > l.AllowedDescriptors || l.Outstanding > 0 || l.Goroutines > l.AllowedGoroutines {
+			a.broken(RuleLeak, l.Process, "", time.Time{},
 				"%d descriptors, %d are allowed; %d requests in hand; %d goroutines, %d are allowed",
-				l.Descriptors, l.Allowed, l.Outstanding, l.Goroutines, l.AllowedGoroutines)
+				l.Descriptors, l.AllowedDescriptors, l.Outstanding, l.Goroutines, l.AllowedGoroutines)
 		}
 	}
 }
@@ -343,15 +343,15 @@
 		}
 	}
 	for _, r := range a.requests[id] {
-		add(r.Began, "%s: a client begins to send %s, %s, %v, reused %v", r.Process, id, r.Class, r.Manner, r.Reused)
-		add(r.Sent, "%s: %s is sent, with %v to wait", r.Process, id, r.Wait)
-		add(r.Ended, "%s: %s is %v, %d %q %v", r.Process, id, r.End, r.Status, strings.TrimSpace(r.Body), r.Err)
+		add(r.Started, "%s: a client begins to send %s, %s, %v, reused %v", r.Process, id, r.Class, r.Behavior, r.Reused)
+		add(r.Sent, "%s: %s is sent, with %v to wait", r.Process, id, r.Timeout)
+		add(r.Ended, "%s: %s is %v, %d %q %v", r.Process, id, r.Outcome, r.Status, strings.TrimSpace(r.Body), r.Err)
 	}
 	for _, t := range a.attempts[id] {
-		add(t.Began, "%s: an attempt of %s begins, told %v", t.Worker, id, t.Timeout)
-		add(t.Whole, "%s: it has come whole", t.Worker)
-		add(t.Ended, "%s: it ends", t.Worker)
-		add(t.GivenUp, "%s: it is given up", t.Worker)
+		add(t.FirstByteAt, "%s: an attempt of %s begins, told %v", t.Worker, id, t.Timeout)
+		add(t.LastByteAt, "%s: it has come whole", t.Worker)
+		add(t.EndedAt, "%s: it ends", t.Worker)
+		add(t.CancelledAt, "%s: it is given up", t.Worker)
 	}
 	nearby := func(t time.Time) time.Time {
 		if t.After(at.Add(near)) || t.Before(at.Add(-4*near)) {
@@ -359,21 +359,21 @@
 		}
 		return t
 	}
-	for _, l := range a.Lives {
+	for _, l := range a.Processes {
 		if l.Process != process {
 			continue
 		}
 		add(nearby(l.Started), "%s: a process is started, successor %v", process, l.Successor)
 		add(nearby(l.Ready), "%s: it is ready", process)
-		for _, moved := range l.Moved {
+		for _, moved := range l.DiscoveryMoves {
 			add(nearby(moved), "%s: SIGHUP with another address of discovery", process)
 		}
 		add(nearby(l.Terminated), "%s: SIGTERM", process)
 		add(nearby(l.Killed), "%s: SIGKILL", process)
 		add(nearby(l.Ended), "%s: it has ended with %d", process, l.ExitCode)
 	}
-	for _, l := range a.Listings {
-		add(nearby(l.At), "discovery: %s wants new work: %v", l.Worker, l.Wanted)
+	for _, l := range a.WorkerUpdates {
+		add(nearby(l.At), "discovery: %s wants new work: %v", l.Worker, l.AcceptsWork)
 	}
 	for _, o := range a.Outages {
 		add(nearby(o.From), "discovery: tells nothing")
--- a/internal/lab/soak/audit_test.go
+++ b/internal/lab/soak/audit_test.go
@@ -21,36 +21,36 @@
 // written is a history in which all is well: a lookup that two workers had one after the other, a report that one had,
 // a process that was told to end and another that started after it, a drain.
 func written() *History {
-	h := &History{Rules: Rules{DrainGrace: drainGrace, Classes: []Class{{Name: program.Classes[0]},
-		{Name: program.Classes[1], Repeat: Keyed, Window: time.Second}, {Name: program.Classes[2], Repeat: Once}}}}
-	h.Lives = []Life{
+	h := &History{Terms: Terms{DrainGrace: drainGrace, Classes: []Class{{Name: program.Classes[0]},
+		{Name: program.Classes[1], Repeat: Keyed, Window: time.Second}, {Name: program.Classes[2], Repeat: AtMostOnce}}}}
+	h.Processes = []ProcessRecord{
 		{Process: "n0", Started: after(0), Ready: after(100), Terminated: after(5000), Ended: after(5700)},
 		{Process: "n0", Started: after(5700), Ready: after(5800), Terminated: after(20000), Ended: after(20700)},
 	}
-	h.Listings = []Listing{{At: after(0), Worker: "s-0", Wanted: true}, {At: after(0), Worker: "s-1", Wanted: true},
-		{At: after(3000), Worker: "s-1"}, {At: after(9000), Worker: "s-1", Wanted: true}}
+	h.WorkerUpdates = []WorkerUpdate{{At: after(0), Worker: "s-0", AcceptsWork: true}, {At: after(0), Worker: "s-1", AcceptsWork: true},
+		{At: after(3000), Worker: "s-1"}, {At: after(9000), Worker: "s-1", AcceptsWork: true}}
 	h.Requests = []Request{request("n0-a", 0, 1000, 1400, "s-1 n0-a"), request("n0-b", 2, 2000, 2100, "s-0 n0-b")}
 	first := attempt("s-0", "n0-a", 1010)
-	first.Ended = after(1200)
+	first.EndedAt = after(1200)
 	second := attempt("s-1", "n0-a", 1210)
-	second.Ended = after(1390)
+	second.EndedAt = after(1390)
 	third := attempt("s-0", "n0-b", 2010)
-	third.Ended = after(2090)
+	third.EndedAt = after(2090)
 	h.Attempts = []Attempt{first, second, third}
-	h.Leftovers = []Leftover{{Process: "n0", Descriptors: 12, Allowed: 14}}
+	h.Leftovers = []Leftover{{Process: "n0", Descriptors: 12, AllowedDescriptors: 14}}
 	return h
 }
 
 // request is one that was answered with a body.
 func request(id string, class, sent, ended int, body string) Request {
 	return Request{Process: "n0", Delivery: client.Delivery{Message: client.Message{ID: id,
-		Class: program.Classes[class], Wait: time.Second}},
-		Result: client.Result{Began: after(sent), Sent: after(sent), Ended: after(ended), Status: 200, Body: body}}
+		Class: program.Classes[class], Timeout: time.Second}},
+		Result: client.Result{Started: after(sent), Sent: after(sent), Ended: after(ended), Status: 200, Body: body}}
 }
 
 // attempt is one that came whole in a millisecond.
 func attempt(worker, id string, began int) Attempt {
-	return Attempt{Worker: worker, Attempt: host.Attempt{ID: id, Began: after(began), Whole: after(began + 1),
+	return Attempt{Worker: worker, Attempt: host.Attempt{ID: id, FirstByteAt: after(began), LastByteAt: after(began + 1),
 		Timeout: 500 * time.Millisecond}}
 }
 
@@ -66,66 +66,66 @@
 }
 
 var plantedFaults = map[string]planted{
-	"an answer comes 0.56 s after its time": {Lost, "n0-b", func(h *History) {
+	"an answer comes 0.56 s after its time": {RuleLost, "n0-b", func(h *History) {
 		h.Requests[1].Ended = h.Requests[1].Sent.Add(1560 * time.Millisecond)
 	}},
-	"no answer comes": {Lost, "n0-b", func(h *History) {
-		h.Requests[1].End, h.Requests[1].Ended = client.Silent, after(4000)
+	"no answer comes": {RuleLost, "n0-b", func(h *History) {
+		h.Requests[1].Outcome, h.Requests[1].Ended = client.TimedOut, after(4000)
 	}},
-	"a second answer comes": {Lost, "n0-b", func(h *History) { h.Requests[1].Surplus = 80 }},
-	"a request is read and its connection closed": {Closed, "n0-b", func(h *History) {
-		h.Requests[1].End, h.Requests[1].Err = client.Closed, errors.New("EOF")
+	"a second answer comes": {RuleLost, "n0-b", func(h *History) { h.Requests[1].ExtraBytes = 80 }},
+	"a request is read and its connection closed": {RuleClosed, "n0-b", func(h *History) {
+		h.Requests[1].Outcome, h.Requests[1].Err = client.ClosedAfterRead, errors.New("EOF")
 	}},
-	"one is found by the kill that came 0.8 s after SIGTERM": {Closed, "n0-b", func(h *History) {
-		h.Lives[0].Terminated, h.Lives[0].Killed = after(1200), after(2050)
-		h.Requests[1].End, h.Requests[1].Ended = client.Closed, after(2051)
+	"one is found by the kill that came 0.8 s after SIGTERM": {RuleClosed, "n0-b", func(h *History) {
+		h.Processes[0].Terminated, h.Processes[0].Killed = after(1200), after(2050)
+		h.Requests[1].Outcome, h.Requests[1].Ended = client.ClosedAfterRead, after(2051)
 	}},
-	"what must not run twice is sent again": {Duplicate, "n0-b", func(h *History) {
+	"what must not run twice is sent again": {RuleDuplicate, "n0-b", func(h *History) {
 		h.Attempts = append(h.Attempts, attempt("s-1", "n0-b", 2095))
 	}},
-	"a copy runs beside an attempt that goes on": {Duplicate, "n0-a", func(h *History) {
-		h.Attempts[0].Ended = time.Time{}
+	"a copy runs beside an attempt that goes on": {RuleDuplicate, "n0-a", func(h *History) {
+		h.Attempts[0].EndedAt = time.Time{}
 	}},
-	"a copy comes 80 ms before the first ends": {Duplicate, "n0-a", func(h *History) {
-		h.Attempts[1].Whole = h.Attempts[0].Ended.Add(-80 * time.Millisecond)
+	"a copy comes 80 ms before the first ends": {RuleDuplicate, "n0-a", func(h *History) {
+		h.Attempts[1].LastByteAt = h.Attempts[0].EndedAt.Add(-80 * time.Millisecond)
 	}},
-	"a keyed repeat is outside its window": {Duplicate, "n0-a", func(h *History) {
-		h.Requests[0].Class, h.Requests[0].Wait = program.Classes[1], 3*time.Second
+	"a keyed repeat is outside its window": {RuleDuplicate, "n0-a", func(h *History) {
+		h.Requests[0].Class, h.Requests[0].Timeout = program.Classes[1], 3*time.Second
 		h.Attempts[1] = attempt("s-1", "n0-a", 2070)
 		h.Requests[0].Ended = after(2500)
 	}},
-	"what may have run and must not again is refused": {Refused, "n0-b", func(h *History) {
+	"what may have run and must not again is refused": {RuleRefused, "n0-b", func(h *History) {
 		h.Requests[1].Status, h.Requests[1].Body = 503, "refused"
 	}},
-	"a body is of nobody": {Invented, "n0-b", func(h *History) { h.Requests[1].Body = "s-1 n0-b" }},
-	"a worker has a request of nobody": {Invented, "n0-x", func(h *History) {
+	"a body is of nobody": {RuleInvented, "n0-b", func(h *History) { h.Requests[1].Body = "s-1 n0-b" }},
+	"a worker has a request of nobody": {RuleInvented, "n0-x", func(h *History) {
 		h.Attempts = append(h.Attempts, attempt("s-0", "n0-x", 2500))
 	}},
-	"new work comes to a worker 0.56 s after its drain": {Drain, "n0-c", func(h *History) {
+	"new work comes to a worker 0.56 s after its drain": {RuleDrain, "n0-c", func(h *History) {
 		h.Requests = append(h.Requests, request("n0-c", 0, 3550, 3700, "s-1 n0-c"))
 		h.Attempts = append(h.Attempts, attempt("s-1", "n0-c", 3560))
 	}},
-	"an attempt begins 0.16 s after its client left": {Departed, "n0-a", func(h *History) {
-		h.Requests[0].End, h.Requests[0].Ended = client.Left, after(1050)
+	"an attempt begins 0.16 s after its client left": {RuleDeparted, "n0-a", func(h *History) {
+		h.Requests[0].Outcome, h.Requests[0].Ended = client.Disconnected, after(1050)
 	}},
-	"an attempt tells more time than is left": {Timeout, "n0-a", func(h *History) {
+	"an attempt tells more time than is left": {RuleTimeout, "n0-a", func(h *History) {
 		h.Attempts[0].Timeout = 1200 * time.Millisecond
 	}},
-	"who stops midway waits for 3.1 s": {Owed, "n0-b", func(h *History) {
-		h.Requests[1].Manner, h.Requests[1].Status = client.StopMidway, 408
+	"who stops midway waits for 3.1 s": {RuleErrorOwed, "n0-b", func(h *History) {
+		h.Requests[1].Behavior, h.Requests[1].Status = client.StopMidRequest, 408
 		h.Requests[1].Ended = after(5100)
 		h.Attempts = h.Attempts[:2]
 	}},
-	"a process ends by itself": {Crash, "", func(h *History) { h.Lives[0].Terminated = time.Time{} }},
-	"a process ends with 2":    {Crash, "", func(h *History) { h.Lives[0].ExitCode = 2 }},
-	"one of two starts takes 10.1 s": {Ready, "", func(h *History) {
-		h.Lives[1].Ready = h.Lives[1].Started.Add(10100 * time.Millisecond)
+	"a process ends by itself": {RuleCrash, "", func(h *History) { h.Processes[0].Terminated = time.Time{} }},
+	"a process ends with 2":    {RuleCrash, "", func(h *History) { h.Processes[0].ExitCode = 2 }},
+	"one of two starts takes 10.1 s": {RuleReady, "", func(h *History) {
+		h.Processes[1].Ready = h.Processes[1].Started.Add(10100 * time.Millisecond)
 	}},
-	"a descriptor is left over": {Leak, "", func(h *History) { h.Leftovers[0].Descriptors = 15 }},
-	"a goroutine is left over": {Leak, "", func(h *History) {
+	"a descriptor is left over": {RuleLeak, "", func(h *History) { h.Leftovers[0].Descriptors = 15 }},
+	"a goroutine is left over": {RuleLeak, "", func(h *History) {
 		h.Leftovers[0].Goroutines, h.Leftovers[0].AllowedGoroutines = 21, 20
 	}},
-	"a request in hand is left over": {Leak, "", func(h *History) { h.Leftovers[0].Outstanding = 1 }},
+	"a request in hand is left over": {RuleLeak, "", func(h *History) { h.Leftovers[0].Outstanding = 1 }},
 }
 
 // Faults planted in the written history are named, each by its rule and the id or process that it concerns, with the
@@ -140,7 +140,7 @@
 			require.Equal(t, plant.rule, breaks[0].Rule)
 			require.Equal(t, plant.id, breaks[0].ID)
 			if plant.id != "" {
-				require.NotEmpty(t, breaks[0].Around)
+				require.NotEmpty(t, breaks[0].Events)
 			}
 		})
 	}
@@ -153,11 +153,11 @@
 			h.Requests[1].Ended = h.Requests[1].Sent.Add(1540 * time.Millisecond)
 		},
 		"a request that nobody has read": func(h *History) {
-			h.Requests[1].End, h.Attempts = client.Unread, h.Attempts[:2]
+			h.Requests[1].Outcome, h.Attempts = client.ResetUnread, h.Attempts[:2]
 		},
 		"a request in hand at a kill without a word": func(h *History) {
-			h.Lives[0].Terminated, h.Lives[0].Killed = time.Time{}, after(2050)
-			h.Requests[1].End, h.Requests[1].Ended = client.Closed, after(2051)
+			h.Processes[0].Terminated, h.Processes[0].Killed = time.Time{}, after(2050)
+			h.Requests[1].Outcome, h.Requests[1].Ended = client.ClosedAfterRead, after(2051)
 		},
 		"work for a worker 0.54 s after its drain": func(h *History) {
 			h.Requests = append(h.Requests, request("n0-c", 0, 3500, 3700, "s-1 n0-c"))
@@ -169,16 +169,16 @@
 			h.Attempts = append(h.Attempts, attempt("s-1", "n0-c", 4540))
 		},
 		"work after a drain that came with a new address of discovery": func(h *History) {
-			h.Lives[0].Moved = []time.Time{after(2500)}
+			h.Processes[0].DiscoveryMoves = []time.Time{after(2500)}
 			h.Requests = append(h.Requests, request("n0-c", 0, 6900, 7100, "s-1 n0-c"))
 			h.Attempts = append(h.Attempts, attempt("s-1", "n0-c", 7000))
 		},
 		"a second attempt of what was turned away": func(h *History) {
-			h.Attempts[2].NotRun = true
+			h.Attempts[2].Rejected = true
 			h.Attempts = append(h.Attempts, attempt("s-0", "n0-b", 2040))
 		},
 		"an attempt that was given up": func(h *History) {
-			h.Attempts[0].Ended, h.Attempts[0].GivenUp = time.Time{}, after(1190)
+			h.Attempts[0].EndedAt, h.Attempts[0].CancelledAt = time.Time{}, after(1190)
 		},
 		"an answer late by the time in which the run stood still": func(h *History) {
 			h.Requests[1].Ended = h.Requests[1].Sent.Add(1700 * time.Millisecond)
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		c.bring(c.delivery())
-		pause := time.Duration(c.ExpFloat64() * float64(m.plan.Pause))
+		pause := time.Duration(c.ExpFloat64() * float64(m.plan.MeanPause))
 		if c.oneIn(restOneIn) {
 			pause = c.between(0, longRest)
 		}
@@ -55,7 +55,7 @@
 
 // connect makes sure of a connection, and tells whether there is one.
 func (c *caller) connect() bool {
-	if c.connection != nil && !c.connection.Over() {
+	if c.connection != nil && !c.connection.IsUnusable() {
 		return true
 	}
 	if c.connection != nil {
@@ -82,18 +82,18 @@
 
 // delivery draws the next request.
 func (c *caller) delivery() client.Delivery {
-	classes := c.history.Rules.Classes
+	classes := c.history.Terms.Classes
 	wait := c.between(c.plan.Deadline/2, c.plan.Deadline)
 	if c.oneIn(hurried) {
 		wait = c.between(leastWait, littleWait)
 	}
-	d := client.Delivery{Manner: c.manner(), Pause: c.between(time.Millisecond, 80*time.Millisecond), Overdue: listenOn,
-		Second: c.id()}
+	d := client.Delivery{Behavior: c.manner(), Pause: c.between(time.Millisecond, 80*time.Millisecond), ReadGrace: listenOn,
+		SecondID: c.id()}
 	d.Message = client.Message{ID: c.id(), Class: classes[c.IntN(len(classes))].Name, Tenant: "delta-mobile",
-		Body: []byte("a request of the soak"), Wait: wait.Truncate(time.Millisecond)}
+		Body: []byte("a request of the soak"), Timeout: wait.Truncate(time.Millisecond)}
 	d.Key = d.ID
-	if d.Manner.Bad() {
-		d.Overdue = errorOwed + listenOn
+	if d.Behavior.ViolatesProtocol() {
+		d.ReadGrace = errorOwed + listenOn
 	}
 	return d
 }
@@ -105,20 +105,20 @@
 
 // bring brings a request. One that nobody has read it brings once more, on a new connection.
 func (c *caller) bring(d client.Delivery) {
-	if c.once(d) != client.Unread || !c.connect() {
+	if c.once(d) != client.ResetUnread || !c.connect() {
 		return
 	}
 	c.once(d)
 }
 
-func (c *caller) once(d client.Delivery) client.End {
-	reused := c.connection.Used()
-	result := c.connection.Bring(d)
+func (c *caller) once(d client.Delivery) client.Outcome {
+	reused := c.connection.HasServed()
+	result := c.connection.Do(d)
 	c.note(func(time.Time) {
 		c.history.Requests = append(c.history.Requests, Request{Delivery: d, Result: result, Process: c.name,
-			Reused: reused, Crowded: c.plan.Crowd > 0 && c.index == 0})
+			Reused: reused, DescriptorsExhausted: c.plan.IdleClients > 0 && c.index == 0})
 	})
-	return result.End
+	return result.Outcome
 }
 
 // sleep waits for so long, or until the context ends.
--- a/internal/lab/soak/goroutines.go
+++ b/internal/lab/soak/goroutines.go
@@ -72,7 +72,7 @@
 
 // countLeft ends a process that all clients have left, and notes what it still had running.
 func (m *member) countLeft(p *program.Process) {
-	m.life(p, func(l *Life, now time.Time) { l.Killed = now })
+	m.life(p, func(l *ProcessRecord, now time.Time) { l.Killed = now })
 	n, err := goroutines(p)
 	if err != nil {
 		m.kill(p)
--- a/internal/lab/soak/installation.go
+++ b/internal/lab/soak/installation.go
@@ -28,11 +28,11 @@
 type installation struct {
 	plan    Plan
 	list    *discoveryserver.Server
-	doors   [2]*discoveryserver.Entrance // the addresses of discovery
+	doors   [2]*discoveryserver.Endpoint // the addresses of discovery
 	workers []*host.Host
 	rig     *rig.Rig
 	members []*member
-	crowd   *client.Crowd
+	crowd   *client.IdleClients
 	unused  int // goroutines of a dispatcher that nobody has used
 
 	mu      sync.Mutex
@@ -46,7 +46,7 @@
 	name      string
 	acting    sync.Mutex // held by who does something to its processes
 	idle      int        // descriptors of a process that nobody uses
-	lives     map[*program.Process]*Life
+	lives     map[*program.Process]*ProcessRecord
 	mu        sync.Mutex
 	closedFor time.Time // from when on no new connections come, until the next process is ready; zero for none
 }
@@ -65,14 +65,14 @@
 	if i.list, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	i.list.TellWhole(i.plan.Whole)
+	i.list.SetFullLists(i.plan.FullLists)
 	for k := range i.doors {
-		if i.doors[k], err = i.list.Entrance(); err != nil {
+		if i.doors[k], err = i.list.AddEndpoint(); err != nil {
 			return err
 		}
 	}
-	for k, work := range i.plan.Work {
-		h, err := host.Start(host.Options{Name: workerName(k), Dir: dir, Work: work}, i.callBack, "127.0.0.1:0")
+	for k, work := range i.plan.WorkTimes {
+		h, err := host.Start(host.Options{Name: workerName(k), SocketDir: dir, JobDuration: work}, i.callBack, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	for k := range i.plan.Processes {
 		names = append(names, processName(k))
 	}
-	i.history.Rules = i.rules()
+	i.history.Terms = i.rules()
 	if i.unused, err = i.countUnused(o, dir); err != nil {
 		return err
 	}
@@ -94,40 +94,40 @@
 		return err
 	}
 	for k, name := range names {
-		m := &member{installation: i, index: k, name: name, lives: map[*program.Process]*Life{}}
+		m := &member{installation: i, index: k, name: name, lives: map[*program.Process]*ProcessRecord{}}
 		p := i.rig.Process(name)
-		m.lives[p] = &Life{Process: name, Started: began, Ready: time.Now()}
-		if m.idle, err = p.Descriptors(); err != nil {
+		m.lives[p] = &ProcessRecord{Process: name, Started: began, Ready: time.Now()}
+		if m.idle, err = p.OpenDescriptors(); err != nil {
 			return err
 		}
 		i.members = append(i.members, m)
 	}
-	if i.plan.Crowd > 0 {
-		i.crowd = client.Gather(i.rig.Process(names[0]).Address(), i.plan.Crowd)
+	if i.plan.IdleClients > 0 {
+		i.crowd = client.StartIdleClients(i.rig.Process(names[0]).Address(), i.plan.IdleClients)
 	}
 	return nil
 }
 
 // rules are the terms that the plan's settings make.
-func (i *installation) rules() Rules {
-	r := Rules{DrainGrace: drainGrace, Asked: i.plan.Asked}
+func (i *installation) rules() Terms {
+	r := Terms{DrainGrace: drainGrace, Subscribe: i.plan.Subscribe}
 	for _, name := range program.Classes {
 		class := Class{Name: name}
-		if program.Once(name) {
-			class.Repeat = Once
+		if program.IsAtMostOnce(name) {
+			class.Repeat = AtMostOnce
 		}
 		r.Classes = append(r.Classes, class)
 	}
-	if i.plan.Window > 0 {
-		r.Classes[1].Repeat, r.Classes[1].Window = Keyed, i.plan.Window
+	if i.plan.KeyWindow > 0 {
+		r.Classes[1].Repeat, r.Classes[1].Window = Keyed, i.plan.KeyWindow
 	}
 	return r
 }
 
 // program says how the dispatchers are started.
 func (i *installation) program(o Options) program.Options {
-	return program.Options{Path: o.Program, Env: o.Env, Discovery: i.doors[0].Address(), Sockets: i.plan.Sockets,
-		Idle: idleLimit, Deadline: i.plan.Deadline, Asked: i.plan.Asked, Change: i.configure}
+	return program.Options{ProgramPath: o.ProgramPath, Env: o.Env, Discovery: i.doors[0].Address(), MaxSockets: i.plan.MaxSockets,
+		IdleTimeout: idleLimit, Deadline: i.plan.Deadline, Subscribe: i.plan.Subscribe, EditConfig: i.configure}
 }
 
 // configure gives a dispatcher its place among the others, and the keyed class.
@@ -140,8 +140,8 @@
 			config["seed"] = fmt.Sprint(i.plan.Seed + uint64(k))
 		}
 	}
-	if class := settings["classes"].([]any)[1].(map[string]any); i.plan.Window > 0 {
-		class["repeat"], class["group"], class["window_us"] = "dedup", "all", i.plan.Window.Microseconds()
+	if class := settings["classes"].([]any)[1].(map[string]any); i.plan.KeyWindow > 0 {
+		class["repeat"], class["group"], class["window_us"] = "dedup", "all", i.plan.KeyWindow.Microseconds()
 	}
 }
 
@@ -155,7 +155,7 @@
 	if p == nil {
 		return errors.New("no such dispatcher")
 	}
-	return p.CallBack(body)
+	return p.SendCallback(body)
 }
 
 // listed lists a worker in a state of health, with the time of its last start, and notes what that means for it.
@@ -165,10 +165,10 @@
 		millis = born.UnixMilli()
 	}
 	i.note(func(now time.Time) {
-		i.history.Listings = append(i.history.Listings, Listing{At: now, Worker: h.Name(), Wanted: health == "up"})
+		i.history.WorkerUpdates = append(i.history.WorkerUpdates, WorkerUpdate{At: now, Worker: h.Name(), AcceptsWork: health == "up"})
 	})
-	i.list.Set(discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[onAddress], Site: "hall-a", Class: "small",
-		Share: 1, Health: health, Born: millis})
+	i.list.Update(discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[onAddress], Site: "hall-a", Class: "small",
+		Share: 1, Health: health, StartedMillis: millis})
 }
 
 // note changes the history.
@@ -181,7 +181,7 @@
 // close ends all that was started.
 func (i *installation) close() {
 	if i.crowd != nil {
-		i.crowd.Disperse()
+		i.crowd.Stop()
 	}
 	if i.rig != nil {
 		i.rig.Close()
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -13,62 +13,62 @@
 
 // Plan is what happens in a run, all of it drawn from the seed.
 type Plan struct {
-	Seed      uint64
-	Length    time.Duration
-	Processes int
-	Deadline  time.Duration // of all classes
-	Window    time.Duration // of the keyed class; 0 where there is none
-	Asked     bool          // lists must be asked for
-	Whole     bool          // all lists are whole ones
-	Sockets   int           // descriptors of a process
-	Crowd     int           // idle clients of the first process; 0 for none
-	Clients   int           // of each process
-	Pause     time.Duration // of a client between two requests, on the mean
-	Work      []time.Duration
-	Dispatch  [][]ProcessStep // by process, one after the other
-	Joint     []JointStep     // by time
-	Workers   []WorkerStep    // by time
-	Discovery []DiscoveryStep // by time
+	Seed           uint64
+	Length         time.Duration
+	Processes      int
+	Deadline       time.Duration // of all classes
+	KeyWindow      time.Duration // of the keyed class; 0 where there is none
+	Subscribe      bool          // lists must be asked for
+	FullLists      bool          // all lists are whole ones
+	MaxSockets     int           // descriptors of a process
+	IdleClients    int           // idle clients of the first process; 0 for none
+	Clients        int           // of each process
+	MeanPause      time.Duration // of a client between two requests, on the mean
+	WorkTimes      []time.Duration
+	ProcessSteps   [][]ProcessStep // by process, one after the other
+	JointSteps     []JointStep     // by time
+	WorkerSteps    []WorkerStep    // by time
+	DiscoverySteps []DiscoveryStep // by time
 }
 
-// Act is what is done to a process.
-type Act int
+// Action is what is done to a process.
+type Action int
 
 // The acts.
 const (
-	End             Act = iota // SIGTERM, the kill at the earliest moment, a start from nothing
-	EndTwice                   // the same with a second SIGTERM
-	HangupThenEnd              // SIGHUP just before SIGTERM
-	EndThenHangup              // SIGHUP just after SIGTERM
-	Reload                     // SIGHUP behind SIGHUP, with another address of discovery
-	Freeze                     // SIGSTOP and SIGCONT
-	Replace                    // a second process takes the first one's place
-	ReplaceTwice               // a third one takes the second one's, as soon as that is ready
-	EndMidReplace              // SIGTERM to the first before the second is ready
-	HangupInReplace            // SIGHUP to both while one takes the other's place
-	KillAtOnce                 // SIGKILL without a word, a start from nothing
+	Terminate              Action = iota // SIGTERM, the kill at the earliest moment, a start from nothing
+	TerminateTwice                       // the same with a second SIGTERM
+	HangupThenTerminate                  // SIGHUP just before SIGTERM
+	TerminateThenHangup                  // SIGHUP just after SIGTERM
+	Reload                               // SIGHUP behind SIGHUP, with another address of discovery
+	Freeze                               // SIGSTOP and SIGCONT
+	Replace                              // a second process takes the first one's place
+	ReplaceTwice                         // a third one takes the second one's, as soon as that is ready
+	TerminateDuringReplace               // SIGTERM to the first before the second is ready
+	HangupDuringReplace                  // SIGHUP to both while one takes the other's place
+	Kill                                 // SIGKILL without a word, a start from nothing
 	acts
 )
 
 var actNames = [...]string{"end", "end twice", "hangup then end", "end then hangup", "reload", "freeze", "replace",
 	"replace twice", "end mid-replace", "hangup in replace", "kill"}
 
-func (a Act) String() string { return actNames[a] }
+func (a Action) String() string { return actNames[a] }
 
 // ProcessStep is an act, so long after the one before it has ended.
 type ProcessStep struct {
-	After time.Duration
-	Act   Act
-	Gap   time.Duration // between the signals of a series
-	Late  time.Duration // for which new connections come after SIGTERM
-	Held  bool          // the process stands still for a moment round each signal
+	Delay           time.Duration
+	Action          Action
+	SignalGap       time.Duration // between the signals of a series
+	AcceptAfterTerm time.Duration // for which new connections come after SIGTERM
+	FreezeOnSignal  bool          // the process stands still for a moment round each signal
 }
 
 func (s ProcessStep) String() string {
-	if s.Held {
-		return s.Act.String() + " held"
+	if s.FreezeOnSignal {
+		return s.Action.String() + " held"
 	}
-	return s.Act.String()
+	return s.Action.String()
 }
 
 // JointStep is an act on several processes within one moment.
@@ -78,30 +78,30 @@
 	Step      ProcessStep
 }
 
-// Trouble is what is done to a worker for a while.
-type Trouble int
+// Disruption is what is done to a worker for a while.
+type Disruption int
 
 // The troubles.
 const (
-	Drains   Trouble = iota // it is listed as draining
-	Returns                 // it is taken off the list, goes, and comes back later
-	Faulty                  // it does what a fault says
-	EndsIdle                // it closes or resets the connections that rest
+	DrainWorker          Disruption = iota // it is listed as draining
+	RestartWorker                          // it is taken off the list, goes, and comes back later
+	FaultyWorker                           // it does what a fault says
+	CloseIdleConnections                   // it closes or resets the connections that rest
 )
 
 // WorkerStep is a trouble of a worker.
 type WorkerStep struct {
-	At, For time.Duration
-	Worker  int
-	Trouble Trouble
-	Fault   host.Fault
-	Resets  bool
+	At, Duration time.Duration
+	Worker       int
+	Disruption   Disruption
+	Fault        host.Fault
+	Reset        bool
 }
 
 // DiscoveryStep is a fault of discovery.
 type DiscoveryStep struct {
-	At, For time.Duration
-	Fault   discoveryserver.Fault
+	At, Duration time.Duration
+	Fault        discoveryserver.Fault
 }
 
 // The ranges that plans are drawn from.
@@ -128,28 +128,28 @@
 
 func (d drawer) oneIn(n int) bool { return d.IntN(n) == 0 }
 
-// Draw makes the plan of a seed. most bounds its length; 0 for the full range.
-func Draw(seed uint64, most time.Duration) Plan {
+// NewPlan makes the plan of a seed. most bounds its length; 0 for the full range.
+func NewPlan(seed uint64, most time.Duration) Plan {
 	d := drawer{rand.New(rand.NewPCG(seed, 39))}
 	p := Plan{Seed: seed, Length: d.between(shortest, longest),
 		Processes: leastProcesses + d.IntN(mostProcesses-leastProcesses+1),
-		Deadline:  d.between(time.Second, 3*time.Second), Asked: d.oneIn(3), Whole: d.oneIn(3), Sockets: plainSockets,
-		Clients: leastClients + d.IntN(mostClients-leastClients+1),
-		Pause:   d.between(20*time.Millisecond, 150*time.Millisecond)}
+		Deadline:  d.between(time.Second, 3*time.Second), Subscribe: d.oneIn(3), FullLists: d.oneIn(3), MaxSockets: plainSockets,
+		Clients:   leastClients + d.IntN(mostClients-leastClients+1),
+		MeanPause: d.between(20*time.Millisecond, 150*time.Millisecond)}
 	if most > 0 {
 		p.Length = min(p.Length, most)
 	}
 	if d.oneIn(2) {
-		p.Window = d.between(300*time.Millisecond, 1500*time.Millisecond)
+		p.KeyWindow = d.between(300*time.Millisecond, 1500*time.Millisecond)
 	}
 	if d.oneIn(crowdOneIn) {
-		p.Sockets, p.Crowd = crowdSockets, crowdSize
+		p.MaxSockets, p.IdleClients = crowdSockets, crowdSize
 	}
 	for range leastWorkers + d.IntN(mostWorkers-leastWorkers+1) {
-		p.Work = append(p.Work, d.between(5*time.Millisecond, 300*time.Millisecond))
+		p.WorkTimes = append(p.WorkTimes, d.between(5*time.Millisecond, 300*time.Millisecond))
 	}
 	for range p.Processes {
-		p.Dispatch = append(p.Dispatch, d.processSteps(p.Length))
+		p.ProcessSteps = append(p.ProcessSteps, d.processSteps(p.Length))
 	}
 	d.joint(&p)
 	d.workers(&p)
@@ -158,13 +158,13 @@
 }
 
 func (d drawer) step() ProcessStep {
-	return ProcessStep{After: d.between(500*time.Millisecond, 4*time.Second), Act: Act(d.IntN(int(acts))),
-		Gap: d.between(0, 60*time.Millisecond), Late: d.between(200*time.Millisecond, 400*time.Millisecond),
-		Held: d.oneIn(3)}
+	return ProcessStep{Delay: d.between(500*time.Millisecond, 4*time.Second), Action: Action(d.IntN(int(acts))),
+		SignalGap: d.between(0, 60*time.Millisecond), AcceptAfterTerm: d.between(200*time.Millisecond, 400*time.Millisecond),
+		FreezeOnSignal: d.oneIn(3)}
 }
 
 func (d drawer) processSteps(length time.Duration) (steps []ProcessStep) {
-	for at := time.Duration(0); at < length; at += steps[len(steps)-1].After {
+	for at := time.Duration(0); at < length; at += steps[len(steps)-1].Delay {
 		steps = append(steps, d.step())
 	}
 	return steps
@@ -174,56 +174,56 @@
 func (d drawer) joint(p *Plan) {
 	for at := d.between(3*time.Second, 15*time.Second); at < p.Length; at += d.between(10*time.Second, 25*time.Second) {
 		step := d.step()
-		step.Act = [...]Act{End, KillAtOnce, Freeze, Reload}[d.IntN(4)]
+		step.Action = [...]Action{Terminate, Kill, Freeze, Reload}[d.IntN(4)]
 		who := d.Perm(p.Processes)[:(p.Processes+1)/2+d.IntN(p.Processes/2)]
-		p.Joint = append(p.Joint, JointStep{At: at, Processes: who, Step: step})
+		p.JointSteps = append(p.JointSteps, JointStep{At: at, Processes: who, Step: step})
 	}
 }
 
 // workers draws troubles of the workers but the first, so that one serves at any time.
 func (d drawer) workers(p *Plan) {
-	faults := []host.Fault{host.Refuse, host.ResetUnread, host.ResetMidway, host.ResetWhole, host.ResetAccepted,
-		host.Garbage, host.Hang, host.TurnAway}
-	free := make([]time.Duration, len(p.Work))
+	faults := []host.Fault{host.Refuse, host.ResetOnAccept, host.ResetMidRequest, host.ResetAfterRequest, host.ResetAfterResponse,
+		host.Garbage, host.Hang, host.RejectJobs}
+	free := make([]time.Duration, len(p.WorkTimes))
 	const least, most = 300 * time.Millisecond, 2 * time.Second // between two troubles
 	for at := time.Second; at < p.Length; at += d.between(least, most) {
-		s := WorkerStep{At: at, For: d.between(time.Second, 6*time.Second), Worker: 1 + d.IntN(len(p.Work)-1),
-			Trouble: Trouble(d.IntN(4)), Fault: faults[d.IntN(len(faults))], Resets: d.oneIn(2)}
+		s := WorkerStep{At: at, Duration: d.between(time.Second, 6*time.Second), Worker: 1 + d.IntN(len(p.WorkTimes)-1),
+			Disruption: Disruption(d.IntN(4)), Fault: faults[d.IntN(len(faults))], Reset: d.oneIn(2)}
 		if free[s.Worker] > at {
 			continue
 		}
-		free[s.Worker] = at + s.For + time.Second
-		p.Workers = append(p.Workers, s)
+		free[s.Worker] = at + s.Duration + time.Second
+		p.WorkerSteps = append(p.WorkerSteps, s)
 	}
 }
 
 // outages draws faults of discovery that leave it some time between them.
 func (d drawer) outages(p *Plan) {
-	faults := []discoveryserver.Fault{discoveryserver.Silent}
-	if p.Asked {
-		faults = []discoveryserver.Fault{discoveryserver.Silent, discoveryserver.Slow, discoveryserver.Refuse}
+	faults := []discoveryserver.Fault{discoveryserver.Unresponsive}
+	if p.Subscribe {
+		faults = []discoveryserver.Fault{discoveryserver.Unresponsive, discoveryserver.Slow, discoveryserver.Unavailable}
 	}
 	for at := d.between(2*time.Second, 10*time.Second); at < p.Length; at += d.between(12*time.Second, 20*time.Second) {
-		p.Discovery = append(p.Discovery,
-			DiscoveryStep{At: at, For: d.between(time.Second, 5*time.Second), Fault: faults[d.IntN(len(faults))]})
+		p.DiscoverySteps = append(p.DiscoverySteps,
+			DiscoveryStep{At: at, Duration: d.between(time.Second, 5*time.Second), Fault: faults[d.IntN(len(faults))]})
 	}
 }
 
 // manner draws how a client brings its next request: mostly at once or in pieces.
-func (d drawer) manner() client.Manner {
+func (d drawer) manner() client.Behavior {
 	switch n := d.IntN(100); {
 	case n < 70:
-		return client.AtOnce
+		return client.SingleWrite
 	case n < 88:
-		return client.InPieces
+		return client.SeveralWrites
 	case n < 93:
-		return client.Leaving
+		return client.CloseEarly
 	case n < 95:
-		return client.HalfClosing
+		return client.HalfClose
 	case n < 97:
-		return client.StopMidway
+		return client.StopMidRequest
 	}
-	return client.Doubled
+	return client.TwoRequests
 }
 
 // String tells the plan, so that a run can be understood before it is played.
@@ -231,37 +231,37 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %v, %d processes of %d descriptors, %d clients each every %v, deadline %v, window %v, "+
 		"asked %v, whole lists %v, crowd %d, %d workers\n",
-		p.Seed, p.Length.Round(time.Millisecond), p.Processes, p.Sockets, p.Clients, p.Pause.Round(time.Millisecond),
-		p.Deadline.Round(time.Millisecond), p.Window.Round(time.Millisecond), p.Asked, p.Whole, p.Crowd, len(p.Work))
-	for i, steps := range p.Dispatch {
+		p.Seed, p.Length.Round(time.Millisecond), p.Processes, p.MaxSockets, p.Clients, p.MeanPause.Round(time.Millisecond),
+		p.Deadline.Round(time.Millisecond), p.KeyWindow.Round(time.Millisecond), p.Subscribe, p.FullLists, p.IdleClients, len(p.WorkTimes))
+	for i, steps := range p.ProcessSteps {
 		fmt.Fprintf(&b, "  %s:", processName(i))
 		for _, s := range steps {
-			fmt.Fprintf(&b, " +%v %v,", s.After.Round(time.Millisecond), s)
+			fmt.Fprintf(&b, " +%v %v,", s.Delay.Round(time.Millisecond), s)
 		}
 		b.WriteByte('\n')
 	}
-	for _, s := range p.Joint {
+	for _, s := range p.JointSteps {
 		fmt.Fprintf(&b, "  %v: %v of %v\n", s.At.Round(time.Millisecond), s.Step, s.Processes)
 	}
-	for _, s := range p.Workers {
-		fmt.Fprintf(&b, "  %v for %v: %s %s\n", s.At.Round(time.Millisecond), s.For.Round(time.Millisecond),
+	for _, s := range p.WorkerSteps {
+		fmt.Fprintf(&b, "  %v for %v: %s %s\n", s.At.Round(time.Millisecond), s.Duration.Round(time.Millisecond),
 			workerName(s.Worker), s.what())
 	}
-	for _, s := range p.Discovery {
-		fmt.Fprintf(&b, "  %v for %v: discovery %s\n", s.At.Round(time.Millisecond), s.For.Round(time.Millisecond),
+	for _, s := range p.DiscoverySteps {
+		fmt.Fprintf(&b, "  %v for %v: discovery %s\n", s.At.Round(time.Millisecond), s.Duration.Round(time.Millisecond),
 			[...]string{"well", "silent", "slow", "refusing", "crowded"}[s.Fault])
 	}
 	return b.String()
 }
 
 func (s WorkerStep) what() string {
-	switch s.Trouble {
-	case Drains:
+	switch s.Disruption {
+	case DrainWorker:
 		return "drains"
-	case Returns:
+	case RestartWorker:
 		return "goes and returns"
-	case EndsIdle:
-		return fmt.Sprintf("ends idle connections, by reset %v", s.Resets)
+	case CloseIdleConnections:
+		return fmt.Sprintf("ends idle connections, by reset %v", s.Reset)
 	}
 	return s.Fault.String()
 }
