--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -18,13 +18,13 @@
 
 // Options say what is played.
 type Options struct {
-	Program  string        // path of the dispatcher
-	Env      []string      // of the dispatchers
-	First    uint64        // seed of the first run
-	Seeds    int           // how many runs, with seeds in a row
-	Parallel int           // runs at a time
-	Longest  time.Duration // bound on the length of a run; 0 for none
-	Logs     string        // folder for the logs of runs with breaks; "" for none
+	ProgramPath string        // path of the dispatcher
+	Env         []string      // of the dispatchers
+	FirstSeed   uint64        // seed of the first run
+	Seeds       int           // how many runs, with seeds in a row
+	Parallel    int           // runs at a time
+	MaxLength   time.Duration // bound on the length of a run; 0 for none
+	LogDir      string        // folder for the logs of runs with breaks; "" for none
 }
 
 // errOptions is an option that makes no sense.
@@ -40,7 +40,7 @@
 
 // check looks at the options before anything is started.
 func (o Options) check() error {
-	info, err := os.Stat(o.Program)
+	info, err := os.Stat(o.ProgramPath)
 	switch {
 	case o.Seeds < 1:
 		return UsageError{fmt.Errorf("%w: %d seeds are none", errOptions, o.Seeds)}
@@ -49,15 +49,15 @@
 	case err != nil:
 		return UsageError{fmt.Errorf("%w: the dispatcher: %w", errOptions, err)}
 	case info.IsDir() || info.Mode()&0o111 == 0:
-		return UsageError{fmt.Errorf("%w: the dispatcher: %s is no program", errOptions, o.Program)}
+		return UsageError{fmt.Errorf("%w: the dispatcher: %s is no program", errOptions, o.ProgramPath)}
 	}
-	if o.Logs == "" {
+	if o.LogDir == "" {
 		return nil
 	}
-	if err := os.MkdirAll(o.Logs, 0o755); err != nil {
+	if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
 		return UsageError{fmt.Errorf("%w: the folder of logs: %w", errOptions, err)}
 	}
-	probe, err := os.CreateTemp(o.Logs, ".probe-*")
+	probe, err := os.CreateTemp(o.LogDir, ".probe-*")
 	if err != nil {
 		return UsageError{fmt.Errorf("%w: the folder of logs: %w", errOptions, err)}
 	}
@@ -67,16 +67,16 @@
 
 // Outcome is what a run has shown.
 type Outcome struct {
-	Seed     uint64         `json:"seed"`
-	Ends     map[string]int `json:"ends"`     // of the requests
-	Statuses map[int]int    `json:"statuses"` // of the answers
-	Door     int            `json:"door"`     // first requests of a connection that nobody read, where no crowd was
-	Attempts int            `json:"attempts"`
-	Lives    int            `json:"lives"`  // processes
-	Killed   int            `json:"killed"` // of these, at the end of their time
-	Stalled  time.Duration  `json:"stalled"`
-	Breaks   []Break        `json:"breaks"`
-	Fault    string         `json:"fault,omitempty"` // why it could not be played to its end
+	Seed                uint64         `json:"seed"`
+	Ends                map[string]int `json:"ends"`     // of the requests
+	Statuses            map[int]int    `json:"statuses"` // of the answers
+	UnreadFirstRequests int            `json:"door"`     // first requests of a connection that nobody read, where no crowd was
+	Attempts            int            `json:"attempts"`
+	Processes           int            `json:"lives"`  // processes
+	KilledAfterTerm     int            `json:"killed"` // of these, at the end of their time
+	Stalled             time.Duration  `json:"stalled"`
+	Violations          []Violation    `json:"breaks"`
+	Failure             string         `json:"fault,omitempty"` // why it could not be played to its end
 }
 
 // Run plays the runs and reports what they have shown. Progress is told to w.
@@ -95,11 +95,11 @@
 		}
 		wait.Go(func() {
 			defer func() { <-places }()
-			plan := Draw(o.First+uint64(k), o.Longest)
+			plan := NewPlan(o.FirstSeed+uint64(k), o.MaxLength)
 			told.Lock()
 			fmt.Fprint(w, plan)
 			told.Unlock()
-			outcomes[k] = Play(ctx, o, plan)
+			outcomes[k] = RunPlan(ctx, o, plan)
 			told.Lock()
 			defer told.Unlock()
 			outcomes[k].tell(w)
@@ -109,33 +109,33 @@
 	return summary(o, outcomes), ctx.Err()
 }
 
-// Play plays one run and judges it.
-func Play(ctx context.Context, o Options, p Plan) Outcome {
+// RunPlan plays one run and judges it.
+func RunPlan(ctx context.Context, o Options, p Plan) Outcome {
 	out := Outcome{Seed: p.Seed, Ends: map[string]int{}, Statuses: map[int]int{}}
 	history, err := play(ctx, o, p)
 	if err != nil {
-		out.Fault = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	for _, r := range history.Requests {
-		out.Ends[r.End.String()]++
+		out.Ends[r.Outcome.String()]++
 		switch {
-		case r.End == client.Answered:
+		case r.Outcome == client.Answered:
 			out.Statuses[r.Status]++
-		case r.End == client.Unread && !r.Reused && !r.Crowded:
-			out.Door++
+		case r.Outcome == client.ResetUnread && !r.Reused && !r.DescriptorsExhausted:
+			out.UnreadFirstRequests++
 		}
 	}
-	for _, l := range history.Lives {
+	for _, l := range history.Processes {
 		if !l.Killed.IsZero() && !l.Terminated.IsZero() {
-			out.Killed++
+			out.KilledAfterTerm++
 		}
 	}
-	out.Attempts, out.Lives = len(history.Attempts), len(history.Lives)
+	out.Attempts, out.Processes = len(history.Attempts), len(history.Processes)
 	for _, s := range history.Stalls {
 		out.Stalled += s.To.Sub(s.From)
 	}
-	out.Breaks = Audit(history)
+	out.Violations = Audit(history)
 	return out
 }
 
@@ -155,8 +155,8 @@
 		return nil, err
 	}
 	i.collect()
-	if o.Logs != "" {
-		err = i.keepLogs(o.Logs)
+	if o.LogDir != "" {
+		err = i.keepLogs(o.LogDir)
 	}
 	return &i.history, err
 }
@@ -230,7 +230,7 @@
 // finish looks what the processes still hold when all clients have gone, and ends them.
 func (i *installation) finish() error {
 	if i.crowd != nil {
-		i.crowd.Disperse()
+		i.crowd.Stop()
 	}
 	var wait sync.WaitGroup
 	for _, m := range i.members {
@@ -255,14 +255,14 @@
 // settle waits until a process holds no more than one that nobody has used, and notes what it holds at the end.
 func (m *member) settle() {
 	p := m.rig.Process(m.name)
-	left := Leftover{Process: m.name, Allowed: m.idle + spare}
+	left := Leftover{Process: m.name, AllowedDescriptors: m.idle + spare}
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(settleLook) {
-		figures, err := p.Figures()
+		figures, err := p.Metrics()
 		if err != nil {
 			continue
 		}
 		left.Outstanding = int(figures["app_outstanding"])
-		if left.Descriptors, err = p.Descriptors(); err == nil && left.Descriptors <= left.Allowed &&
+		if left.Descriptors, err = p.OpenDescriptors(); err == nil && left.Descriptors <= left.AllowedDescriptors &&
 			left.Outstanding == 0 {
 			break
 		}
@@ -279,23 +279,23 @@
 	}
 	for _, m := range i.members {
 		for _, l := range m.lives {
-			i.history.Lives = append(i.history.Lives, *l)
+			i.history.Processes = append(i.history.Processes, *l)
 		}
 	}
-	slices.SortFunc(i.history.Lives, func(a, b Life) int { return a.Started.Compare(b.Started) })
+	slices.SortFunc(i.history.Processes, func(a, b ProcessRecord) int { return a.Started.Compare(b.Started) })
 }
 
 // tell tells what a run has shown.
 func (o Outcome) tell(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %v, %d at the door, statuses %v, %d attempts, %d processes, %d killed at their end, "+
 		"stalled %v\n",
-		o.Seed, o.Ends, o.Door, o.Statuses, o.Attempts, o.Lives, o.Killed, o.Stalled.Round(time.Millisecond))
-	if o.Fault != "" {
-		fmt.Fprintf(w, "seed %d: COULD NOT BE PLAYED: %s\n", o.Seed, o.Fault)
+		o.Seed, o.Ends, o.UnreadFirstRequests, o.Statuses, o.Attempts, o.Processes, o.KilledAfterTerm, o.Stalled.Round(time.Millisecond))
+	if o.Failure != "" {
+		fmt.Fprintf(w, "seed %d: COULD NOT BE PLAYED: %s\n", o.Seed, o.Failure)
 	}
-	for _, b := range o.Breaks {
-		fmt.Fprintf(w, "seed %d: BROKEN %s %s %s: %s\n", o.Seed, b.Rule, b.Process, b.ID, b.What)
-		for _, line := range b.Around {
+	for _, b := range o.Violations {
+		fmt.Fprintf(w, "seed %d: BROKEN %s %s %s: %s\n", o.Seed, b.Rule, b.Process, b.ID, b.Message)
+		for _, line := range b.Events {
 			fmt.Fprintf(w, "    %s\n", line)
 		}
 	}
@@ -303,7 +303,7 @@
 
 // summary makes the report of all runs.
 func summary(o Options, outcomes []Outcome) *report.Report {
-	r := report.New("soak", o.First, "seed", "requests", "served", "door", "attempts", "processes", "killed",
+	r := report.New("soak", o.FirstSeed, "seed", "requests", "served", "door", "attempts", "processes", "killed",
 		"breaks")
 	faults := 0
 	for _, out := range outcomes {
@@ -311,37 +311,37 @@
 		for _, n := range out.Ends {
 			requests += n
 		}
-		r.Add(out.Seed, requests, out.Statuses[200], out.Door, out.Attempts, out.Lives, out.Killed, len(out.Breaks))
-		if out.Fault != "" {
+		r.AddRow(out.Seed, requests, out.Statuses[200], out.UnreadFirstRequests, out.Attempts, out.Processes, out.KilledAfterTerm, len(out.Violations))
+		if out.Failure != "" {
 			faults++
 		}
-		if len(out.Breaks) > 0 || out.Fault != "" {
+		if len(out.Violations) > 0 || out.Failure != "" {
 			r.Notes = append(r.Notes,
 				fmt.Sprintf("again: topazlab soak --first %d --seeds 1%s", out.Seed, o.lengthFlag()))
 		}
 	}
-	for _, rule := range []Rule{Lost, Closed, Duplicate, Refused, Invented, Drain, Departed, Timeout, Owed, Crash,
-		Ready, Leak} {
+	for _, rule := range []Rule{RuleLost, RuleClosed, RuleDuplicate, RuleRefused, RuleInvented, RuleDrain, RuleDeparted, RuleTimeout, RuleErrorOwed, RuleCrash,
+		RuleReady, RuleLeak} {
 		n := 0
 		for _, out := range outcomes {
-			for _, b := range out.Breaks {
+			for _, b := range out.Violations {
 				if b.Rule == rule {
 					n++
 				}
 			}
 		}
-		r.Check("broken: "+string(rule), float64(n), 0, "")
+		r.AddBound("broken: "+string(rule), float64(n), 0, "")
 	}
-	r.Check("runs that could not be played", float64(faults), 0, "")
+	r.AddBound("runs that could not be played", float64(faults), 0, "")
 	r.Data = outcomes
 	return r
 }
 
 func (o Options) lengthFlag() string {
-	if o.Longest == 0 {
+	if o.MaxLength == 0 {
 		return ""
 	}
-	return fmt.Sprintf(" --longest %v", o.Longest)
+	return fmt.Sprintf(" --longest %v", o.MaxLength)
 }
 
 func writeFile(path, text string) error { return os.WriteFile(path, []byte(text), 0o644) }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,8 +25,8 @@
 }
 
 func options(t *testing.T) Options {
-	return Options{Program: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"}, First: 1, Seeds: 6, Parallel: 2,
-		Longest: 15 * time.Second, Logs: t.TempDir()}
+	return Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"}, FirstSeed: 1, Seeds: 6, Parallel: 2,
+		MaxLength: 15 * time.Second, LogDir: t.TempDir()}
 }
 
 // TestSoak is the short form of topazlab soak: whole installations under starts, ends, reloads and replacements, with
@@ -38,9 +38,9 @@
 	var told bytes.Buffer
 	r, err := Run(context.Background(), options(t), &told)
 	require.NoError(t, err)
-	for _, bar := range r.Bars {
-		if !bar.Holds() {
-			t.Errorf("%s: %v", bar.What, bar.Value)
+	for _, bar := range r.Bounds {
+		if !bar.IsMet() {
+			t.Errorf("%s: %v", bar.Name, bar.Value)
 		}
 	}
 	require.NotZero(t, r.Rows[0]["served"])
@@ -51,30 +51,30 @@
 
 // A plan hangs on its seed alone, and the plans of fifty seeds have all that may happen.
 func TestPlans(t *testing.T) {
-	require.Equal(t, Draw(7, 0), Draw(7, 0))
-	require.NotEqual(t, Draw(7, 0).String(), Draw(8, 0).String())
+	require.Equal(t, NewPlan(7, 0), NewPlan(7, 0))
+	require.NotEqual(t, NewPlan(7, 0).String(), NewPlan(8, 0).String())
 	seen := map[any]int{}
 	for seed := range uint64(50) {
-		p := Draw(seed, 0)
+		p := NewPlan(seed, 0)
 		require.GreaterOrEqual(t, p.Length, shortest)
 		require.LessOrEqual(t, p.Length, longest)
-		for _, steps := range p.Dispatch {
+		for _, steps := range p.ProcessSteps {
 			for _, s := range steps {
-				seen[s.Act]++
+				seen[s.Action]++
 			}
 		}
-		for _, s := range p.Workers {
-			seen[s.Trouble]++
-			if s.Trouble == Faulty {
+		for _, s := range p.WorkerSteps {
+			seen[s.Disruption]++
+			if s.Disruption == FaultyWorker {
 				seen[s.Fault]++
 			}
 		}
-		for _, s := range p.Discovery {
+		for _, s := range p.DiscoverySteps {
 			seen[s.Fault]++
 		}
-		seen["joint"] += len(p.Joint)
-		seen["crowd"] += p.Crowd
-		for what, is := range map[string]bool{"asked": p.Asked, "whole": p.Whole, "window": p.Window > 0} {
+		seen["joint"] += len(p.JointSteps)
+		seen["crowd"] += p.IdleClients
+		for what, is := range map[string]bool{"asked": p.Subscribe, "whole": p.FullLists, "window": p.KeyWindow > 0} {
 			if is {
 				seen[what]++
 			}
@@ -83,7 +83,7 @@
 	for act := range acts {
 		require.NotZero(t, seen[act], act)
 	}
-	for _, trouble := range []Trouble{Drains, Returns, Faulty, EndsIdle} {
+	for _, trouble := range []Disruption{DrainWorker, RestartWorker, FaultyWorker, CloseIdleConnections} {
 		require.NotZero(t, seen[trouble], trouble)
 	}
 	for _, what := range []string{"joint", "crowd", "asked", "whole", "window"} {
@@ -98,9 +98,9 @@
 	for name, change := range map[string]func(o *Options){
 		"0 seeds are none":           func(o *Options) { o.Seeds = 0 },
 		"-1 runs at a time are none": func(o *Options) { o.Parallel = -1 },
-		"no such file":               func(o *Options) { o.Program = file + "s" },
-		"is no program":              func(o *Options) { o.Program = file },
-		"not a directory":            func(o *Options) { o.Logs = filepath.Join(file, "logs") },
+		"no such file":               func(o *Options) { o.ProgramPath = file + "s" },
+		"is no program":              func(o *Options) { o.ProgramPath = file },
+		"not a directory":            func(o *Options) { o.LogDir = filepath.Join(file, "logs") },
 	} {
 		o := options(t)
 		change(&o)
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -53,10 +53,10 @@
 
 func TestFind(t *testing.T) {
 	r := startResolver(t)
-	r.List(srvName, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5, A: []string{"10.0.0.1"},
+	r.SetRecords(srvName, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5, A: []string{"10.0.0.1"},
 		AAAA: []string{"fd00::1"}})
 	for _, bare := range []bool{false, true} {
-		r.Bare(bare)
+		r.OmitAdditional(bare)
 		l := newLookup(time.Second, r)
 		result, err := findHosts(l)
 		require.NoError(t, err)
@@ -68,26 +68,26 @@
 		require.InDelta(t, 7, result.lifetime.Seconds(), 0.5)
 		require.EqualValues(t, 5, got.Weight)
 	}
-	require.Equal(t, 1, r.Queries("w1.example", "A"))
-	require.Equal(t, 2, r.Queries(srvName, "SRV"))
+	require.Equal(t, 1, r.QueryCount("w1.example", "A"))
+	require.Equal(t, 2, r.QueryCount(srvName, "SRV"))
 }
 
 func TestAliases(t *testing.T) {
 	r := startResolver(t)
-	r.List("_real._tcp.w.example", 9, targets(1)...)
-	r.Alias(srvName, "a.example", 4)
-	r.Alias("a.example", "_real._tcp.w.example", 30)
+	r.SetRecords("_real._tcp.w.example", 9, targets(1)...)
+	r.SetAlias(srvName, "a.example", 4)
+	r.SetAlias("a.example", "_real._tcp.w.example", 30)
 	result, err := findHosts(newLookup(time.Second, r))
 	require.NoError(t, err)
 	require.Len(t, result.records, 1)
 	require.Equal(t, 4*time.Second, result.lifetime, "the minimum of the chain")
-	r.Alias("a.example", srvName, 30)
+	r.SetAlias("a.example", srvName, 30)
 	_, err = findHosts(newLookup(time.Second, r))
 	require.ErrorContains(t, err, "form a loop")
 	for i := range 12 {
-		r.Alias(fmt.Sprintf("c%d.example", i), fmt.Sprintf("c%d.example", i+1), 30)
+		r.SetAlias(fmt.Sprintf("c%d.example", i), fmt.Sprintf("c%d.example", i+1), 30)
 	}
-	r.Alias(srvName, "c0.example", 30)
+	r.SetAlias(srvName, "c0.example", 30)
 	_, err = findHosts(newLookup(time.Second, r))
 	require.ErrorContains(t, err, "more than 8 aliases")
 }
@@ -96,25 +96,25 @@
 // never taken for the complete one.
 func TestTruncated(t *testing.T) {
 	r, other := startResolver(t), startResolver(t)
-	r.List(srvName, 9, targets(1500)...)
-	r.Bare(true)
+	r.SetRecords(srvName, 9, targets(1500)...)
+	r.OmitAdditional(true)
 	l := newLookup(time.Second, r)
 	result, err := findHosts(l) // larger than a datagram
 	require.NoError(t, err)
 	require.Len(t, result.records, 1500)
-	require.Positive(t, r.OverTCP())
+	require.Positive(t, r.TCPQueryCount())
 
-	r.List(srvName, 9, targets(4)...)
+	r.SetRecords(srvName, 9, targets(4)...)
 	for _, fault := range []resolver.Fault{resolver.TruncateTCPSlow, resolver.TruncateTCPRefuse} {
-		r.Set(fault)
+		r.SetFault(fault)
 		_, err = findHosts(newLookup(200*time.Millisecond, r))
 		require.Error(t, err, fault)
-		other.List(srvName, 9, targets(4)...)
+		other.SetRecords(srvName, 9, targets(4)...)
 		result, err = findHosts(newLookup(200*time.Millisecond, r, other))
 		require.NoError(t, err, fault)
 		require.Len(t, result.records, 4)
 	}
-	r.Set(resolver.Truncate)
+	r.SetFault(resolver.Truncate)
 	result, err = findHosts(newLookup(time.Second, r))
 	require.NoError(t, err)
 	require.Len(t, result.records, 4)
@@ -124,15 +124,15 @@
 // resolver.
 func TestFaults(t *testing.T) {
 	bad, good := startResolver(t), startResolver(t)
-	bad.List(srvName, 9, targets(3)...)
-	good.List(srvName, 9, targets(3)...)
-	for _, fault := range []resolver.Fault{resolver.Timeout, resolver.Late, resolver.ServFail, resolver.Silent,
+	bad.SetRecords(srvName, 9, targets(3)...)
+	good.SetRecords(srvName, 9, targets(3)...)
+	for _, fault := range []resolver.Fault{resolver.Timeout, resolver.Late, resolver.ServFail, resolver.EmptyWithoutSOA,
 		resolver.WrongID,
-		resolver.WrongQuestion, resolver.Garbage, resolver.CutName, resolver.Loop, resolver.Circle} {
-		bad.Set(fault)
+		resolver.WrongQuestion, resolver.Garbage, resolver.TruncatedName, resolver.PointerLoop, resolver.AliasLoop} {
+		bad.SetFault(fault)
 		_, err := findHosts(newLookup(100*time.Millisecond, bad))
 		require.Error(t, err, fault)
-		if fault == resolver.Silent || fault == resolver.Circle {
+		if fault == resolver.EmptyWithoutSOA || fault == resolver.AliasLoop {
 			continue // well-formed answers, after which no other resolver is queried
 		}
 		l := newLookup(100*time.Millisecond, bad, good)
@@ -144,13 +144,13 @@
 		require.Positive(t, l.nameservers[0].failures, fault)
 	}
 	for _, fault := range []resolver.Fault{resolver.NXDomain, resolver.Empty} {
-		bad.Set(fault)
+		bad.SetFault(fault)
 		result, err := findHosts(newLookup(time.Second, bad))
 		require.NoError(t, err, fault)
 		require.True(t, result.empty)
 		require.Equal(t, time.Second, result.lifetime, "the zone's minimum")
 	}
-	bad.Set(resolver.FormErr)
+	bad.SetFault(resolver.FormErr)
 	result, err := findHosts(newLookup(time.Second, bad))
 	require.NoError(t, err)
 	require.Len(t, result.records, 3, "without EDNS0")
@@ -163,12 +163,12 @@
 	l := newLookup(time.Second, r)
 	for ttl, want := range map[uint32]time.Duration{0: 100 * time.Millisecond, 1: time.Second,
 		1 << 31: 100 * time.Millisecond, 1<<31 - 1: time.Hour} {
-		r.List(srvName, ttl, targets(1)...)
+		r.SetRecords(srvName, ttl, targets(1)...)
 		result, err := findHosts(l)
 		require.NoError(t, err)
 		require.InDelta(t, want.Seconds(), result.lifetime.Seconds(), 0.05, "%d", ttl)
 	}
-	r.List(srvName, 5, resolver.Target{Host: ".", Port: 0})
+	r.SetRecords(srvName, 5, resolver.Target{Host: ".", Port: 0})
 	result, err := findHosts(l)
 	require.NoError(t, err)
 	require.True(t, result.empty, `the target "." means that the service is not available`)
@@ -202,33 +202,33 @@
 // with growing delays, and the end of the outage is noticed soon.
 func TestPoll(t *testing.T) {
 	r := startResolver(t)
-	r.List(srvName, 1, targets(2)...)
+	r.SetRecords(srvName, 1, targets(2)...)
 	sink := &recordingSink{}
 	source := New(sink)
 	source.Configure(Options{Resolvers: []string{r.Address()}, Timeout: 100 * time.Millisecond,
 		MinLifetime: 100 * time.Millisecond, MaxLifetime: time.Hour}, []string{srvName})
 	time.Sleep(4200 * time.Millisecond)
-	n := r.Queries(srvName, "SRV")
+	n := r.QueryCount(srvName, "SRV")
 	require.GreaterOrEqual(t, n, 4)
 	require.LessOrEqual(t, n, 6)
-	r.Set(resolver.Timeout)
+	r.SetFault(resolver.Timeout)
 	require.Eventually(t, func() bool { e := sink.snapshot(); return strings.HasPrefix(e[len(e)-1], "failed") },
 		5*time.Second, 10*time.Millisecond)
 	time.Sleep(time.Second)
-	require.LessOrEqual(t, r.Queries(srvName, "SRV")-n, 8)
-	r.Set(resolver.Answer)
+	require.LessOrEqual(t, r.QueryCount(srvName, "SRV")-n, 8)
+	r.SetFault(resolver.Answer)
 	require.Eventually(t, func() bool { e := sink.snapshot(); return e[len(e)-1] == "answer 2" },
 		6*time.Second, 10*time.Millisecond)
 	source.Close()
-	n = r.Queries(srvName, "SRV")
+	n = r.QueryCount(srvName, "SRV")
 	time.Sleep(1200 * time.Millisecond)
-	require.Equal(t, n, r.Queries(srvName, "SRV"), "closed")
+	require.Equal(t, n, r.QueryCount(srvName, "SRV"), "closed")
 }
 
 // The queries of 48 dispatchers that start together and see the same lifetimes are spread in time, at first and later.
 func TestPollsAreSpread(t *testing.T) {
 	r := startResolver(t)
-	r.List(srvName, 1, targets(2)...)
+	r.SetRecords(srvName, 1, targets(2)...)
 	var all []*Source
 	for range 48 {
 		source := New(&recordingSink{})
@@ -240,7 +240,7 @@
 	for _, source := range all {
 		source.Close()
 	}
-	moments := r.Moments()
+	moments := r.QueryTimes()
 	slices.SortFunc(moments, time.Time.Compare)
 	require.Greater(t, len(moments), 100)
 	for i := 0; i+24 < len(moments); i++ {
--- a/internal/upstream/route_test.go
+++ b/internal/upstream/route_test.go
@@ -18,7 +18,7 @@
 // When the list of addresses changes, the addresses that stay keep their state and connections, and the connections of
 // the others are closed. New limits, as at SIGHUP, discard nothing. A host that is removed leaves nothing behind.
 func TestRouteKeepsStateOfRemainingAddresses(t *testing.T) {
-	h, err := host.Start(host.Options{Name: "h", Dir: t.TempDir()}, func([]byte) error { return nil }, "127.0.0.1:0",
+	h, err := host.Start(host.Options{Name: "h", SocketDir: t.TempDir()}, func([]byte) error { return nil }, "127.0.0.1:0",
 		"[::1]:0")
 	require.NoError(t, err)
 	defer h.Close()
@@ -36,14 +36,14 @@
 	require.NoError(t, call())
 	require.NoError(t, call())
 	require.EqualValues(t, 1, transport.openConns.Load())
-	require.Equal(t, 1, h.Accepted(0), "the connection is kept and used again")
+	require.Equal(t, 1, h.AcceptedConns(0), "the connection is kept and used again")
 	require.Equal(t, addresses.Good, transport.HandoverState()["h"][0].State)
 
 	transport.SetConnSettings(ConnSettings{DialTimeout: time.Second, IdleTimeout: time.Hour, ProbeAllowed: true})
 	transport.SetAddresses("h", []addresses.Address{both[1], both[0]}) // another order
 	require.Equal(t, addresses.Good, transport.HandoverState()["h"][1].State)
 	require.NoError(t, call())
-	require.Equal(t, 1, h.Accepted(0))
+	require.Equal(t, 1, h.AcceptedConns(0))
 	require.Eventually(t, func() bool { return transport.HandoverState()["h"][0].State == addresses.Good },
 		10*time.Second, time.Millisecond, "the address that is preferred now was probed")
 
@@ -51,8 +51,8 @@
 	require.Eventually(t, func() bool { return transport.openConns.Load() == 1 }, 10*time.Second, time.Millisecond,
 		"the connection of the probe stays")
 	require.NoError(t, call())
-	require.Equal(t, 1, h.Accepted(0))
-	require.Equal(t, 1, h.Accepted(1))
+	require.Equal(t, 1, h.AcceptedConns(0))
+	require.Equal(t, 1, h.AcceptedConns(1))
 	transport.SetAddresses("h", nil)
 	require.Empty(t, transport.HandoverState())
 	require.ErrorIs(t, call(), errNoAddress)
