--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -8,14 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// filled returns the deltas of a document of so many entries of 200 bytes, in changes of at most 100 entries.
-func filled(tb testing.TB, d *Document, entries int) (deltas []Delta) {
+// fillDocument adds entries with values of 200 bytes to a document, in changes of at most 100 entries, and returns the
+// deltas.
+func fillDocument(tb testing.TB, d *Document, entries int) (deltas []Delta) {
 	for k := 0; k < entries; {
 		var change Change
 		for ; k < entries && len(change) < 100; k++ {
 			change = append(change, Entry{Key: fmt.Sprintf("key/%06d", k), Value: make([]byte, 200)})
 		}
-		delta, err := d.next(testEpoch, change)
+		delta, err := d.nextDelta(testEpoch, change)
 		require.NoError(tb, err)
 		require.NoError(tb, d.Apply(delta))
 		deltas = append(deltas, delta)
@@ -23,13 +24,14 @@
 	return deltas
 }
 
-// A change costs what it changes, whatever the size of the document: a push that a relay takes and passes on.
+// BenchmarkPush measures a push that a relay applies and forwards. Its cost depends on the size of the change, not on
+// that of the document.
 func BenchmarkPush(b *testing.B) {
 	for _, entries := range []int{50, 500, 4000} {
 		b.Run(fmt.Sprint(entries, " entries"), func(b *testing.B) {
 			d := NewDocument()
-			filled(b, d, entries)
-			n, err := New(Options{Node: "c5", Roster: installation(300)}, SavedState{Document: d.Clone()})
+			fillDocument(b, d, entries)
+			n, err := New(Options{Node: "c5", Roster: testInstallation(300)}, SavedState{Document: d.Clone()})
 			require.NoError(b, err)
 			n.Tick(1)
 			parent := n.topology.Parents("c5")[0]
@@ -37,7 +39,7 @@
 			for i := range pushes {
 				value := make([]byte, 200)
 				copy(value, fmt.Sprint(i))
-				delta, err := d.next(testEpoch, Change{{Key: "key/000001", Value: value}})
+				delta, err := d.nextDelta(testEpoch, Change{{Key: "key/000001", Value: value}})
 				require.NoError(b, err)
 				require.NoError(b, d.Apply(delta))
 				pushes[i] = Message{parent, "c5", Push{delta}}
@@ -48,17 +50,17 @@
 				n.Handle(1, m)
 			}
 			if n.held() != d.Revision() {
-				b.Fatal("not all were taken")
+				b.Fatal("not all deltas were applied")
 			}
 		})
 	}
 }
 
-// A digest costs the same whatever the installation is.
+// BenchmarkDigest measures a digest. Its cost does not depend on the size of the installation.
 func BenchmarkDigest(b *testing.B) {
 	for _, followers := range []int{30, 300, 1000} {
 		b.Run(fmt.Sprint(followers, " followers"), func(b *testing.B) {
-			n, err := New(Options{Node: "f7", Roster: installation(followers)}, SavedState{})
+			n, err := New(Options{Node: "f7", Roster: testInstallation(followers)}, SavedState{})
 			require.NoError(b, err)
 			n.Tick(1)
 			parent := n.topology.Parents("f7")[0]
@@ -71,8 +73,8 @@
 	}
 }
 
-// What a member holds is bounded: by the document, a log of 512 KB, and the roster.
-func TestMemory(t *testing.T) {
+// The memory of a member is bounded by the document, a log of 512 KB, and the roster.
+func TestMemoryBound(t *testing.T) {
 	const mb = 1 << 20
 	heap := func() int64 {
 		runtime.GC()
@@ -81,7 +83,7 @@
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc)
 	}
-	roster := installation(300)
+	roster := testInstallation(300)
 	before := heap()
 	n, err := New(Options{Node: "f7", Roster: roster}, SavedState{})
 	require.NoError(t, err)
@@ -89,13 +91,13 @@
 	n.Tick(1)
 	parent := n.topology.Parents("f7")[0]
 	d := NewDocument()
-	for _, delta := range filled(t, d, 4000) {
+	for _, delta := range fillDocument(t, d, 4000) {
 		n.Handle(1, Message{parent, "f7", Push{delta}})
 	}
-	for i := range 5200 { // a day
+	for i := range 5200 { // the changes of a day
 		value := make([]byte, 200)
 		copy(value, fmt.Sprint(i))
-		delta, err := d.next(testEpoch, Change{{Key: fmt.Sprintf("key/%06d", i%4000), Value: value}})
+		delta, err := d.nextDelta(testEpoch, Change{{Key: fmt.Sprintf("key/%06d", i%4000), Value: value}})
 		require.NoError(t, err)
 		require.NoError(t, d.Apply(delta))
 		n.Handle(1, Message{parent, "f7", Push{delta}})
--- a/internal/decide/configlog/bound.go
+++ b/internal/decide/configlog/bound.go
@@ -2,43 +2,47 @@
 
 import "fmt"
 
-// LinkDelays are the longest delays that are reckoned with, one way, in microseconds. Nothing but the Bounds rests on them.
+// LinkDelays holds the assumed maximum one-way network delays in microseconds. Only DelayBounds depends on them.
 type LinkDelays struct {
-	BetweenRegions int64 // between regions
-	WithinRegion   int64 // within one
+	BetweenRegions int64
+	WithinRegion   int64
 }
 
-// DelayBounds say how long a change takes at most, in microseconds, from the asking until it is in force at a member that
-// can be reached. The others come on top of the first two: each is for one fault on the way to that member.
+// DelayBounds holds the maximum delay of a change in microseconds, from the request until it is in force at a member
+// that can be reached. Commit and Push always apply; each of the others adds to them for one fault on the way.
 type DelayBounds struct {
-	Commit          int64 // until a majority of origins has stored it, where there is a leader
-	Push            int64 // from there to the lowest level, by push
-	LostPush        int64 // a push that both parents of a member have sent is lost: the next digest tells
-	DeadParents     int64 // both parents of a member have just died: a substitute is asked
-	IsolatedParents int64 // both parents of a member are just cut off, and still send: no heartbeat of the leader comes by them
-	LeaderLoss      int64 // the leader is lost with the change under way, and another is found at the first campaign
-	SilentFallback  int64 // a substitute does not answer, or is overloaded; the next one that does not costs twice as much
+	Commit          int64 // until a majority of origins has stored the change, if there is a leader
+	Push            int64 // from the commit to the last level, by push
+	LostPush        int64 // the pushes of both parents to a member are lost: the next digest shows the revision
+	DeadParents     int64 // both parents of a member have just died: it asks a fallback parent
+	IsolatedParents int64 // both parents have just lost contact with the leader but still send: as for DeadParents
+	LeaderLoss      int64 // the leader fails during the change, and the first election finds another
+	SilentFallback  int64 // a fallback parent does not answer, or is overloaded; doubles for each further one
 }
 
-// NewDelayBounds works out the bounds for a topology's depth.
-func NewDelayBounds(t Timing, depth int, l LinkDelays) DelayBounds {
-	down := int64(depth-1) * l.WithinRegion
-	ask := int64(MaxTickInterval) + 4*max(l.BetweenRegions, l.WithinRegion) // ask, be told, pull, have
+// NewDelayBounds computes the bounds for a topology of a depth.
+func NewDelayBounds(timing Timing, depth int, delays LinkDelays) DelayBounds {
+	downDelay := int64(depth-1) * delays.WithinRegion
+	// A subscription takes four messages: Pull with Subscribe, Digest, Pull, Deltas.
+	subscribeDelay := int64(MaxTickInterval) + 4*max(delays.BetweenRegions, delays.WithinRegion)
 	return DelayBounds{
-		Commit:          3 * l.BetweenRegions,      // to the leader, to another origin and back
-		Push:            2*l.BetweenRegions + down, // to another origin, to a head, down
-		LostPush:        t.DigestInterval + MaxTickInterval + 2*l.BetweenRegions + 2*l.WithinRegion + down,
-		DeadParents:     t.SourceTimeout + ask,
-		IsolatedParents: t.SourceTimeout + t.DigestInterval/2 + ask,
-		LeaderLoss:      2*t.ElectionTimeout + t.RetryInterval + 2*MaxTickInterval + 6*l.BetweenRegions, // canvass, prepare and accept, each there and back
-		SilentFallback:  2 * t.PullTimeout,
+		Commit: 3 * delays.BetweenRegions,           // to the leader, to another origin and back
+		Push:   2*delays.BetweenRegions + downDelay, // to another origin, to a head, down the levels
+		LostPush: timing.DigestInterval + MaxTickInterval + 2*delays.BetweenRegions +
+			2*delays.WithinRegion + downDelay,
+		DeadParents:     timing.SourceTimeout + subscribeDelay,
+		IsolatedParents: timing.SourceTimeout + timing.DigestInterval/2 + subscribeDelay,
+		// Three round trips: PreVote, Prepare and Accept.
+		LeaderLoss: 2*timing.ElectionTimeout + timing.RetryInterval + 2*MaxTickInterval +
+			6*delays.BetweenRegions,
+		SilentFallback: 2 * timing.PullTimeout,
 	}
 }
 
-// Formulas are the same in words, with today's values.
+// Formulas returns each bound as a text with its formula and its value in milliseconds.
 func (b DelayBounds) Formulas() []string {
-	line := func(what, formula string, v int64) string {
-		return fmt.Sprintf("%s <= %s = %.0f ms", what, formula, float64(v)/1000)
+	line := func(name, formula string, value int64) string {
+		return fmt.Sprintf("%s <= %s = %.0f ms", name, formula, float64(value)/1000)
 	}
 	return []string{
 		line("commit", "3 far", b.Commit),
@@ -51,7 +55,7 @@
 	}
 }
 
-// WorstCase is the longest with one fault of the worst kind.
+// WorstCase returns the longest delay with a single fault.
 func (b DelayBounds) WorstCase() int64 {
 	return b.Commit + b.Push + max(b.LostPush, b.DeadParents, b.IsolatedParents, b.LeaderLoss)
 }
--- a/internal/decide/configlog/catchup.go
+++ b/internal/decide/configlog/catchup.go
@@ -1,129 +1,134 @@
 package configlog
 
-// fetch is a snapshot that comes in chunk by chunk. It is in force nowhere before it is whole and checked.
-type fetch struct {
+// snapshotDownload is a snapshot that arrives chunk by chunk. It comes into force only when it is complete and
+// verified.
+type snapshotDownload struct {
 	revision Revision
 	total    uint32
-	text     []byte
+	data     []byte
 }
 
-// snapshot is the one that was last given to somebody, so that whoever has begun to get it can go on when the
-// document has changed.
-type snapshot struct {
+// servedSnapshot is the snapshot that was last sent to another member. It is kept so that downloads of it can go on
+// after the document has changed.
+type servedSnapshot struct {
 	revision Revision
-	text     []byte
-	used     int64
+	data     []byte
+	usedAt   int64
 }
 
-// snapshotKept is how long, in microseconds, a snapshot that nobody asks for is kept.
-const snapshotKept = 10_000_000
+// snapshotRetention is how long an unused snapshot is kept, in microseconds.
+const snapshotRetention = 10_000_000
 
-// budget is a token bucket of bytes.
-type budget struct{ saved, at int64 }
+// tokenBucket limits a byte rate: a token is a byte.
+type tokenBucket struct{ tokens, updatedAt int64 }
 
-// spend takes so many bytes, or returns false if they are not there.
-func (b *budget) spend(now, size, rate, burst int64) bool {
-	if b.at == 0 {
-		b.saved = burst
-	} else if passed := now - b.at; passed > 0 {
-		b.saved = min(burst, b.saved+min(passed, 3600e6)*rate/1e6)
+// spend takes size bytes from the bucket, or returns false if there are fewer. The bucket fills by rate bytes per
+// second up to burst, and starts full.
+func (b *tokenBucket) spend(now, size, rate, burst int64) bool {
+	if b.updatedAt == 0 {
+		b.tokens = burst
+	} else if passed := now - b.updatedAt; passed > 0 {
+		b.tokens = min(burst, b.tokens+min(passed, 3600e6)*rate/1e6)
 	}
-	b.at = max(now, 1)
-	if b.saved < size {
+	b.updatedAt = max(now, 1)
+	if b.tokens < size {
 		return false
 	}
-	b.saved -= size
+	b.tokens -= size
 	return true
 }
 
-// pullFrom asks a source for what comes after the revision held, if it has more and nothing is asked yet.
-func (n *Node) pullFrom(now int64, from NodeID, has Revision) {
+// pullFrom asks a source for the revisions after the one held, if the source has newer ones, no pull is open and the
+// backoff is over.
+func (n *Node) pullFrom(now int64, from NodeID, sourceHeld Revision) {
 	r := &n.replica
-	if !has.After(n.held()) || r.pull.to != "" || now < r.pull.again {
+	if !sourceHeld.After(n.held()) || r.pull.target != "" || now < r.pull.notBefore {
 		return
 	}
-	if r.pull.wait == 0 {
-		r.pull.wait = n.timing.PullTimeout
+	if r.pull.timeout == 0 {
+		r.pull.timeout = n.timing.PullTimeout
 	}
-	r.pull.to, r.pull.deadline = from, now+r.pull.wait
+	r.pull.target, r.pull.deadline = from, now+r.pull.timeout
 	p := Pull{Held: n.held()}
-	if r.fetch.revision.After(n.held()) {
-		p.PartialRevision, p.Offset = r.fetch.revision, uint32(len(r.fetch.text))
+	if r.download.revision.After(n.held()) {
+		p.PartialRevision, p.Offset = r.download.revision, uint32(len(r.download.data))
 	} else {
-		r.fetch = fetch{}
+		r.download = snapshotDownload{}
 	}
 	n.send(from, p)
 }
 
-// pullFailed ends a pull that nobody answered, or that was turned down: the next one waits longer, and prefers another.
-func (n *Node) pullFailed(now int64) {
+// failPull ends a pull that brought nothing: the next one prefers another source and has twice the timeout.
+func (n *Node) failPull(now int64) {
 	p := &n.replica.pull
-	p.notTo, p.to = p.to, ""
-	p.again = now + n.random.Int64N(p.wait/2+1)
-	p.wait = min(2*p.wait, n.timing.MaxPullTimeout)
+	p.lastFailed, p.target = p.target, ""
+	p.notBefore = now + n.random.Int64N(p.timeout/2+1)
+	p.timeout = min(2*p.timeout, n.timing.MaxPullTimeout)
 }
 
-// pullDone ends a pull that has brought something.
-func (n *Node) pullDone() { n.replica.pull = pull{} }
+// completePull ends a pull that has succeeded, and resets the backoff.
+func (n *Node) completePull() { n.replica.pull = pull{} }
 
-// asked tells whether an answer is to the pull that is open.
-func (n *Node) asked(from NodeID) bool {
-	if n.replica.pull.to == from {
+// expectsAnswerFrom reports whether the open pull is to this member. An answer to any other pull counts as late.
+func (n *Node) expectsAnswerFrom(from NodeID) bool {
+	if n.replica.pull.target == from {
 		return true
 	}
 	n.drop(DropLate)
 	return false
 }
 
-// handlePull answers from the log if that is shorter than a snapshot, and within the bytes that may be spent.
+// handlePull answers a pull within the byte rate that this member may spend on answers.
 func (n *Node) handlePull(now int64, from NodeID, p Pull) {
 	if p.Subscribe {
-		n.handleAdopt(now, from)
+		n.handleSubscribe(now, from)
 		return
 	}
 	body := n.answerPull(now, p)
 	size := int64(len(AppendBody(nil, body)))
-	if !n.replica.serve.spend(now, size, n.fan.ServeRate, n.fan.ServeBurst) {
+	if !n.replica.serveBudget.spend(now, size, n.fanOut.ServeRate, n.fanOut.ServeBurst) {
 		n.send(from, Overloaded{})
 		return
 	}
 	n.send(from, body)
 }
 
+// answerPull returns, whichever applies first: no deltas if there is nothing newer; the next chunk of a download of the
+// served snapshot; deltas, if all fit into one message or are no larger than a snapshot; a chunk of a snapshot.
 func (n *Node) answerPull(now int64, p Pull) Body {
 	r := &n.replica
 	if !n.held().After(p.Held) {
 		return Deltas{Latest: n.held()}
 	}
-	if s := &r.snapshot; p.PartialRevision.Number > 0 && p.PartialRevision == s.revision && int(p.Offset) < len(s.text) {
-		s.used = now
+	if s := &r.served; p.PartialRevision.Number > 0 && p.PartialRevision == s.revision && int(p.Offset) < len(s.data) {
+		s.usedAt = now
 		return s.chunk(p.Offset)
 	}
 	if deltas, size, err := r.log.after(p.Held); err == nil && (size <= BatchBytes || size <= r.document.size) {
 		return Deltas{firstBatch(deltas), n.held()}
 	}
-	if !n.usable(now, p) {
-		r.snapshot = snapshot{revision: n.held(), text: r.document.Snapshot()}
+	if !n.canServeSnapshot(now, p) {
+		r.served = servedSnapshot{revision: n.held(), data: r.document.Snapshot()}
 	}
-	r.snapshot.used = now
-	if p.PartialRevision == r.snapshot.revision {
-		return r.snapshot.chunk(p.Offset)
+	r.served.usedAt = now
+	if p.PartialRevision == r.served.revision {
+		return r.served.chunk(p.Offset)
 	}
-	return r.snapshot.chunk(0)
+	return r.served.chunk(0)
 }
 
-// usable tells whether the snapshot at hand serves one who begins: it is the document in force, or others are getting
-// it and what came after is in the log. So those who are getting it need not begin anew with each change.
-func (n *Node) usable(now int64, p Pull) bool {
-	s := &n.replica.snapshot
+// canServeSnapshot reports whether the served snapshot is good for a new download: it is the document in force, or it
+// is in use and the log has all deltas after it. So running downloads need not start again with each change.
+func (n *Node) canServeSnapshot(now int64, p Pull) bool {
+	s := &n.replica.served
 	if s.revision == n.held() {
 		return true
 	}
 	_, _, err := n.replica.log.after(s.revision)
-	return err == nil && s.revision.After(p.Held) && now-s.used < snapshotKept
+	return err == nil && s.revision.After(p.Held) && now-s.usedAt < snapshotRetention
 }
 
-// firstBatch is as many deltas as fit into a message, and one at least.
+// firstBatch returns as many of the first deltas as fit into one message, and at least one.
 func firstBatch(deltas []Delta) []Delta {
 	size := 0
 	for i, d := range deltas {
@@ -134,83 +139,84 @@
 	return deltas
 }
 
-func (s *snapshot) chunk(offset uint32) Chunk {
-	offset = min(offset, uint32(len(s.text)))
-	end := min(offset+ChunkBytes, uint32(len(s.text)))
-	return Chunk{Revision: s.revision, Total: uint32(len(s.text)), Offset: offset, Data: s.text[offset:end]}
+func (s *servedSnapshot) chunk(offset uint32) Chunk {
+	offset = min(offset, uint32(len(s.data)))
+	end := min(offset+ChunkBytes, uint32(len(s.data)))
+	return Chunk{Revision: s.revision, Total: uint32(len(s.data)), Offset: offset, Data: s.data[offset:end]}
 }
 
 func (n *Node) handleDeltas(now int64, from NodeID, d Deltas) {
-	if s := n.source(from); s != nil {
+	if s := n.findSource(from); s != nil {
 		s.held = d.Latest
 	}
-	if !n.asked(from) {
+	if !n.expectsAnswerFrom(from) {
 		return
 	}
-	took := 0
+	appliedCount := 0
 	for _, delta := range d.Deltas {
-		if n.take(now, delta) {
-			took++
+		if n.applyDelta(now, delta) {
+			appliedCount++
 		}
 	}
-	if took == 0 {
-		n.pullFailed(now)
+	if appliedCount == 0 {
+		n.failPull(now)
 		return
 	}
-	n.pullDone()
+	n.completePull()
 	if n.held().Number < d.Latest.Number {
 		n.pullFrom(now, from, d.Latest)
 		return
 	}
-	n.digest(now) // whoever is fed here pulls it: what was missed is sent once, and not by both parents
+	n.sendDigests(now) // children pull what they miss: it is sent to each once, not pushed by both parents
 }
 
 func (n *Node) handleChunk(now int64, from NodeID, c Chunk) {
-	if !n.asked(from) {
+	if !n.expectsAnswerFrom(from) {
 		return
 	}
-	f := &n.replica.fetch
-	if !c.Revision.After(n.held()) && !n.replica.takesOlder || c.Total > MaxDocument {
+	download := &n.replica.download
+	if !c.Revision.After(n.held()) && !n.replica.installsOlderSnapshots || c.Total > MaxDocument {
 		n.drop(DropOld)
-		n.pullFailed(now)
+		n.failPull(now)
 		return
 	}
-	if c.Revision != f.revision || c.Total != f.total {
-		*f = fetch{revision: c.Revision, total: c.Total}
+	if c.Revision != download.revision || c.Total != download.total {
+		*download = snapshotDownload{revision: c.Revision, total: c.Total}
 	}
-	if int(c.Offset) != len(f.text) || len(c.Data) == 0 && c.Total > 0 || len(f.text)+len(c.Data) > int(c.Total) {
+	if int(c.Offset) != len(download.data) || len(c.Data) == 0 && c.Total > 0 ||
+		len(download.data)+len(c.Data) > int(c.Total) {
 		n.drop(DropInvalid)
-		*f = fetch{}
-		n.pullFailed(now)
+		*download = snapshotDownload{}
+		n.failPull(now)
 		return
 	}
-	f.text = append(f.text, c.Data...)
-	if len(f.text) < int(c.Total) {
-		n.pullDone()
+	download.data = append(download.data, c.Data...)
+	if len(download.data) < int(c.Total) {
+		n.completePull()
 		n.pullFrom(now, from, c.Revision)
 		return
 	}
-	document, err := ParseSnapshot(f.revision, f.text)
-	*f = fetch{}
+	document, err := ParseSnapshot(download.revision, download.data)
+	*download = snapshotDownload{}
 	if err != nil {
 		n.drop(DropInvalid)
-		n.pullFailed(now)
+		n.failPull(now)
 		return
 	}
-	n.pullDone()
-	n.replace(now, document)
-	if s := n.source(from); s != nil && s.held.After(n.held()) {
+	n.completePull()
+	n.installSnapshot(now, document)
+	if s := n.findSource(from); s != nil && s.held.After(n.held()) {
 		n.pullFrom(now, from, s.held)
 	}
-	n.digest(now)
+	n.sendDigests(now)
 }
 
 func (n *Node) handleOverloaded(now int64, from NodeID) {
 	r := &n.replica
-	if s := n.source(from); s != nil && !s.parent && s.heard < s.adopted {
-		n.forget(from)
+	if s := n.findSource(from); s != nil && !s.isParent && s.heardAt < s.subscribedAt {
+		n.removeFallback(from)
 	}
-	if r.pull.to == from {
-		n.pullFailed(now)
+	if r.pull.target == from {
+		n.failPull(now)
 	}
 }
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// WireVersion is the first byte of an encoded body.
+// WireVersion is the first byte of each encoded body, vote and document.
 const WireVersion = 1
 
-// AppendBody appends an encoded body: version, kind and fields. From and To are the transport's.
+// AppendBody appends an encoded body: version, kind and fields. The transport carries From and To of a Message.
 func AppendBody(to []byte, body Body) []byte {
 	to = append(to, WireVersion, byte(body.kind()))
 	switch b := body.(type) {
@@ -28,15 +28,15 @@
 	case Reject:
 		return appendRevision(appendEpoch(appendEpoch(to, b.Epoch), b.Promised), b.Held)
 	case Heartbeat:
-		return appendRevision(appendBeat(to, b.ID), b.Held)
+		return appendRevision(appendHeartbeatID(to, b.ID), b.Held)
 	case HeartbeatAck:
-		return appendBeat(to, b.ID)
+		return appendHeartbeatID(to, b.ID)
 	case Recover:
 		return binary.AppendUvarint(to, b.Incarnation)
 	case RecoverReply:
 		return appendRevision(appendVote(binary.AppendUvarint(to, b.Incarnation), b.Vote), b.Held)
 	case Digest:
-		return appendRevision(appendBeat(to, b.Heartbeat), b.Held)
+		return appendRevision(appendHeartbeatID(to, b.Heartbeat), b.Held)
 	case Push:
 		return appendDelta(to, b.Delta)
 	case Pull:
@@ -57,21 +57,22 @@
 		to = append(binary.AppendUvarint(to, b.Result.ID), byte(b.Result.Outcome))
 		return appendString(appendRevision(to, b.Result.Revision), string(b.Result.Leader))
 	}
-	return to // Overloaded
+	return to // Overloaded has no fields
 }
 
-// ParseBody reads what AppendBody has written, whole: a body that is cut short, goes on, is beyond a limit or of an
-// unknown version or kind is an error that wraps ErrForm or ErrLimit. The result shares no memory with text.
-func ParseBody(text []byte) (Body, error) {
-	if len(text) > MaxMessage {
-		return nil, fmt.Errorf("%w: a message of %d bytes", ErrLimit, len(text))
+// ParseBody decodes a body that AppendBody has encoded. The error for a body that is truncated, has trailing bytes,
+// exceeds a limit or is of an unknown version or kind wraps ErrMalformed or ErrLimit. The result shares no memory with
+// data.
+func ParseBody(data []byte) (Body, error) {
+	if len(data) > MaxMessage {
+		return nil, fmt.Errorf("%w: a message of %d bytes", ErrLimit, len(data))
 	}
-	if len(text) < 2 || text[0] != WireVersion {
+	if len(data) < 2 || data[0] != WireVersion {
 		return nil, fmt.Errorf("%w: no message of version %d", ErrMalformed, WireVersion)
 	}
-	in := decoder{text: text[2:]}
-	body := in.body(kind(text[1]))
-	if in.err == nil && len(in.text) > 0 {
+	in := decoder{data: data[2:]}
+	body := in.body(messageKind(data[1]))
+	if in.err == nil && len(in.data) > 0 {
 		in.fail("it goes on after its end")
 	}
 	if in.err != nil {
@@ -80,11 +81,11 @@
 	return body, nil
 }
 
-func (in *decoder) body(k kind) Body {
+func (in *decoder) body(k messageKind) Body {
 	switch k {
-	case kindCanvass:
+	case kindPreVote:
 		return PreVote{in.epoch()}
-	case kindWilling:
+	case kindPreVoteGranted:
 		return PreVoteGranted{in.epoch()}
 	case kindPrepare:
 		return Prepare{in.epoch()}
@@ -97,15 +98,15 @@
 	case kindReject:
 		return Reject{in.epoch(), in.epoch(), in.revision()}
 	case kindHeartbeat:
-		return Heartbeat{in.beat(), in.revision()}
+		return Heartbeat{in.heartbeatID(), in.revision()}
 	case kindHeartbeatAck:
-		return HeartbeatAck{in.beat()}
+		return HeartbeatAck{in.heartbeatID()}
 	case kindRecover:
 		return Recover{in.uvarint()}
-	case kindRecovered:
+	case kindRecoverReply:
 		return RecoverReply{in.uvarint(), in.vote(), in.revision()}
 	case kindDigest:
-		return Digest{in.beat(), in.revision()}
+		return Digest{in.heartbeatID(), in.revision()}
 	case kindPush:
 		return Push{in.delta()}
 	case kindPull:
@@ -118,15 +119,15 @@
 		return Overloaded{}
 	case kindApply:
 		return Apply{in.uvarint(), in.revision(), in.change()}
-	case kindApplied:
+	case kindApplyReply:
 		return ApplyReply{Result{in.uvarint(), Outcome(in.byte()), in.revision(), in.node()}}
 	}
 	in.fail("unknown kind %d", k)
 	return nil
 }
 
-func appendString(to []byte, text string) []byte {
-	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
+func appendString(to []byte, value string) []byte {
+	return append(binary.AppendUvarint(to, uint64(len(value))), value...)
 }
 
 func appendBool(to []byte, set bool) []byte {
@@ -140,8 +141,8 @@
 	return appendString(binary.AppendUvarint(to, e.Round), string(e.Leader))
 }
 
-func appendBeat(to []byte, b HeartbeatID) []byte {
-	return binary.AppendUvarint(appendEpoch(to, b.Epoch), b.Tick)
+func appendHeartbeatID(to []byte, id HeartbeatID) []byte {
+	return binary.AppendUvarint(appendEpoch(to, id.Epoch), id.Tick)
 }
 
 func appendRevision(to []byte, r Revision) []byte {
@@ -177,43 +178,43 @@
 	return appendProposal(appendEpoch(appendBool(to, v.CanVote), v.Promised), v.Accepted)
 }
 
-// AppendVote appends a vote as it is to be saved.
+// AppendVote appends a vote in the form in which it is saved.
 func AppendVote(to []byte, v Vote) []byte { return appendVote(append(to, WireVersion), v) }
 
-// ParseVote reads what AppendVote has written.
-func ParseVote(text []byte) (Vote, error) {
-	if len(text) == 0 || len(text) > MaxMessage || text[0] != WireVersion {
+// ParseVote decodes a vote that AppendVote has encoded.
+func ParseVote(data []byte) (Vote, error) {
+	if len(data) == 0 || len(data) > MaxMessage || data[0] != WireVersion {
 		return Vote{}, fmt.Errorf("%w: no vote of version %d", ErrMalformed, WireVersion)
 	}
-	in := decoder{text: text[1:]}
+	in := decoder{data: data[1:]}
 	v := in.vote()
-	if in.err == nil && len(in.text) > 0 {
+	if in.err == nil && len(in.data) > 0 {
 		in.fail("it goes on after its end")
 	}
 	return v, in.err
 }
 
-// AppendDocument appends a whole document as it is to be saved, with its revision.
+// AppendDocument appends a whole document with its revision, in the form in which it is saved.
 func AppendDocument(to []byte, d *Document) []byte {
 	return append(appendRevision(append(to, WireVersion), d.revision), d.Snapshot()...)
 }
 
-// ParseDocument reads what AppendDocument has written, and checks it as a whole.
-func ParseDocument(text []byte) (*Document, error) {
-	if len(text) == 0 || text[0] != WireVersion {
+// ParseDocument decodes a document that AppendDocument has encoded, and verifies its checksum.
+func ParseDocument(data []byte) (*Document, error) {
+	if len(data) == 0 || data[0] != WireVersion {
 		return nil, fmt.Errorf("%w: no document of version %d", ErrMalformed, WireVersion)
 	}
-	in := decoder{text: text[1:]}
+	in := decoder{data: data[1:]}
 	revision := in.revision()
 	if in.err != nil {
 		return nil, in.err
 	}
-	return ParseSnapshot(revision, in.text)
+	return ParseSnapshot(revision, in.data)
 }
 
-// decoder reads fields one after the other, until the first that is not well-formed.
+// decoder decodes one field after the other. At the first malformed field it sets err and drops the rest of the data.
 type decoder struct {
-	text []byte
+	data []byte
 	err  error
 }
 
@@ -221,16 +222,16 @@
 	if in.err == nil {
 		in.err = fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, args...)...)
 	}
-	in.text = nil
+	in.data = nil
 }
 
 func (in *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(in.text)
+	v, n := binary.Uvarint(in.data)
 	if n <= 0 {
 		in.fail("cut short")
 		return 0
 	}
-	in.text = in.text[n:]
+	in.data = in.data[n:]
 	return v
 }
 
@@ -243,12 +244,12 @@
 }
 
 func (in *decoder) byte() byte {
-	if len(in.text) == 0 {
+	if len(in.data) == 0 {
 		in.fail("cut short")
 		return 0
 	}
-	b := in.text[0]
-	in.text = in.text[1:]
+	b := in.data[0]
+	in.data = in.data[1:]
 	return b
 }
 
@@ -260,34 +261,34 @@
 	return b == 1
 }
 
-func (in *decoder) bytes(most int) []byte {
+func (in *decoder) bytes(maxBytes int) []byte {
 	n := in.uvarint()
-	if n > uint64(most) || n > uint64(len(in.text)) {
+	if n > uint64(maxBytes) || n > uint64(len(in.data)) {
 		in.fail("%d bytes", n)
 		return nil
 	}
-	b := slices.Clone(in.text[:n])
-	in.text = in.text[n:]
+	b := slices.Clone(in.data[:n])
+	in.data = in.data[n:]
 	return b
 }
 
-func (in *decoder) string(most int) string { return string(in.bytes(most)) }
+func (in *decoder) string(maxBytes int) string { return string(in.bytes(maxBytes)) }
 
 func (in *decoder) uint64() uint64 {
-	if len(in.text) < 8 {
+	if len(in.data) < 8 {
 		in.fail("cut short")
 		return 0
 	}
-	v := binary.BigEndian.Uint64(in.text)
-	in.text = in.text[8:]
+	v := binary.BigEndian.Uint64(in.data)
+	in.data = in.data[8:]
 	return v
 }
 
-func (in *decoder) node() NodeID      { return NodeID(in.string(MaxNodeID)) }
-func (in *decoder) epoch() Epoch      { return Epoch{in.uvarint(), in.node()} }
-func (in *decoder) beat() HeartbeatID { return HeartbeatID{in.epoch(), in.uvarint()} }
-func (in *decoder) delta() Delta      { return Delta{in.revision(), in.change()} }
-func (in *decoder) vote() (v Vote)    { return Vote{in.bool(), in.epoch(), in.proposal()} }
+func (in *decoder) node() NodeID             { return NodeID(in.string(MaxNodeID)) }
+func (in *decoder) epoch() Epoch             { return Epoch{in.uvarint(), in.node()} }
+func (in *decoder) heartbeatID() HeartbeatID { return HeartbeatID{in.epoch(), in.uvarint()} }
+func (in *decoder) delta() Delta             { return Delta{in.revision(), in.change()} }
+func (in *decoder) vote() (v Vote)           { return Vote{in.bool(), in.epoch(), in.proposal()} }
 
 func (in *decoder) revision() (r Revision) {
 	if r.Number = in.uvarint(); r.Number == 0 {
@@ -311,7 +312,7 @@
 		}
 		c = append(c, e)
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		in.fail("%v", err)
 	}
 	return c
--- a/internal/decide/configlog/codec_test.go
+++ b/internal/decide/configlog/codec_test.go
@@ -16,7 +16,7 @@
 	testBeat     = HeartbeatID{testEpoch, 1 << 40}
 )
 
-// bodies are one of each kind, and those with nothing in them.
+// bodies has one body of each kind, and some without content.
 var bodies = []Body{
 	PreVote{testEpoch}, PreVoteGranted{testEpoch}, Prepare{testEpoch}, Promise{testEpoch, testRevision, testProposal},
 	Promise{testEpoch, Revision{}, Proposal{}}, Accept{testProposal}, Accepted{testEpoch, testRevision},
@@ -28,26 +28,27 @@
 	ApplyReply{Result{3, Stale, testRevision, "origin-1"}},
 }
 
-func TestBodiesSurviveTheWire(t *testing.T) {
+func TestBodyRoundTrip(t *testing.T) {
 	for _, body := range bodies {
-		text := AppendBody(nil, body)
-		got, err := ParseBody(text)
+		data := AppendBody(nil, body)
+		got, err := ParseBody(data)
 		require.NoError(t, err)
 		require.Equal(t, body, got)
-		for cut := range text {
-			_, err := ParseBody(text[:cut])
-			require.True(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrLimit), "%T cut at %d: %v", body, cut, err)
+		for cut := range data {
+			_, err := ParseBody(data[:cut])
+			require.True(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrLimit),
+				"%T cut at %d: %v", body, cut, err)
 		}
-		_, err = ParseBody(append(text, 0))
+		_, err = ParseBody(append(data, 0))
 		require.ErrorIs(t, err, ErrMalformed)
-		text[0]++
-		_, err = ParseBody(text)
+		data[0]++
+		_, err = ParseBody(data)
 		require.ErrorIs(t, err, ErrMalformed)
 	}
 }
 
-// What is beyond a bound, or has a key twice, is turned down as a whole.
-func TestBodiesBeyondBounds(t *testing.T) {
+// A body that exceeds a limit, or whose change is not well-formed, is rejected as a whole.
+func TestInvalidBodies(t *testing.T) {
 	entries := func(n int) (c Change) {
 		for i := range n {
 			c = append(c, Entry{Key: string(rune('A' + i)), Value: []byte{}})
@@ -74,49 +75,49 @@
 	require.ErrorIs(t, err, ErrLimit)
 }
 
-func TestVoteAndDocumentAreSavedWhole(t *testing.T) {
+func TestVoteAndDocumentRoundTrip(t *testing.T) {
 	vote := Vote{true, testEpoch, testProposal}
-	text := AppendVote(nil, vote)
-	got, err := ParseVote(text)
+	data := AppendVote(nil, vote)
+	got, err := ParseVote(data)
 	require.NoError(t, err)
 	require.Equal(t, vote, got)
-	for cut := range text {
-		_, err := ParseVote(text[:cut])
+	for cut := range data {
+		_, err := ParseVote(data[:cut])
 		require.Error(t, err, cut)
 	}
 	d := NewDocument()
-	first, err := d.next(testEpoch, Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
+	first, err := d.nextDelta(testEpoch, Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
 	require.NoError(t, err)
 	require.NoError(t, d.Apply(first))
-	text = AppendDocument(nil, d)
-	read, err := ParseDocument(text)
+	data = AppendDocument(nil, d)
+	read, err := ParseDocument(data)
 	require.NoError(t, err)
 	require.Equal(t, d, read)
-	for cut := range text {
-		_, err := ParseDocument(text[:cut])
+	for cut := range data {
+		_, err := ParseDocument(data[:cut])
 		require.Error(t, err, cut)
 	}
-	text[len(text)-1] ^= 1
-	_, err = ParseDocument(text)
+	data[len(data)-1] ^= 1
+	_, err = ParseDocument(data)
 	require.ErrorIs(t, err, ErrChecksum)
 }
 
-// A document is the same whichever way it came about, and a change is taken whole or not at all.
+// A document from deltas and one from a snapshot are equal, and a delta is applied completely or not at all.
 func TestDocument(t *testing.T) {
 	d := NewDocument()
-	take := func(c Change) {
-		delta, err := d.next(testEpoch, c)
+	apply := func(c Change) {
+		delta, err := d.nextDelta(testEpoch, c)
 		require.NoError(t, err)
 		require.NoError(t, d.Apply(delta))
 	}
-	take(Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
-	take(Change{{Key: "a", Value: []byte("three")}, {Key: "b", Delete: true}, {Key: "c", Value: []byte("four")}})
+	apply(Change{{Key: "a", Value: []byte("one")}, {Key: "b", Value: []byte("two")}})
+	apply(Change{{Key: "a", Value: []byte("three")}, {Key: "b", Delete: true}, {Key: "c", Value: []byte("four")}})
 	other, err := ParseSnapshot(d.Revision(), d.Snapshot())
 	require.NoError(t, err)
 	require.Equal(t, d, other)
 
 	want := d.Clone()
-	delta, err := d.next(testEpoch, Change{{Key: "a", Value: []byte("five")}, {Key: "d", Value: []byte("six")}})
+	delta, err := d.nextDelta(testEpoch, Change{{Key: "a", Value: []byte("five")}, {Key: "d", Value: []byte("six")}})
 	require.NoError(t, err)
 	delta.Change[1].Value = []byte("seven")
 	require.ErrorIs(t, d.Apply(delta), ErrChecksum)
--- a/internal/decide/configlog/configlog.go
+++ b/internal/decide/configlog/configlog.go
@@ -1,18 +1,18 @@
-// Package configlog decides how one configuration document comes into force at all instances of an installation. It
-// does no I/O and reads no clock: times are microseconds and come in as arguments, chance comes from a seeded source,
-// and whatever is to be sent or saved goes out as Effects.
+// Package configlog replicates one configuration document to all instances of an installation. It does no I/O and
+// reads no clock: times are arguments in microseconds, random numbers come from a seeded source, and everything to be
+// sent or saved is returned as Effects.
 //
-// A few members of the roster are origins. They agree on each revision of the document: one of them leads in an epoch
-// that a majority has promised, takes a change only if it was made from the revision in force (compare and set), and
-// commits it once a majority has stored it durably. At most one revision of each number is ever committed (Paxos, one
-// instance for each number, one number at a time). Safety rests on promises and acknowledgements alone; clocks decide
-// only who campaigns when.
+// A few members of the roster are origins, the voters. They agree on each revision of the document: one of them leads
+// in an epoch that a majority has promised, accepts a change only if it was made from the revision in force
+// (compare-and-set), and commits it once a majority has stored it durably. At most one revision of each number is ever
+// committed (Paxos, one instance for each number, one number at a time). Safety rests on promises and acknowledgements
+// alone; clocks only decide which origin campaigns at which time.
 //
-// Committed revisions, and no others, travel from the origins over relays to all followers: each member has two
-// parents, which all find alike from the roster (Topology). A delta is pushed on by whoever takes it. A digest, sent
-// down once in each digest period, tells what is held, so that whoever has missed something pulls it: as deltas, or
-// as a snapshot in chunks that is checked as a whole before it comes into force. No member ever takes a revision that
-// is not newer than the one that it holds.
+// Only committed revisions are replicated from the origins over relays to all followers. Each member has two parents,
+// which every member computes identically from the roster (Topology). A member that applies a delta pushes it to its
+// children. Once per digest interval it sends them a digest of the revision that it holds, so that a child that has
+// missed revisions pulls them: as deltas, or as a snapshot in chunks that is verified as a whole before it comes into
+// force. No member ever applies a revision that is not newer than the one that it holds.
 package configlog
 
 import (
@@ -20,96 +20,98 @@
 	"fmt"
 )
 
-// NodeID names a member of the roster.
+// NodeID is the name of a member of the roster.
 type NodeID string
 
-// Epoch orders those who lead the origins one after the other. The zero Epoch is before all others.
+// Epoch identifies the term of one leader of the origins. Epochs are ordered; the zero Epoch is before all others.
 type Epoch struct {
 	Round  uint64
-	Leader NodeID // who leads in it
+	Leader NodeID // the origin that leads in it, or campaigns to
 }
 
-// Compare orders epochs by round, and those of one round by who leads.
-func (e Epoch) Compare(o Epoch) int {
-	return cmp.Or(cmp.Compare(e.Round, o.Round), cmp.Compare(e.Leader, o.Leader))
+// Compare orders epochs by round, and epochs of the same round by leader.
+func (e Epoch) Compare(other Epoch) int {
+	return cmp.Or(cmp.Compare(e.Round, other.Round), cmp.Compare(e.Leader, other.Leader))
 }
 
 func (e Epoch) String() string { return fmt.Sprintf("%d@%s", e.Round, e.Leader) }
 
-// Revision identifies a state of the document. Numbers of committed revisions follow each other without a gap, from
-// 1; 0 is the empty document that all begin with. The epoch is the one in which it was first proposed.
+// Revision identifies a state of the document. Committed revisions are numbered from 1 without gaps; 0 is the empty
+// document, with which every member starts. The epoch is the one in which the revision was first proposed.
 type Revision struct {
 	Epoch  Epoch
 	Number uint64
-	Sum    Sum // of the whole document
+	Sum    Sum // checksum of the whole document
 }
 
-// After tells whether r is newer than o.
-func (r Revision) After(o Revision) bool { return r.Number > o.Number }
+// After reports whether r is newer than other.
+func (r Revision) After(other Revision) bool { return r.Number > other.Number }
 
 func (r Revision) String() string { return fmt.Sprintf("%d (%v, %v)", r.Number, r.Epoch, r.Sum) }
 
-// Delta is a revision as the change that makes it from the one before.
+// Delta is a revision together with the change that produces it from the previous revision.
 type Delta struct {
 	Revision Revision
 	Change   Change
 }
 
-// Proposal is what the leader of an epoch asks the origins to store.
+// Proposal is a delta that the leader of an epoch asks the origins to store.
 type Proposal struct {
-	Ballot Epoch // in which it is proposed; later than the revision's where a leader takes up what another had begun
+	Ballot Epoch // epoch of the proposal; later than the revision's if a leader proposes a predecessor's delta again
 	Delta  Delta
 }
 
-// Vote is what an origin must have stored durably before anything that it says leaves it.
+// Vote is the state of an origin in the consensus protocol. It must be stored durably before any message that follows
+// from it is sent.
 type Vote struct {
-	CanVote  bool // the origin votes: it has forgotten nothing
+	CanVote  bool // false as long as the origin may have lost votes that it has given
 	Promised Epoch
 	Accepted Proposal // its Delta.Revision.Number is 0 if there is none
 }
 
-// SavedState is what an instance has on disk. The zero Saved is an instance with an empty disk: an origin then asks all
-// others for what it may have voted on before it votes.
+// SavedState is the state of an instance on disk. The zero value stands for an empty disk: an origin then asks all
+// other origins what it may have voted for before it votes again.
 type SavedState struct {
 	Document *Document // nil for none
 	Vote     Vote      // of an origin; zero for none
 }
 
-// HeartbeatID is the leader's heartbeat as it travels down with the digests: its age tells a member how fresh its parents are.
+// HeartbeatID identifies a heartbeat of a leader. It travels down the tree in the digests, so that a member can tell
+// how up to date its parents are.
 type HeartbeatID struct {
 	Epoch Epoch
-	Tick  uint64
+	Tick  uint64 // increases by one in each digest interval of the leader
 }
 
-// Compare orders beats by epoch, and those of one epoch by tick.
-func (b HeartbeatID) Compare(o HeartbeatID) int {
-	return cmp.Or(b.Epoch.Compare(o.Epoch), cmp.Compare(b.Tick, o.Tick))
+// Compare orders heartbeats by epoch, and heartbeats of the same epoch by tick.
+func (id HeartbeatID) Compare(other HeartbeatID) int {
+	return cmp.Or(id.Epoch.Compare(other.Epoch), cmp.Compare(id.Tick, other.Tick))
 }
 
-// Outcome says what became of an Apply.
+// Outcome is the outcome of an Apply.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of an Apply.
 const (
-	Committed   Outcome = iota + 1 // Revision is the one that it made
-	Stale                          // it was made from another revision than the one in force, Revision
-	NotLeader                      // nothing was done; Leader, if there is one, may do it
-	Busy                           // nothing was done: another change is under way
-	Unavailable                    // nothing was done: no majority of origins answers
-	Invalid                        // nothing was done: the change is beyond a limit, or changes nothing
-	Unknown                        // it may be committed or not: the leader lost its epoch meanwhile
+	Committed   Outcome = iota + 1 // the change is committed as Revision
+	Stale                          // the change was not made from Revision, which is in force
+	NotLeader                      // nothing was done: this member does not lead; Leader may, unless it is empty
+	Busy                           // nothing was done: another change is in progress
+	Unavailable                    // nothing was done: no leader is known
+	Invalid                        // nothing was done: the change exceeds a limit, is malformed, or changes nothing
+	Unknown                        // the change may be committed or not: the leader did not answer, or was deposed
 )
 
-var outcomes = [...]string{"", "committed", "stale", "not leader", "busy", "unavailable", "invalid", "unknown"}
+var outcomeNames = [...]string{"", "committed", "stale", "not leader", "busy", "unavailable", "invalid", "unknown"}
 
 func (o Outcome) String() string {
-	if int(o) < len(outcomes) {
-		return outcomes[o]
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
 	}
 	return "invalid outcome"
 }
 
-// Result answers an Apply that was called at this instance, or that this instance has sent on to another.
+// Result is the result of an Apply that was called at this instance, or that it has forwarded to the leader.
 type Result struct {
 	ID       uint64
 	Outcome  Outcome
@@ -117,12 +119,13 @@
 	Leader   NodeID
 }
 
-// Effects are what the caller must do, in this order: save and sync, bring into force, send and report. If saving
-// fails, the instance must stop: what it holds in memory may not be shown to anybody.
+// Effects lists what the caller must do, in this order: save and sync, put the document into force, send the messages
+// and report the results. If saving fails, the instance must stop, because its state in memory must not become visible
+// to anyone.
 type Effects struct {
-	Deltas   []Delta // revisions that have come into force, in order; to be saved
-	Replaced bool    // a snapshot has come into force instead, before Taken: the whole Document is to be saved
-	SaveVote bool    // Vote is to be saved, when the document is on the disk
+	Deltas   []Delta // deltas that have come into force, in order; to be saved
+	Replaced bool    // a snapshot has come into force, before Deltas: the whole Document must be saved
+	SaveVote bool    // Vote must be saved, after the document
 	Messages []Message
 	Results  []Result
 }
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -11,51 +11,51 @@
 	"slices"
 )
 
-// Sum is a checksum of a whole document: the sum, modulo 2^128, of the first half of each entry's SHA-256. A change
-// of one entry costs what that entry costs, whatever the size of the document. It tells documents apart that differ
-// by fault; whoever may make revisions is trusted.
+// Sum is a checksum of a whole document: the sum, modulo 2^128, of the first half of each entry's SHA-256. Updating it
+// for a change costs time in proportion to the changed entries, whatever the size of the document. It detects faults,
+// not attacks: members that may create revisions are trusted.
 type Sum struct{ High, Low uint64 }
 
 func (s Sum) String() string { return fmt.Sprintf("%08x", s.High>>32) }
 
-func (s Sum) plus(o Sum) Sum {
-	low, carry := bits.Add64(s.Low, o.Low, 0)
-	high, _ := bits.Add64(s.High, o.High, carry)
+func (s Sum) plus(other Sum) Sum {
+	low, carry := bits.Add64(s.Low, other.Low, 0)
+	high, _ := bits.Add64(s.High, other.High, carry)
 	return Sum{high, low}
 }
 
-func (s Sum) minus(o Sum) Sum {
-	low, borrow := bits.Sub64(s.Low, o.Low, 0)
-	high, _ := bits.Sub64(s.High, o.High, borrow)
+func (s Sum) minus(other Sum) Sum {
+	low, borrow := bits.Sub64(s.Low, other.Low, 0)
+	high, _ := bits.Sub64(s.High, other.High, borrow)
 	return Sum{high, low}
 }
 
 func entrySum(key string, value []byte) Sum {
-	text := binary.AppendUvarint(make([]byte, 0, len(key)+len(value)+4), uint64(len(key)))
-	text = append(append(text, key...), value...)
-	hash := sha256.Sum256(text)
+	data := binary.AppendUvarint(make([]byte, 0, len(key)+len(value)+4), uint64(len(key)))
+	data = append(append(data, key...), value...)
+	hash := sha256.Sum256(data)
 	return Sum{binary.BigEndian.Uint64(hash[:8]), binary.BigEndian.Uint64(hash[8:16])}
 }
 
-// Entry is one entry of a change: a key's new value, or its end.
+// Entry is one entry of a change: the new value of a key, or its deletion.
 type Entry struct {
 	Key    string
-	Value  []byte // not to be changed afterwards
+	Value  []byte // must not be modified afterwards
 	Delete bool
 }
 
-// Change is what differs between two revisions: each key once, in the order of the keys.
+// Change is the difference between two revisions: each key once, in the order of the keys.
 type Change []Entry
 
-// Errors of a change or a snapshot that cannot be taken.
+// Errors of changes, snapshots and messages that are not accepted.
 var (
 	ErrLimit     = errors.New("beyond a limit")
 	ErrChecksum  = errors.New("the checksum differs")
 	ErrMalformed = errors.New("not well-formed")
 )
 
-// check returns an error if a change is not in the order of its keys, or beyond a limit.
-func (c Change) check() error {
+// validate returns an error if the keys are empty or out of order, a deletion has a value, or a limit is exceeded.
+func (c Change) validate() error {
 	if len(c) == 0 || len(c) > MaxEntries {
 		return fmt.Errorf("%w: %d entries", ErrLimit, len(c))
 	}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// size is about how many bytes a change has when it is encoded.
+// size returns the approximate number of bytes of an encoded change.
 func (c Change) size() (size int) {
 	for _, e := range c {
 		size += entrySize(e.Key, e.Value)
@@ -83,43 +83,43 @@
 	return size
 }
 
-// entrySize is how many bytes an entry has in a snapshot, at most.
+// entrySize returns the maximum number of bytes of an entry in a snapshot.
 func entrySize(key string, value []byte) int { return len(key) + len(value) + 6 }
 
-// Document is the configuration at one revision. Only the package changes one.
+// Document is the configuration at one revision: a map from keys to values.
 type Document struct {
 	revision Revision
 	entries  map[string][]byte
-	size     int // bytes of its snapshot, at most
+	size     int // sum of entrySize: maximum number of bytes of its snapshot
 }
 
 // NewDocument returns the empty document of revision 0.
 func NewDocument() *Document { return &Document{entries: map[string][]byte{}} }
 
-// Revision is the document's.
+// Revision returns the revision of the document.
 func (d *Document) Revision() Revision { return d.revision }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (d *Document) Len() int { return len(d.entries) }
 
-// Get returns the value of a key, which must not be changed.
+// Get returns the value of a key. The caller must not modify it.
 func (d *Document) Get(key string) (value []byte, ok bool) {
 	value, ok = d.entries[key]
 	return value, ok
 }
 
-// Keys are all keys, sorted.
+// Keys returns all keys, sorted.
 func (d *Document) Keys() []string { return slices.Sorted(maps.Keys(d.entries)) }
 
-// Clone returns a document that may go on apart from d.
+// Clone returns a copy of d that can be changed independently.
 func (d *Document) Clone() *Document {
 	c := *d
 	c.entries = maps.Clone(d.entries)
 	return &c
 }
 
-// ChangeTo returns what makes a document with just these entries from d: what to Apply where a caller has a whole
-// document.
+// ChangeTo returns the change from d to a document with exactly the given entries. It serves callers of Node.Apply that
+// have a whole document.
 func (d *Document) ChangeTo(entries map[string][]byte) (change Change) {
 	for key := range d.entries {
 		if _, ok := entries[key]; !ok {
@@ -135,8 +135,8 @@
 	return change
 }
 
-// after returns the checksum, size and number of entries that the document would have after a change.
-func (d *Document) after(change Change) (sum Sum, size, entries int) {
+// statsAfter returns the checksum, size and number of entries that the document would have after a change.
+func (d *Document) statsAfter(change Change) (sum Sum, size, entries int) {
 	sum, size, entries = d.revision.Sum, d.size, len(d.entries)
 	for _, e := range change {
 		if old, ok := d.entries[e.Key]; ok {
@@ -149,31 +149,32 @@
 	return sum, size, entries
 }
 
-// next returns the delta that a change makes of the document in an epoch, or why there is none.
-func (d *Document) next(epoch Epoch, change Change) (Delta, error) {
-	if err := change.check(); err != nil {
+// nextDelta returns the delta of a change to the document in an epoch, or an error if the change is not valid or the
+// document would exceed a limit.
+func (d *Document) nextDelta(epoch Epoch, change Change) (Delta, error) {
+	if err := change.validate(); err != nil {
 		return Delta{}, err
 	}
-	sum, size, entries := d.after(change)
+	sum, size, entries := d.statsAfter(change)
 	if size > MaxDocument || entries > MaxEntries {
 		return Delta{}, fmt.Errorf("%w: a document of %d bytes and %d entries", ErrLimit, size, entries)
 	}
 	return Delta{Revision{epoch, d.revision.Number + 1, sum}, change}, nil
 }
 
-// Apply brings the next revision into force in d, whole or not at all.
+// Apply applies the delta of the next revision to d, completely or not at all.
 func (d *Document) Apply(delta Delta) error {
 	if delta.Revision.Number != d.revision.Number+1 {
 		return fmt.Errorf("%w: revision %d follows on %d", ErrMalformed, delta.Revision.Number, d.revision.Number)
 	}
-	next, err := d.next(delta.Revision.Epoch, delta.Change)
+	next, err := d.nextDelta(delta.Revision.Epoch, delta.Change)
 	if err != nil {
 		return err
 	}
 	if next.Revision != delta.Revision {
 		return fmt.Errorf("%w: revision %d", ErrChecksum, delta.Revision.Number)
 	}
-	_, d.size, _ = d.after(delta.Change)
+	_, d.size, _ = d.statsAfter(delta.Change)
 	for _, e := range delta.Change {
 		if e.Delete {
 			delete(d.entries, e.Key)
@@ -185,29 +186,29 @@
 	return nil
 }
 
-// Snapshot returns the whole document as bytes, the same ones at all who hold its revision.
+// Snapshot returns the encoded document. It is the same at all members that hold the revision.
 func (d *Document) Snapshot() []byte {
-	text := make([]byte, 0, d.size)
+	data := make([]byte, 0, d.size)
 	for _, key := range d.Keys() {
-		text = appendString(text, key)
-		text = appendString(text, string(d.entries[key]))
+		data = appendString(data, key)
+		data = appendString(data, string(d.entries[key]))
 	}
-	return text
+	return data
 }
 
-// ParseSnapshot returns the document of a revision, if the bytes are just that.
-func ParseSnapshot(revision Revision, text []byte) (*Document, error) {
-	if len(text) > MaxDocument {
-		return nil, fmt.Errorf("%w: a snapshot of %d bytes", ErrLimit, len(text))
+// ParseSnapshot decodes the snapshot of a revision, and verifies its checksum.
+func ParseSnapshot(revision Revision, data []byte) (*Document, error) {
+	if len(data) > MaxDocument {
+		return nil, fmt.Errorf("%w: a snapshot of %d bytes", ErrLimit, len(data))
 	}
-	d, last := NewDocument(), ""
-	in := decoder{text: text}
-	for len(in.text) > 0 {
+	d, lastKey := NewDocument(), ""
+	in := decoder{data: data}
+	for len(in.data) > 0 {
 		key, value := in.string(MaxKey), in.bytes(MaxValue)
-		if in.err != nil || key <= last || len(d.entries) == MaxEntries {
+		if in.err != nil || key <= lastKey || len(d.entries) == MaxEntries {
 			return nil, fmt.Errorf("%w: snapshot of revision %d", ErrMalformed, revision.Number)
 		}
-		last, d.entries[key] = key, value
+		lastKey, d.entries[key] = key, value
 		d.size += entrySize(key, value)
 		d.revision.Sum = d.revision.Sum.plus(entrySum(key, value))
 	}
--- a/internal/decide/configlog/leader.go
+++ b/internal/decide/configlog/leader.go
@@ -1,14 +1,14 @@
 package configlog
 
-// tickOrigin campaigns, leads and repeats what was not answered, as time goes by.
+// tickOrigin starts elections, maintains leadership and repeats unanswered requests when they are due.
 func (n *Node) tickOrigin(now int64) {
 	o := n.origin
-	if o.campaigns == 0 {
-		o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
+	if o.campaignAt == 0 {
+		o.campaignAt = now + n.jitter(n.timing.ElectionTimeout)
 	}
-	n.openRequest(now)
+	n.expireRequest(now)
 	if o.role == leading {
-		n.lead(now)
+		n.maintainLeadership(now)
 	}
 	if now < o.retryAt {
 		return
@@ -16,45 +16,46 @@
 	o.retryAt = now + n.timing.RetryInterval
 	switch {
 	case !o.vote.CanVote:
-		n.sendAll(o.others, Recover{o.life})
+		n.sendAll(o.others, Recover{o.incarnation})
 	case o.role == leading && o.proposal.Delta.Revision.Number > 0:
 		n.sendProposal()
-	case o.role == campaigning && now < o.campaigns:
+	case o.role == campaigning && now < o.campaignAt:
 		n.sendPrepare()
-	case o.role != leading && now >= o.campaigns:
-		n.canvass(now)
+	case o.role != leading && now >= o.campaignAt:
+		n.requestPreVotes(now)
 	}
 }
 
-// canvass asks whether a campaign would do good: without it, one who hears nobody would depose a leader whom all
-// others hear.
-func (n *Node) canvass(now int64) {
+// requestPreVotes asks the other origins whether they would promise a new epoch. Without this round, an origin that
+// receives no heartbeats would depose a leader that all others can reach.
+func (n *Node) requestPreVotes(now int64) {
 	o := n.origin
-	o.role, o.willing = canvassing, map[NodeID]bool{}
-	o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
-	n.sendAll(o.others, PreVote{Epoch{o.seen + 1, n.me}})
+	o.role, o.preVotes = preVoting, map[NodeID]bool{}
+	o.campaignAt = now + n.jitter(n.timing.ElectionTimeout)
+	n.sendAll(o.others, PreVote{Epoch{o.maxRoundSeen + 1, n.id}})
 }
 
-func (n *Node) handleCanvass(now int64, from NodeID, c PreVote) {
+func (n *Node) handlePreVote(now int64, from NodeID, request PreVote) {
 	o := n.origin
-	hearsLeader := o.role == leading || o.leaderAt > 0 && now-o.leaderAt < n.timing.ElectionTimeout
-	if o.vote.CanVote && !hearsLeader && c.Epoch.Compare(o.vote.Promised) > 0 {
-		n.send(from, PreVoteGranted(c))
+	hearsLeader := o.role == leading || o.leaderHeardAt > 0 && now-o.leaderHeardAt < n.timing.ElectionTimeout
+	if o.vote.CanVote && !hearsLeader && request.Epoch.Compare(o.vote.Promised) > 0 {
+		n.send(from, PreVoteGranted(request))
 	} else if o.vote.CanVote && !hearsLeader {
-		n.reject(from, c.Epoch)
+		n.reject(from, request.Epoch)
 	}
 }
 
-func (n *Node) handleWilling(from NodeID, w PreVoteGranted) {
-	if o := n.origin; o.role == canvassing && w.Epoch == (Epoch{o.seen + 1, n.me}) {
-		o.willing[from] = true
+func (n *Node) handlePreVoteGranted(from NodeID, grant PreVoteGranted) {
+	if o := n.origin; o.role == preVoting && grant.Epoch == (Epoch{o.maxRoundSeen + 1, n.id}) {
+		o.preVotes[from] = true
 	}
 }
 
-// campaign asks for the promise of a new epoch. Its own vote counts: it is saved before anything is sent.
+// campaign starts a new epoch and asks for promises. This origin's own promise counts, since it is saved before
+// anything is sent.
 func (n *Node) campaign() {
 	o := n.origin
-	o.epoch = Epoch{o.seen + 1, n.me}
+	o.epoch = Epoch{o.maxRoundSeen + 1, n.id}
 	o.role, o.promises = campaigning, map[NodeID]Promise{}
 	n.promise(o.epoch)
 	n.sendPrepare()
@@ -70,45 +71,46 @@
 
 func (n *Node) handlePromise(from NodeID, p Promise) {
 	o := n.origin
-	n.knowsHeld(from, p.Held)
+	n.recordHeld(from, p.Held)
 	if o.role == campaigning && p.Epoch == o.epoch {
 		o.promises[from] = p
 	}
 }
 
-// begin leads, once a majority has promised and this origin holds all that it has committed. What another leader had
-// begun, by the latest of the promises, is proposed anew in this epoch before anything else.
-func (n *Node) begin(now int64) {
+// tryLead takes the lead once a majority has promised and this origin holds every revision that the majority knows to
+// be committed. It first proposes again, in its own epoch, the accepted proposal with the latest ballot, if there is
+// one: an earlier leader may have committed it.
+func (n *Node) tryLead(now int64) {
 	o := n.origin
 	if !o.isMajority(len(o.promises) + 1) {
 		return
 	}
-	latest := n.pending()
+	latest := n.pendingProposal()
 	for _, p := range o.promises {
-		if p.Held.After(n.held()) && !o.rules.earlyLeader {
-			return // it is being pulled
+		if p.Held.After(n.held()) && !o.mutations.leadsWhileBehind {
+			return // that revision is being pulled
 		}
-		a := p.Accepted
-		if a.Delta.Revision.Number == n.held().Number+1 && a.Ballot.Compare(latest.Ballot) > 0 {
-			latest = a
+		accepted := p.Accepted
+		if accepted.Delta.Revision.Number == n.held().Number+1 && accepted.Ballot.Compare(latest.Ballot) > 0 {
+			latest = accepted
 		}
 	}
-	o.role, o.tick, o.beatAt = leading, 0, 0
-	o.proposal, o.accepted, o.answered = Proposal{}, nil, map[NodeID]int64{}
+	o.role, o.heartbeatTick, o.heartbeatSentAt = leading, 0, 0
+	o.proposal, o.accepted, o.answeredAt = Proposal{}, nil, map[NodeID]int64{}
 	for _, other := range o.others {
-		o.answered[other] = now
+		o.answeredAt[other] = now
 	}
-	if latest.Delta.Revision.Number > 0 && !o.rules.dropsOther {
+	if latest.Delta.Revision.Number > 0 && !o.mutations.dropsPendingProposal {
 		n.propose(latest.Delta)
 	}
-	n.lead(now)
+	n.maintainLeadership(now)
 }
 
-// propose stores a delta itself and asks the others to.
+// propose accepts a delta in this origin's vote and asks the other origins to accept it.
 func (n *Node) propose(d Delta) {
 	o := n.origin
 	o.proposal, o.accepted = Proposal{o.epoch, d}, map[NodeID]bool{}
-	o.vote.Accepted, n.out.SaveVote = o.proposal, true
+	o.vote.Accepted, n.queuedEffects.SaveVote = o.proposal, true
 	n.sendProposal()
 }
 
@@ -125,31 +127,32 @@
 	if o.role != leading || a.Ballot != o.epoch {
 		return
 	}
-	o.answered[from] = now
+	o.answeredAt[from] = now
 	if a.Revision == o.proposal.Delta.Revision {
 		o.accepted[from] = true
 	}
 }
 
-// commit brings the proposal into force, once a majority has stored it, and tells all.
-func (n *Node) commit(now int64) {
+// tryCommit puts the proposal into force once a majority has stored it, and pushes it to origins and children.
+func (n *Node) tryCommit(now int64) {
 	o := n.origin
 	d := o.proposal.Delta
 	if d.Revision.Number == 0 || !o.isMajority(len(o.accepted)+1) {
 		return
 	}
 	o.proposal = Proposal{}
-	if d.Revision.After(n.held()) && n.take(now, d) {
+	if d.Revision.After(n.held()) && n.applyDelta(now, d) {
 		n.sendAll(o.others, Push{d})
-		n.pushOn(d, "")
+		n.forwardDelta(d, "")
 	}
 }
 
-// handleReject brings up one who is behind, and steps down before a later epoch.
+// handleReject steps down if the sender has promised a later epoch, and sends the missing delta to an origin that is
+// one revision behind.
 func (n *Node) handleReject(now int64, from NodeID, r Reject) {
 	o := n.origin
-	n.knowsHeld(from, r.Held)
-	o.seen = max(o.seen, r.Promised.Round)
+	n.recordHeld(from, r.Held)
+	o.maxRoundSeen = max(o.maxRoundSeen, r.Promised.Round)
 	if o.role != leading && o.role != campaigning || r.Epoch != o.epoch {
 		return
 	}
@@ -160,43 +163,43 @@
 	if o.role != leading {
 		return
 	}
-	o.answered[from] = now
+	o.answeredAt[from] = now
 	if deltas, _, err := n.replica.log.after(r.Held); err == nil && len(deltas) == 1 {
 		n.send(from, Push{deltas[0]})
 	}
 }
 
-// stepDown ends what this origin has begun. Whether its proposal is committed is for the next leader to find out.
+// stepDown ends this origin's leadership or campaign. The next leader finds out whether its proposal is committed.
 func (n *Node) stepDown() {
 	o := n.origin
 	o.role, o.proposal = following, Proposal{}
 }
 
-// lead sends heartbeats, and steps down where no majority answers them.
-func (n *Node) lead(now int64) {
+// maintainLeadership sends heartbeats, and steps down if no majority answers.
+func (n *Node) maintainLeadership(now int64) {
 	o := n.origin
 	answering := 1
-	for _, at := range o.answered {
+	for _, at := range o.answeredAt {
 		if now-at < n.timing.ElectionTimeout {
 			answering++
 		}
 	}
 	if !o.isMajority(answering) {
 		n.stepDown()
-		o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
+		o.campaignAt = now + n.jitter(n.timing.ElectionTimeout)
 		return
 	}
-	if o.beatAt > 0 && now-o.beatAt < n.timing.HeartbeatInterval {
+	if o.heartbeatSentAt > 0 && now-o.heartbeatSentAt < n.timing.HeartbeatInterval {
 		return
 	}
-	o.beatAt = now
-	if o.tick == 0 || now-o.tickAt >= n.timing.DigestInterval {
-		o.tick, o.tickAt = o.tick+1, now
+	o.heartbeatSentAt = now
+	if o.heartbeatTick == 0 || now-o.tickAdvancedAt >= n.timing.DigestInterval {
+		o.heartbeatTick, o.tickAdvancedAt = o.heartbeatTick+1, now
 	}
-	o.leaderAt = now
-	beat := HeartbeatID{o.epoch, o.tick}
-	n.sendAll(o.others, Heartbeat{beat, n.held()})
-	n.hearBeat(now, beat)
+	o.leaderHeardAt = now
+	id := HeartbeatID{o.epoch, o.heartbeatTick}
+	n.sendAll(o.others, Heartbeat{id, n.held()})
+	n.observeHeartbeat(now, id)
 }
 
 func (n *Node) handleHeartbeat(now int64, from NodeID, h Heartbeat) {
@@ -211,41 +214,41 @@
 	if o.vote.CanVote {
 		n.promise(h.ID.Epoch)
 	}
-	if o.role == canvassing {
+	if o.role == preVoting {
 		o.role = following
 	}
-	o.seen = max(o.seen, h.ID.Epoch.Round)
-	o.leaderAt = now
-	o.campaigns = now + n.jitter(n.timing.ElectionTimeout)
-	if s := n.source(from); s != nil {
-		s.heard, s.held = now, h.Held
+	o.maxRoundSeen = max(o.maxRoundSeen, h.ID.Epoch.Round)
+	o.leaderHeardAt = now
+	o.campaignAt = now + n.jitter(n.timing.ElectionTimeout)
+	if s := n.findSource(from); s != nil {
+		s.heardAt, s.held = now, h.Held
 	}
 	n.send(from, HeartbeatAck{h.ID})
-	n.hearOf(h.Held)
+	n.observeRevision(h.Held)
 	n.pullFrom(now, from, h.Held)
-	n.hearBeat(now, h.ID)
+	n.observeHeartbeat(now, h.ID)
 }
 
 func (n *Node) handleHeartbeatAck(now int64, from NodeID, h HeartbeatAck) {
 	if o := n.origin; o.role == leading && h.ID.Epoch == o.epoch {
-		o.answered[from] = now
+		o.answeredAt[from] = now
 	}
 }
 
-// advanceOrigin does what votes, and revisions that have come in, have made possible.
+// advanceOrigin takes the steps that new votes and revisions have made possible.
 func (n *Node) advanceOrigin(now int64) {
 	o := n.origin
-	n.recovered()
-	if o.role == canvassing && o.vote.CanVote && o.isMajority(len(o.willing)+1) {
+	n.tryFinishRecovery()
+	if o.role == preVoting && o.vote.CanVote && o.isMajority(len(o.preVotes)+1) {
 		n.campaign()
 	}
 	if o.role == campaigning {
-		n.begin(now)
+		n.tryLead(now)
 	}
 	if o.role == leading {
-		n.commit(now)
+		n.tryCommit(now)
 	}
-	n.closeRequest()
+	n.completeRequest()
 }
 
 // handleApply proposes a change that was made from the revision in force.
@@ -256,13 +259,13 @@
 	case o == nil || o.role != leading:
 		result.Outcome = NotLeader
 	case o.request.active && o.request.from == from && o.request.id == a.ID:
-		return // the same one again
+		return // a duplicate of the request in progress
 	case o.request.active || o.proposal.Delta.Revision.Number > 0:
 		result.Outcome = Busy
-	case a.Base != n.held() && !o.rules.anyBase:
+	case a.Base != n.held() && !o.mutations.ignoresBase:
 		result.Outcome = Stale
 	default:
-		d, err := n.replica.document.next(o.epoch, a.Change)
+		d, err := n.replica.document.nextDelta(o.epoch, a.Change)
 		if err == nil && d.Revision.Sum != n.held().Sum {
 			o.request = request{from, a.ID, a.Base, d, now + n.timing.ApplyTimeout, true}
 			n.propose(d)
@@ -270,30 +273,31 @@
 		}
 		result.Outcome = Invalid
 	}
-	n.answer(from, result)
+	n.replyToApply(from, result)
 }
 
-// closeRequest answers the Apply that is under way when its number is committed, with its change or another's.
-func (n *Node) closeRequest() {
-	q := &n.origin.request
-	if !q.active || n.held().Number < q.delta.Revision.Number {
+// completeRequest answers the Apply in progress once a revision of its number is in force, with its change or another.
+func (n *Node) completeRequest() {
+	request := &n.origin.request
+	if !request.active || n.held().Number < request.delta.Revision.Number {
 		return
 	}
-	result := Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Leader}
-	if d, ok := n.replica.log.find(q.delta.Revision.Number); ok {
+	result := Result{ID: request.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.heartbeat.Epoch.Leader}
+	if d, ok := n.replica.log.find(request.delta.Revision.Number); ok {
 		result.Outcome, result.Revision = Stale, n.held()
-		if d.Revision == q.delta.Revision {
+		if d.Revision == request.delta.Revision {
 			result.Outcome, result.Revision = Committed, d.Revision
 		}
 	}
-	q.active = false
-	n.answer(q.from, result)
+	request.active = false
+	n.replyToApply(request.from, result)
 }
 
-// openRequest gives up on an Apply whose outcome is open for too long.
-func (n *Node) openRequest(now int64) {
-	if q := &n.origin.request; q.active && now >= q.until {
-		q.active = false
-		n.answer(q.from, Result{ID: q.id, Outcome: Unknown, Revision: n.held(), Leader: n.replica.beat.Epoch.Leader})
+// expireRequest answers Unknown to an Apply whose outcome is undecided at its deadline.
+func (n *Node) expireRequest(now int64) {
+	if request := &n.origin.request; request.active && now >= request.deadline {
+		request.active = false
+		n.replyToApply(request.from, Result{ID: request.id, Outcome: Unknown, Revision: n.held(),
+			Leader: n.replica.heartbeat.Epoch.Leader})
 	}
 }
--- a/internal/decide/configlog/limits.go
+++ b/internal/decide/configlog/limits.go
@@ -1,53 +1,53 @@
 package configlog
 
-// Bounds of what may come in and be held. Whatever is beyond them is dropped whole and counted.
+// Limits of messages and of the state of a member. Input beyond them is rejected as a whole.
 const (
 	MaxKey       = 256       // bytes of an entry's key
 	MaxValue     = 16 << 10  // bytes of an entry's value
-	MaxEntries   = 16_384    // entries of a document
+	MaxEntries   = 16_384    // entries of a document or a change
 	MaxDocument  = 1 << 20   // bytes of a document's snapshot
-	MaxChange    = 32 << 10  // bytes of a change, as it is encoded
+	MaxChange    = 32 << 10  // bytes of an encoded change
 	MaxNodeID    = 64        // bytes of a member's name
 	MaxMembers   = 8_192     // members of a roster
 	MaxOrigins   = 5         // origins of a roster
-	MaxMessage   = 64 << 10  // bytes of a message, as it is encoded
+	MaxMessage   = 64 << 10  // bytes of an encoded message
 	ChunkBytes   = 16 << 10  // bytes of a snapshot in one message
-	BatchBytes   = 32 << 10  // bytes of deltas in one message, unless a single one is larger
-	MaxLogDeltas = 2_048     // deltas that are kept for those who are behind
-	MaxLogBytes  = 512 << 10 // bytes of these
+	BatchBytes   = 32 << 10  // bytes of deltas in one message, unless a single delta is larger
+	MaxLogDeltas = 2_048     // deltas that are kept for members that are behind
+	MaxLogBytes  = 512 << 10 // bytes of the deltas that are kept
 )
 
-// Timing are periods in microseconds. They decide how soon something happens, and never whether it may.
+// Timing holds intervals and timeouts in microseconds. They affect how soon something happens, never safety.
 type Timing struct {
-	DigestInterval    int64 // between two digests of one parent: the leader's heartbeat
-	SourceTimeout     int64 // a source that was not heard from for so long is replaced by another
-	PullTimeout       int64 // until a pull that brought nothing is repeated elsewhere; doubled each time, with jitter
-	MaxPullTimeout    int64 // the longest of these
+	DigestInterval    int64 // between two digests of a parent, and two ticks of the leader's heartbeats
+	SourceTimeout     int64 // a source without a fresh digest for so long is replaced
+	PullTimeout       int64 // until an unanswered pull goes to another source; doubles each time, with jitter
+	MaxPullTimeout    int64 // limit of this backoff
 	HeartbeatInterval int64 // between two heartbeats of a leader to the other origins
-	ElectionTimeout   int64 // an origin that has not heard from a leader for so long campaigns; with jitter, up to twice that
-	RetryInterval     int64 // between two sendings of what an origin has not answered
-	ApplyTimeout      int64 // an Apply whose outcome is open for so long is reported as Unknown
+	ElectionTimeout   int64 // an origin without a leader's heartbeat for so long campaigns; jitter up to doubles it
+	RetryInterval     int64 // between two transmissions of a request that an origin has not answered
+	ApplyTimeout      int64 // after this, a leader reports an undecided Apply as Unknown; others wait twice as long
 }
 
-// DefaultTiming follows from 4 s until a change is in force: a source may be silent for 2.5 digests and be replaced
-// within that.
+// DefaultTiming returns timing for the goal that a change is in force within 4 s: within that time a source can miss
+// 2.5 digest intervals and be replaced.
 func DefaultTiming() Timing {
 	const ms = 1000
 	return Timing{DigestInterval: 1000 * ms, SourceTimeout: 2500 * ms, PullTimeout: 400 * ms, MaxPullTimeout: 6400 * ms,
 		HeartbeatInterval: 250 * ms, ElectionTimeout: 1000 * ms, RetryInterval: 250 * ms, ApplyTimeout: 3000 * ms}
 }
 
-// FanOut bounds how many members one feeds.
+// FanOut limits how many members one member feeds, and at which rate it answers pulls.
 type FanOut struct {
-	Relay       int // children of a relay or origin, a machine that is set aside for control
+	Relay       int // children of a relay or origin, which is a dedicated control machine
 	Follower    int // children of any other member
-	Subscribers int // further ones, for as long as they have lost their own parents
-	// ServeRate bounds the bytes a second that one member spends on answers to pulls; ServeBurst what it may have
-	// saved up.
+	Subscribers int // additional members, which have lost their own parents
+	// ServeRate limits the answers to pulls in bytes per second, and ServeBurst is the token bucket's size in bytes.
 	ServeRate, ServeBurst int64
 }
 
-// DefaultFanOut keeps a follower with all its children within 2 KB a second: eight digests a second.
+// DefaultFanOut returns limits that keep the traffic of a follower with all its children, eight digests per second,
+// below 2 KB per second.
 func DefaultFanOut() FanOut {
 	return FanOut{Relay: 16, Follower: 8, Subscribers: 4, ServeRate: 128 << 10, ServeBurst: 512 << 10}
 }
--- a/internal/decide/configlog/message.go
+++ b/internal/decide/configlog/message.go
@@ -1,52 +1,53 @@
 package configlog
 
-// Message is what one member tells another. It may be lost, doubled, overtaken and come late. Who it is from must be
-// what the transport has authenticated, never what the sender claims.
+// Message is a message between two members. It may be lost, duplicated, reordered and delayed. From must be the sender
+// that the transport has authenticated, never what the sender claims.
 type Message struct {
 	From, To NodeID
 	Body     Body
 }
 
-// Body is one of the messages below.
-type Body interface{ kind() kind }
+// Body is the body of a message: one of the types below.
+type Body interface{ kind() messageKind }
 
-// Between origins.
+// Messages between origins. Held is the revision that is in force at the sender.
 type (
-	// PreVote asks whether an origin would promise a new epoch: it would unless it hears from a leader.
+	// PreVote asks whether an origin would promise a new epoch; it would unless it hears from a leader.
 	PreVote struct{ Epoch Epoch }
-	// PreVoteGranted answers that it would.
+	// PreVoteGranted answers a PreVote: the sender would promise the epoch.
 	PreVoteGranted struct{ Epoch Epoch }
-	// Prepare asks for the promise to take nothing of an earlier epoch any more.
+	// Prepare asks for the promise to accept nothing of an earlier epoch any more.
 	Prepare struct{ Epoch Epoch }
-	// Promise gives it, with what was accepted and is held.
+	// Promise answers a Prepare with the promise and with the proposal that the sender has accepted.
 	Promise struct {
 		Epoch    Epoch
 		Held     Revision
-		Accepted Proposal // number 0 for none
+		Accepted Proposal // not known to be committed; number 0 for none
 	}
-	// Accept asks to store a proposal durably.
+	// Accept asks for a proposal to be stored durably.
 	Accept struct{ Proposal Proposal }
-	// Accepted answers that it is stored.
+	// Accepted answers an Accept: the proposal is stored.
 	Accepted struct {
 		Ballot   Epoch
 		Revision Revision
 	}
-	// Reject answers a Prepare, Accept or Heartbeat that comes too late, or an Accept to one that is behind.
+	// Reject answers a PreVote, Prepare, Accept or Heartbeat of an epoch that is over, or an Accept whose previous
+	// revision the sender does not hold.
 	Reject struct {
-		Epoch    Epoch // what was asked
+		Epoch    Epoch // of the rejected message
 		Promised Epoch
 		Held     Revision
 	}
-	// Heartbeat tells the other origins who leads.
+	// Heartbeat tells the other origins that the sender leads.
 	Heartbeat struct {
 		ID   HeartbeatID
 		Held Revision
 	}
-	// HeartbeatAck answers it.
+	// HeartbeatAck answers a Heartbeat.
 	HeartbeatAck struct{ ID HeartbeatID }
-	// Recover asks for all that the asker may have voted on: it has restarted from nothing.
+	// Recover asks what the sender may have voted for; the sender has restarted with an empty disk.
 	Recover struct{ Incarnation uint64 }
-	// RecoverReply answers it.
+	// RecoverReply answers a Recover.
 	RecoverReply struct {
 		Incarnation uint64
 		Vote        Vote
@@ -54,52 +55,53 @@
 	}
 )
 
-// Between all members.
+// Messages between all members. Held is the revision that is in force at the sender.
 type (
-	// Digest tells a child what its parent holds, and how fresh that is.
+	// Digest tells a child which revision its parent holds, and the latest heartbeat that the parent knows.
 	Digest struct {
 		Heartbeat HeartbeatID
 		Held      Revision
 	}
-	// Push brings a revision that has just been committed or taken.
+	// Push carries a delta that has just been committed or applied.
 	Push struct{ Delta Delta }
-	// Pull asks for what comes after Held. One that has begun to get a snapshot goes on at Offset of that of Part.
+	// Pull asks for the revisions after Held, or, with Subscribe, only to be fed with digests and pushes for a while.
+	// A snapshot that has arrived in part is continued: the one of PartialRevision, from Offset on.
 	Pull struct {
 		Held            Revision
-		Subscribe       bool // the asker has lost a parent, and wants to be fed for a while
+		Subscribe       bool // the sender has lost a parent or is isolated, and asks to be fed for a while
 		PartialRevision Revision
 		Offset          uint32
 	}
-	// Deltas answer it with the next revisions in order; none if there are none.
+	// Deltas answers a Pull with the next deltas in order, or with none if the sender of the Pull is up to date.
 	Deltas struct {
 		Deltas []Delta
-		Latest Revision // what the sender holds
+		Latest Revision // in force at the sender
 	}
-	// Chunk answers it with a part of a snapshot.
+	// Chunk answers a Pull with a part of a snapshot.
 	Chunk struct {
 		Revision Revision
-		Total    uint32 // bytes of the snapshot
+		Total    uint32 // bytes of the whole snapshot
 		Offset   uint32
 		Data     []byte
 	}
-	// Overloaded answers that the sender has too many to feed.
+	// Overloaded answers a Pull: the sender has no capacity for another subscriber, or for an answer now.
 	Overloaded struct{}
-	// Apply asks the leader for a change of the revision Base.
+	// Apply asks the leader to apply a change to the revision Base.
 	Apply struct {
 		ID     uint64
 		Base   Revision
 		Change Change
 	}
-	// ApplyReply answers it.
+	// ApplyReply answers an Apply.
 	ApplyReply struct{ Result Result }
 )
 
-// kind is a message's first byte on the wire.
-type kind uint8
+// messageKind tells the types of a Body apart on the wire. The values must not change.
+type messageKind uint8
 
 const (
-	kindCanvass kind = iota + 1
-	kindWilling
+	kindPreVote messageKind = iota + 1
+	kindPreVoteGranted
 	kindPrepare
 	kindPromise
 	kindAccept
@@ -108,7 +110,7 @@
 	kindHeartbeat
 	kindHeartbeatAck
 	kindRecover
-	kindRecovered
+	kindRecoverReply
 	kindDigest
 	kindPush
 	kindPull
@@ -116,25 +118,25 @@
 	kindChunk
 	kindOverloaded
 	kindApply
-	kindApplied
+	kindApplyReply
 )
 
-func (PreVote) kind() kind        { return kindCanvass }
-func (PreVoteGranted) kind() kind { return kindWilling }
-func (Prepare) kind() kind        { return kindPrepare }
-func (Promise) kind() kind        { return kindPromise }
-func (Accept) kind() kind         { return kindAccept }
-func (Accepted) kind() kind       { return kindAccepted }
-func (Reject) kind() kind         { return kindReject }
-func (Heartbeat) kind() kind      { return kindHeartbeat }
-func (HeartbeatAck) kind() kind   { return kindHeartbeatAck }
-func (Recover) kind() kind        { return kindRecover }
-func (RecoverReply) kind() kind   { return kindRecovered }
-func (Digest) kind() kind         { return kindDigest }
-func (Push) kind() kind           { return kindPush }
-func (Pull) kind() kind           { return kindPull }
-func (Deltas) kind() kind         { return kindDeltas }
-func (Chunk) kind() kind          { return kindChunk }
-func (Overloaded) kind() kind     { return kindOverloaded }
-func (Apply) kind() kind          { return kindApply }
-func (ApplyReply) kind() kind     { return kindApplied }
+func (PreVote) kind() messageKind        { return kindPreVote }
+func (PreVoteGranted) kind() messageKind { return kindPreVoteGranted }
+func (Prepare) kind() messageKind        { return kindPrepare }
+func (Promise) kind() messageKind        { return kindPromise }
+func (Accept) kind() messageKind         { return kindAccept }
+func (Accepted) kind() messageKind       { return kindAccepted }
+func (Reject) kind() messageKind         { return kindReject }
+func (Heartbeat) kind() messageKind      { return kindHeartbeat }
+func (HeartbeatAck) kind() messageKind   { return kindHeartbeatAck }
+func (Recover) kind() messageKind        { return kindRecover }
+func (RecoverReply) kind() messageKind   { return kindRecoverReply }
+func (Digest) kind() messageKind         { return kindDigest }
+func (Push) kind() messageKind           { return kindPush }
+func (Pull) kind() messageKind           { return kindPull }
+func (Deltas) kind() messageKind         { return kindDeltas }
+func (Chunk) kind() messageKind          { return kindChunk }
+func (Overloaded) kind() messageKind     { return kindOverloaded }
+func (Apply) kind() messageKind          { return kindApply }
+func (ApplyReply) kind() messageKind     { return kindApplyReply }
--- a/internal/decide/configlog/network_test.go
+++ b/internal/decide/configlog/network_test.go
@@ -10,42 +10,42 @@
 	"pgregory.net/rapid"
 )
 
-// chooser draws what happens next: rapid, which shrinks what fails, or a seeded source.
-type chooser interface {
-	// number draws from 0 to less than n.
-	number(n int) int
+// choiceSource chooses what happens next: rapid, which shrinks failing runs, or a seeded random source.
+type choiceSource interface {
+	// intN returns a number from 0 to n-1.
+	intN(n int) int
 }
 
-type seeded struct{ *rand.Rand }
+type randomChoices struct{ *rand.Rand }
 
-func (s seeded) number(n int) int { return s.IntN(n) }
+func (c randomChoices) intN(n int) int { return c.IntN(n) }
 
-type drawn struct{ t *rapid.T }
+type rapidChoices struct{ t *rapid.T }
 
-func (d drawn) number(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
+func (c rapidChoices) intN(n int) int { return rapid.IntRange(0, n-1).Draw(c.t, "n") }
 
-// instance is a member, and what is on its disk.
+// instance is a member and the state on its disk.
 type instance struct {
-	node  *Node
-	saved SavedState
-	lives uint64
-	held  uint64 // the highest number that was ever in force here, or 0 since its disk was lost
+	node    *Node
+	saved   SavedState
+	starts  uint64
+	maxHeld uint64 // the highest number that was ever in force here; 0 again after the loss of the disk
 }
 
-// cluster is a whole installation and the network in it: what was sent may come at any time, never or twice.
+// cluster simulates a whole installation and its network. Messages may be delayed, lost, reordered and duplicated.
 type cluster struct {
-	roster    Roster
-	rules     rules
-	now       int64
-	instances map[NodeID]*instance
-	net       []Message
-	committed map[uint64]Revision // by number, as anybody has had it in force
-	bases     map[uint64]Revision // what each change was made from
-	frozen    map[NodeID]bool     // stopped wherever they are; what comes for them waits
-	amnesias  int                 // disks that may yet be lost
-	applies   uint64
-	drops     map[DropReason]int
-	err       error
+	roster     Roster
+	mutations  mutations
+	now        int64
+	instances  map[NodeID]*instance
+	inFlight   []Message
+	committed  map[uint64]Revision // by number: revisions that were in force at any instance
+	bases      map[uint64]Revision // the revision from which each change was made, by ID
+	frozen     map[NodeID]bool     // stopped for now; messages to them wait
+	diskLosses int                 // how many disks may still be lost
+	applyCount uint64
+	drops      map[DropReason]int
+	err        error
 }
 
 func testRoster(origins, followers int) (r Roster) {
@@ -58,10 +58,10 @@
 	return r
 }
 
-func newCluster(r Roster, broken rules, amnesias int) *cluster {
-	c := &cluster{roster: r, rules: broken, now: 1_000_000, instances: map[NodeID]*instance{}, amnesias: amnesias,
-		committed: map[uint64]Revision{}, bases: map[uint64]Revision{}, frozen: map[NodeID]bool{},
-		drops: map[DropReason]int{}}
+func newCluster(r Roster, broken mutations, diskLosses int) *cluster {
+	c := &cluster{roster: r, mutations: broken, now: 1_000_000, instances: map[NodeID]*instance{},
+		diskLosses: diskLosses, committed: map[uint64]Revision{}, bases: map[uint64]Revision{},
+		frozen: map[NodeID]bool{}, drops: map[DropReason]int{}}
 	for _, m := range r {
 		c.instances[m.Node] = &instance{}
 		c.start(m.Node, true)
@@ -69,25 +69,25 @@
 	return c
 }
 
-// start starts an instance from its disk.
-func (c *cluster) start(id NodeID, first bool) {
-	i := c.instances[id]
-	i.lives++
-	saved := i.saved
+// start starts or restarts an instance from its disk.
+func (c *cluster) start(id NodeID, bootstrap bool) {
+	instance := c.instances[id]
+	instance.starts++
+	saved := instance.saved
 	if saved.Document != nil {
 		saved.Document = saved.Document.Clone()
 	}
-	n, err := New(Options{Node: id, Roster: c.roster, Seed: 1, Incarnation: i.lives, Bootstrap: first,
-		OnDrop: func(why DropReason) { c.drops[why]++ }}, saved)
+	n, err := New(Options{Node: id, Roster: c.roster, Seed: 1, Incarnation: instance.starts, Bootstrap: bootstrap,
+		OnDrop: func(reason DropReason) { c.drops[reason]++ }}, saved)
 	if err != nil {
 		panic(err)
 	}
 	if n.origin != nil {
-		n.origin.rules = c.rules
+		n.origin.mutations = c.mutations
 	}
-	n.replica.takesOlder = c.rules.takesOlder
-	i.node = n
-	c.carryOut(id, n.Tick(c.now))
+	n.replica.installsOlderSnapshots = c.mutations.installsOlderSnapshots
+	instance.node = n
+	c.execute(id, n.Tick(c.now))
 }
 
 func (c *cluster) fail(format string, args ...any) {
@@ -96,14 +96,14 @@
 	}
 }
 
-// carryOut saves, checks and sends.
-func (c *cluster) carryOut(id NodeID, e Effects) {
+// execute carries out effects: it saves, checks what came into force and was reported, and sends.
+func (c *cluster) execute(id NodeID, e Effects) {
 	i := c.instances[id]
 	if e.Replaced {
-		c.inForce(id, i.node.Document().Revision())
+		c.checkInForce(id, i.node.Document().Revision())
 	}
 	for _, d := range e.Deltas {
-		c.inForce(id, d.Revision)
+		c.checkInForce(id, d.Revision)
 	}
 	if e.Replaced || len(e.Deltas) > 0 {
 		i.saved.Document = i.node.Document().Clone()
@@ -113,25 +113,26 @@
 	}
 	for _, r := range e.Results {
 		if r.Outcome == Committed && c.committed[r.Revision.Number] != r.Revision {
-			c.fail("%v was told as committed, and %v is in force", r.Revision, c.committed[r.Revision.Number])
+			c.fail("%v was reported as committed, but %v is in force", r.Revision, c.committed[r.Revision.Number])
 		}
 		if r.Outcome == Committed && c.bases[r.ID].Number+1 != r.Revision.Number {
 			c.fail("%v was made from %v", r.Revision, c.bases[r.ID])
 		}
 	}
-	c.net = append(c.net, e.Messages...)
+	c.inFlight = append(c.inFlight, e.Messages...)
 }
 
-// inForce checks a revision that has come into force.
-func (c *cluster) inForce(id NodeID, r Revision) {
+// checkInForce checks a revision that has come into force: no other instance has another one of its number, and the
+// instance does not go back.
+func (c *cluster) checkInForce(id NodeID, r Revision) {
 	i := c.instances[id]
 	if known, ok := c.committed[r.Number]; ok && known != r {
-		c.fail("%s has %v in force, and another had %v", id, r, known)
+		c.fail("%s has %v in force, but another instance had %v", id, r, known)
 	}
-	if r.Number <= i.held {
-		c.fail("%s went from revision %d to %d", id, i.held, r.Number)
+	if r.Number <= i.maxHeld {
+		c.fail("%s went from revision %d to %d", id, i.maxHeld, r.Number)
 	}
-	c.committed[r.Number], i.held = r, r.Number
+	c.committed[r.Number], i.maxHeld = r, r.Number
 }
 
 func (c *cluster) deliver(m Message) {
@@ -140,67 +141,69 @@
 		c.fail("%T: %v", m.Body, err)
 		return
 	}
-	c.carryOut(m.To, c.instances[m.To].node.Handle(c.now, Message{m.From, m.To, body}))
+	c.execute(m.To, c.instances[m.To].node.Handle(c.now, Message{m.From, m.To, body}))
 }
 
-// apply asks an instance for a change of what it holds.
+// apply requests a change of the revision that an instance holds.
 func (c *cluster) apply(id NodeID) {
-	c.applies++
+	c.applyCount++
 	n := c.instances[id].node
 	base := n.Document().Revision()
-	c.bases[c.applies] = base
-	change := Change{{Key: fmt.Sprint("k", c.applies%3), Value: fmt.Append(nil, c.applies)}}
-	c.carryOut(id, n.Apply(c.now, c.applies, base, change))
+	c.bases[c.applyCount] = base
+	change := Change{{Key: fmt.Sprint("k", c.applyCount%3), Value: fmt.Append(nil, c.applyCount)}}
+	c.execute(id, n.Apply(c.now, c.applyCount, base, change))
 }
 
-// due are the indices of the messages that may come next: the first few, so that few are overtaken by very many.
-func (c *cluster) due() (due []int) {
-	for k, m := range c.net {
-		if !c.frozen[m.To] && len(due) < 12 {
-			due = append(due, k)
+// deliverable returns the indices of the messages that may be delivered next: only the oldest few, so that no message
+// is overtaken by too many.
+func (c *cluster) deliverable() (indices []int) {
+	for k, m := range c.inFlight {
+		if !c.frozen[m.To] && len(indices) < 12 {
+			indices = append(indices, k)
 		}
 	}
-	return due
+	return indices
 }
 
-// step does one thing that may happen.
-func (c *cluster) step(ch chooser) {
-	id := c.roster[ch.number(len(c.roster))].Node
-	due := c.due()
-	switch what := ch.number(100); {
-	case what < 68 && len(due) > 0:
-		k := due[ch.number(len(due))]
-		m := c.net[k]
-		if ch.number(12) > 0 { // else it comes again
-			c.net = slices.Delete(c.net, k, k+1)
+// step executes one random event.
+func (c *cluster) step(choices choiceSource) {
+	id := c.roster[choices.intN(len(c.roster))].Node
+	deliverable := c.deliverable()
+	switch action := choices.intN(100); {
+	case action < 68 && len(deliverable) > 0:
+		k := deliverable[choices.intN(len(deliverable))]
+		m := c.inFlight[k]
+		if choices.intN(12) > 0 { // otherwise it is duplicated
+			c.inFlight = slices.Delete(c.inFlight, k, k+1)
 		}
-		if ch.number(10) > 0 { // else it is lost
+		if choices.intN(10) > 0 { // otherwise this copy is lost
 			c.deliver(m)
 		}
-	case what < 70:
+	case action < 70:
 		c.frozen[id] = !c.frozen[id]
 	case c.frozen[id]:
-	case what < 76:
+	case action < 76:
 		c.apply(id)
-	case what < 79:
+	case action < 79:
 		c.start(id, false)
-	case what < 80 && c.amnesias > 0 && c.settled(id):
-		c.amnesias--
+	case action < 80 && c.diskLosses > 0 && c.othersCanVote(id):
+		c.diskLosses--
 		i := c.instances[id]
-		i.saved, i.held = SavedState{}, 0
+		i.saved, i.maxHeld = SavedState{}, 0
 		c.start(id, false)
 	default:
-		c.now += int64(ch.number(8)) * 50_000
-		c.carryOut(id, c.instances[id].node.Tick(c.now))
+		c.now += int64(choices.intN(8)) * 50_000
+		c.execute(id, c.instances[id].node.Tick(c.now))
 	}
-	if len(c.net) > 200 {
-		k := ch.number(len(c.net))
-		c.net = slices.Delete(c.net, k, k+1)
+	if len(c.inFlight) > 200 {
+		k := choices.intN(len(c.inFlight))
+		c.inFlight = slices.Delete(c.inFlight, k, k+1)
 	}
 }
 
-// settled tells whether all other origins vote: two that have forgotten at one time never vote again, as it must be.
-func (c *cluster) settled(id NodeID) bool {
+// othersCanVote reports whether all other origins vote. Two origins that have lost their disks at the same time never
+// vote again, as intended.
+func (c *cluster) othersCanVote(id NodeID) bool {
 	for _, m := range c.roster {
 		if m.Role == Origin && m.Node != id && !c.instances[m.Node].saved.Vote.CanVote {
 			return false
@@ -209,32 +212,32 @@
 	return true
 }
 
-// settle lets all messages come in their order, and time pass, for as long.
-func (c *cluster) settle(d int64) {
-	for until := c.now + d; c.now < until && c.err == nil; c.now += 50_000 {
+// runFor advances the time without faults: all messages are delivered in order.
+func (c *cluster) runFor(duration int64) {
+	for end := c.now + duration; c.now < end && c.err == nil; c.now += 50_000 {
 		for _, m := range c.roster {
-			c.carryOut(m.Node, c.instances[m.Node].node.Tick(c.now))
+			c.execute(m.Node, c.instances[m.Node].node.Tick(c.now))
 		}
-		for len(c.net) > 0 && c.err == nil {
-			m := c.net[0]
-			c.net = c.net[1:]
+		for len(c.inFlight) > 0 && c.err == nil {
+			m := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
 			c.deliver(m)
 		}
 	}
 }
 
-// check is what must hold in the end: all hold the latest revision that was ever in force anywhere, and changes are
-// taken.
-func (c *cluster) check() error {
+// checkConvergence checks the end of a run: without further faults, all instances get the latest revision that was ever
+// in force anywhere, and a change is committed.
+func (c *cluster) checkConvergence() error {
 	clear(c.frozen)
-	c.settle(12_000_000)
+	c.runFor(12_000_000)
 	latest := uint64(0)
 	for n := range c.committed {
 		latest = max(latest, n)
 	}
 	for _, m := range c.roster {
 		if held := c.instances[m.Node].node.held(); c.err == nil && held.Number < latest {
-			c.fail("%s holds %d in the end, and %d was in force", m.Node, held.Number, latest)
+			c.fail("%s holds %d in the end, but %d was in force", m.Node, held.Number, latest)
 		}
 	}
 	if c.err != nil {
@@ -242,38 +245,38 @@
 	}
 	before := c.instances[c.roster[0].Node].node.held().Number
 	c.apply(c.roster[len(c.roster)-1].Node)
-	c.settle(2_000_000)
+	c.runFor(2_000_000)
 	for _, m := range c.roster {
 		if held := c.instances[m.Node].node.held(); c.err == nil && held.Number != before+1 {
-			c.fail("%s holds %d after a change of %d", m.Node, held.Number, before)
+			c.fail("%s holds %d after a change to %d", m.Node, held.Number, before)
 		}
 	}
 	return c.err
 }
 
-// run does so many steps, and returns what must not be.
-func (c *cluster) run(ch chooser, steps int) error {
-	c.settle(4_000_000)
+// run executes random steps, and returns the first violation.
+func (c *cluster) run(choices choiceSource, steps int) error {
+	c.runFor(4_000_000)
 	for range steps {
-		if c.step(ch); c.err != nil {
+		if c.step(choices); c.err != nil {
 			return c.err
 		}
 	}
-	return c.check()
+	return c.checkConvergence()
 }
 
-// seeds are how many runs look for a fault.
-const seeds = 400
+// seedCount is the number of random runs of a test.
+const seedCount = 400
 
-// Without faults a change reaches everybody, and one from an old base is turned down.
+// Without faults a change reaches all members, and a change of an old base is rejected as stale.
 func TestChangeReachesAll(t *testing.T) {
 	for _, origins := range []int{1, 3, 5} {
-		c := newCluster(testRoster(origins, 12), rules{}, 0)
-		c.settle(6_000_000)
+		c := newCluster(testRoster(origins, 12), mutations{}, 0)
+		c.runFor(6_000_000)
 		require.NoError(t, c.err)
 		for i := range 5 {
 			c.apply(c.roster[i].Node)
-			c.settle(500_000)
+			c.runFor(500_000)
 			require.NoError(t, c.err)
 		}
 		for _, m := range c.roster {
@@ -291,23 +294,23 @@
 	}
 }
 
-// Origins that have all lost their disks commit nothing more by themselves. By hand, all begin with the newest document
-// that a follower holds, the others are restarted, and changes go on after it.
+// Origins that have all lost their disks commit nothing more on their own. Manual recovery copies the newest document
+// of a follower to all origins and restarts all members; changes then go on after that revision.
 func TestAllOriginsLoseTheirDisks(t *testing.T) {
-	c := newCluster(testRoster(3, 4), rules{}, 0)
-	c.settle(5_000_000)
+	c := newCluster(testRoster(3, 4), mutations{}, 0)
+	c.runFor(5_000_000)
 	for range 3 {
 		c.apply("f0")
-		c.settle(1_000_000)
+		c.runFor(1_000_000)
 	}
 	require.Len(t, c.committed, 3)
 	for _, o := range []NodeID{"o0", "o1", "o2"} {
-		c.instances[o].saved, c.instances[o].held = SavedState{}, 0
+		c.instances[o].saved, c.instances[o].maxHeld = SavedState{}, 0
 		c.start(o, false)
 	}
-	c.settle(10_000_000)
+	c.runFor(10_000_000)
 	c.apply("f0")
-	c.settle(10_000_000)
+	c.runFor(10_000_000)
 	require.NoError(t, c.err)
 	require.Len(t, c.committed, 3)
 
@@ -316,34 +319,35 @@
 	for _, m := range c.roster {
 		if m.Role == Origin {
 			c.instances[m.Node].saved = SavedState{Document: newest.Clone()}
-			c.instances[m.Node].held = 3
+			c.instances[m.Node].maxHeld = 3
 		}
 		c.start(m.Node, m.Role == Origin)
 	}
-	require.NoError(t, c.check())
+	require.NoError(t, c.checkConvergence())
 	require.Len(t, c.committed, 4)
 }
 
-// Whatever is lost, doubled, overtaken, restarted with its disk or, one at a time, without: at most one revision of
-// each number comes into force anywhere, none is lost or replaced, nobody goes back, and all come together in the
-// end.
-func TestQuorum(t *testing.T) {
+// Messages are lost, duplicated and reordered, members are frozen and restarted, and origins lose their disks one at a
+// time. Nevertheless at most one revision of each number comes into force anywhere, no committed revision is lost or
+// replaced, no member goes back, and all converge in the end.
+func TestAgreementUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newCluster(testRoster(3, 2), rules{}, 2)
-		if err := c.run(drawn{t}, 300); err != nil {
+		c := newCluster(testRoster(3, 2), mutations{}, 2)
+		if err := c.run(rapidChoices{t}, 300); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// The same from seeds, with longer runs than rapid's and five origins too.
-func TestQuorumSeeds(t *testing.T) {
+// As TestAgreementUnderFaults, with seeded random runs that are longer than rapid's, and with one, three and five
+// origins.
+func TestAgreementUnderFaultsSeeded(t *testing.T) {
 	for _, origins := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(origins), func(t *testing.T) {
 			revisions := 0
-			for seed := range uint64(seeds) {
-				c := newCluster(testRoster(origins, 2), rules{}, origins-1)
-				err := c.run(seeded{rand.New(rand.NewPCG(seed, 1))}, 1500)
+			for seed := range uint64(seedCount) {
+				c := newCluster(testRoster(origins, 2), mutations{}, origins-1)
+				err := c.run(randomChoices{rand.New(rand.NewPCG(seed, 1))}, 1500)
 				require.NoError(t, err, "seed %d", seed)
 				revisions += len(c.committed)
 			}
@@ -353,24 +357,24 @@
 	}
 }
 
-// Planted mistakes that show within few of these runs, in the whole machine with its followers. Those of the origins
-// alone that need a rarer order of events are found by the walk of all orders, TestPlantedMistakes.
-func TestPlantedMistakesInRuns(t *testing.T) {
-	for name, broken := range map[string]rules{
-		"one origin is enough":       {one: true},
-		"a change of any base":       {anyBase: true},
-		"a leader that is behind":    {earlyLeader: true},
-		"an older snapshot is taken": {takesOlder: true},
+// Random runs of a cluster with followers find these mutations within few runs. The mutations of origins that need a
+// rarer order of events are found by the search of all orders in TestMutationsAreDetected.
+func TestMutationsAreDetectedInRandomRuns(t *testing.T) {
+	for name, broken := range map[string]mutations{
+		"quorum of one":            {quorumOfOne: true},
+		"ignores base":             {ignoresBase: true},
+		"leads while behind":       {leadsWhileBehind: true},
+		"installs older snapshots": {installsOlderSnapshots: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(seeds) {
+			for seed := range uint64(seedCount) {
 				c := newCluster(testRoster(3, 2), broken, 0)
-				if err := c.run(seeded{rand.New(rand.NewPCG(seed, 1))}, 1500); err != nil {
+				if err := c.run(randomChoices{rand.New(rand.NewPCG(seed, 1))}, 1500); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatal("the mutation was not detected")
 		})
 	}
 }
--- a/internal/decide/configlog/node.go
+++ b/internal/decide/configlog/node.go
@@ -6,104 +6,105 @@
 	"slices"
 )
 
-// Options are what a member is started with.
+// Options are the options of New.
 type Options struct {
 	Node        NodeID
 	Roster      Roster
 	Timing      Timing // DefaultTiming if zero
 	FanOut      FanOut // DefaultFanOut if zero
-	Seed        uint64 // of the chance in waits
-	Incarnation uint64 // another one with each start: a time, or a number that was drawn
-	// of an origin with an empty disk: the installation is new, there is nothing that it may have forgotten
+	Seed        uint64 // of the random jitter of waits
+	Incarnation uint64 // different at each start: a timestamp or a random number
+	// Bootstrap lets an origin without a saved vote take part at once. It is only safe if no vote can have been lost:
+	// the installation is new.
 	Bootstrap bool
-	OnDrop    func(DropReason)
+	OnDrop    func(DropReason) // called for each dropped message or revision; nil for none
 
-	// Topology of the roster and fan-out, where several members of one process share it; nil to work it out.
+	// Topology is the one of Roster and FanOut, for members of one process to share; nil to compute it.
 	Topology *Topology
 }
 
-// DropReason says why something that came in was dropped.
+// DropReason is the reason for which a message, delta or snapshot was dropped. The values are exported as metrics.
 type DropReason string
 
-// The reasons.
+// Reasons of drops.
 const (
-	DropUnknownMember DropReason = "stranger" // from or for somebody who is not on the roster, or for another member
-	DropWrongRole     DropReason = "role"     // between origins, but from or for somebody who is none
-	DropOld           DropReason = "old"      // a revision that is not newer than the one held
-	DropInvalid       DropReason = "invalid"  // a delta or snapshot that does not make its revision, or is beyond a limit
-	DropFork          DropReason = "fork"     // another document under a number that is held: two installations, or a fault
-	DropLate          DropReason = "late"     // an answer to what is not asked any more
+	DropUnknownMember DropReason = "stranger" // the sender is not on the roster, or the receiver is another member
+	DropWrongRole     DropReason = "role"     // a message between origins whose sender or receiver is not an origin
+	DropOld           DropReason = "old"      // a snapshot that is not newer than the document held, or is too large
+	DropInvalid       DropReason = "invalid"  // a delta or snapshot that does not match its revision or exceeds a limit
+	DropFork          DropReason = "fork"     // another revision of a number that is held: two installations, or a bug
+	DropLate          DropReason = "late"     // an answer that is not expected, or not any more
 )
 
-// Node is one member. Its caller serializes the calls, and carries out the Effects of each before the next.
+// Node is one member. Its caller serializes the calls, and carries out the Effects of each before the next one.
 type Node struct {
-	me        NodeID
-	topology  *Topology
-	timing    Timing
-	fan       FanOut
-	random    *rand.Rand
-	counted   func(DropReason)
-	replica   replica
-	origin    *origin // nil for members that are none
-	questions map[uint64]question
-	out       Effects
+	id            NodeID
+	topology      *Topology
+	timing        Timing
+	fanOut        FanOut
+	random        *rand.Rand
+	onDrop        func(DropReason)
+	replica       replica
+	origin        *origin // nil for members that are not origins
+	forwarded     map[uint64]forwardedApply
+	queuedEffects Effects
 }
 
-// question is an Apply that was sent on to another.
-type question struct {
-	to    NodeID
-	until int64
+// forwardedApply is an Apply that was forwarded to the leader.
+type forwardedApply struct {
+	to       NodeID
+	deadline int64
 }
 
-// New returns a member that goes on from what is saved. The first Tick starts it.
-func New(o Options, saved SavedState) (*Node, error) {
-	if o.Timing == (Timing{}) {
-		o.Timing = DefaultTiming()
+// New returns a member that resumes from a saved state. The first Tick starts it.
+func New(options Options, saved SavedState) (*Node, error) {
+	if options.Timing == (Timing{}) {
+		options.Timing = DefaultTiming()
 	}
-	if o.FanOut == (FanOut{}) {
-		o.FanOut = DefaultFanOut()
+	if options.FanOut == (FanOut{}) {
+		options.FanOut = DefaultFanOut()
 	}
-	topology := o.Topology
+	topology := options.Topology
 	if topology == nil {
 		var err error
-		if topology, err = NewTopology(o.Roster, o.FanOut); err != nil {
+		if topology, err = NewTopology(options.Roster, options.FanOut); err != nil {
 			return nil, err
 		}
 	}
-	m, ok := topology.Member(o.Node)
+	member, ok := topology.Member(options.Node)
 	if !ok {
-		return nil, fmt.Errorf("%w: %q is not on it", ErrRoster, o.Node)
+		return nil, fmt.Errorf("%w: %q is not on it", ErrRoster, options.Node)
 	}
-	n := &Node{me: o.Node, topology: topology, timing: o.Timing, fan: o.FanOut, counted: o.OnDrop,
-		questions: map[uint64]question{},
-		random:    rand.New(rand.NewPCG(o.Seed, weight(o.Node, "")))}
+	n := &Node{id: options.Node, topology: topology, timing: options.Timing, fanOut: options.FanOut,
+		onDrop: options.OnDrop, forwarded: map[uint64]forwardedApply{},
+		random: rand.New(rand.NewPCG(options.Seed, rendezvousWeight(options.Node, "")))}
 	n.replica = newReplica(saved.Document)
-	if m.Role == Origin {
-		n.origin = newOrigin(o, topology.Origins, saved)
+	if member.Role == Origin {
+		n.origin = newOrigin(options, topology.Origins, saved)
 	}
 	return n, nil
 }
 
-// Status is what a member says of itself.
+// Status is the state of a member.
 type Status struct {
-	Revision      Revision // in force here
+	Revision      Revision // in force at this member
 	Since         int64    // when it came into force here; 0 if it was loaded at the start
-	Newest        Revision // that it has heard of
-	LeaderHeardAt int64    // when it last heard, directly or not, from a leader; 0 for never
-	Sources       []NodeID // who feeds it now
-	Leader        NodeID   // whom it takes for the leader, "" if it has heard of none lately
-	IsLeader      bool     // it leads
-	CanVote       bool     // it is an origin and votes
-	Epoch         Epoch    // the latest one that it has heard of
+	Newest        Revision // the newest revision that is known to exist
+	LeaderHeardAt int64    // when a new heartbeat of a leader last arrived, also through parents; 0 for never
+	Sources       []NodeID // live sources: the members that feed this one
+	Leader        NodeID   // the leader, or "" if no heartbeat has arrived for two election timeouts
+	IsLeader      bool
+	CanVote       bool  // it is an origin that votes
+	Epoch         Epoch // of the latest known heartbeat
 }
 
-// Status returns what the member holds at now.
+// Status returns the state of the member at the time now.
 func (n *Node) Status(now int64) Status {
 	r := &n.replica
-	s := Status{Revision: r.document.revision, Since: r.since, Newest: r.newest, LeaderHeardAt: r.fresh, Epoch: r.beat.Epoch,
-		Sources: n.liveSources(now)}
-	if r.fresh > 0 && now-r.fresh < 2*n.timing.ElectionTimeout {
-		s.Leader = r.beat.Epoch.Leader
+	s := Status{Revision: r.document.revision, Since: r.since, Newest: r.newest, LeaderHeardAt: r.heartbeatAt,
+		Epoch: r.heartbeat.Epoch, Sources: n.liveSources(now)}
+	if r.heartbeatAt > 0 && now-r.heartbeatAt < 2*n.timing.ElectionTimeout {
+		s.Leader = r.heartbeat.Epoch.Leader
 	}
 	if o := n.origin; o != nil {
 		s.IsLeader, s.CanVote = o.role == leading, o.vote.CanVote
@@ -111,10 +112,10 @@
 	return s
 }
 
-// Document is the one in force. The caller must not keep it beyond the next call, but may Clone it.
+// Document returns the document in force. The caller must not keep it beyond the next call, but may Clone it.
 func (n *Node) Document() *Document { return n.replica.document }
 
-// Vote is what an origin has to save.
+// Vote returns the vote that an origin has to save; it is zero for other members.
 func (n *Node) Vote() Vote {
 	if n.origin == nil {
 		return Vote{}
@@ -122,15 +123,15 @@
 	return n.origin.vote
 }
 
-// Topology is who feeds whom.
+// Topology returns the topology of the installation.
 func (n *Node) Topology() *Topology { return n.topology }
 
-// Handle takes a message that has come in.
+// Handle processes a message that has arrived.
 func (n *Node) Handle(now int64, m Message) Effects {
-	_, known := n.topology.Member(m.From)
-	if !known || m.To != n.me || m.From == n.me {
+	_, isMember := n.topology.Member(m.From)
+	if !isMember || m.To != n.id || m.From == n.id {
 		n.drop(DropUnknownMember)
-		return n.effects()
+		return n.takeEffects()
 	}
 	switch body := m.Body.(type) {
 	case Digest:
@@ -148,120 +149,120 @@
 	case Apply:
 		n.handleApply(now, m.From, body)
 	case ApplyReply:
-		n.handleApplied(m.From, body.Result)
+		n.handleApplyReply(m.From, body.Result)
 	default:
-		n.handleOrigin(now, m)
+		n.handleOriginMessage(now, m)
 	}
 	n.advance(now)
-	return n.effects()
+	return n.takeEffects()
 }
 
-// Tick lets time pass; to be called at least every TickPeriod.
+// Tick does what is due at the time now. It must be called at least every MaxTickInterval.
 func (n *Node) Tick(now int64) Effects {
 	n.tickReplica(now)
-	n.giveUp(now)
+	n.expireForwarded(now)
 	if n.origin != nil {
 		n.tickOrigin(now)
 	}
 	n.advance(now)
-	return n.effects()
+	return n.takeEffects()
 }
 
 // MaxTickInterval is the longest time between two calls of Tick, in microseconds.
 const MaxTickInterval = 100_000
 
-// Apply asks for a change of the revision base. The answer is a Result with the same ID, in the Effects of this or a
-// later call: an origin that leads takes it, any other member sends it on to the leader that it has heard of. Where
-// the outcome is Unknown, the change may be in force or not: the caller reads Document and decides. An ID is used once.
+// Apply requests a change to the revision base. A leader proposes the change itself; any other member forwards it to
+// the leader that it knows. The answer is a Result with the same ID in the Effects of this or a later call. If its
+// outcome is Unknown, the change may be in force or not: the caller reads Document and decides. Each ID is used once.
 func (n *Node) Apply(now int64, id uint64, base Revision, change Change) Effects {
 	n.apply(now, Apply{ID: id, Base: base, Change: change})
 	n.advance(now)
-	return n.effects()
+	return n.takeEffects()
 }
 
 func (n *Node) apply(now int64, a Apply) {
 	if n.origin != nil && n.origin.role == leading {
-		n.handleApply(now, n.me, a)
+		n.handleApply(now, n.id, a)
 		return
 	}
 	leader := n.Status(now).Leader
-	if leader == "" || leader == n.me {
-		n.answer(n.me, Result{ID: a.ID, Outcome: Unavailable, Revision: n.held()})
+	if leader == "" || leader == n.id {
+		n.replyToApply(n.id, Result{ID: a.ID, Outcome: Unavailable, Revision: n.held()})
 		return
 	}
-	n.questions[a.ID] = question{leader, now + 2*n.timing.ApplyTimeout}
+	n.forwarded[a.ID] = forwardedApply{leader, now + 2*n.timing.ApplyTimeout}
 	n.send(leader, a)
 }
 
-// handleApplied takes the answer of the one that was asked, once.
-func (n *Node) handleApplied(from NodeID, r Result) {
-	if q, ok := n.questions[r.ID]; !ok || q.to != from {
+// handleApplyReply reports the first answer to a forwarded Apply, if it is from the member that was asked.
+func (n *Node) handleApplyReply(from NodeID, r Result) {
+	if q, ok := n.forwarded[r.ID]; !ok || q.to != from {
 		n.drop(DropLate)
 		return
 	}
-	delete(n.questions, r.ID)
-	n.out.Results = append(n.out.Results, r)
+	delete(n.forwarded, r.ID)
+	n.queuedEffects.Results = append(n.queuedEffects.Results, r)
 }
 
-// giveUp reports what nobody has answered as Unknown, in the order of the questions.
-func (n *Node) giveUp(now int64) {
-	var late []uint64
-	for id, q := range n.questions {
-		if now >= q.until {
-			late = append(late, id)
+// expireForwarded reports each forwarded Apply that was not answered in time as Unknown, in the order of the IDs.
+func (n *Node) expireForwarded(now int64) {
+	var expired []uint64
+	for id, q := range n.forwarded {
+		if now >= q.deadline {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
-		delete(n.questions, id)
-		n.out.Results = append(n.out.Results, Result{ID: id, Outcome: Unknown, Revision: n.held()})
+	slices.Sort(expired)
+	for _, id := range expired {
+		delete(n.forwarded, id)
+		n.queuedEffects.Results = append(n.queuedEffects.Results, Result{ID: id, Outcome: Unknown, Revision: n.held()})
 	}
 }
 
-// advance does what follows from what has changed.
+// advance takes the steps of the protocol that the latest event has made possible.
 func (n *Node) advance(now int64) {
 	if n.origin != nil {
 		n.advanceOrigin(now)
 	}
 }
 
-// effects hands out what has come up.
-func (n *Node) effects() Effects {
-	out := n.out
-	n.out = Effects{}
+// takeEffects returns the effects that were queued since the last call.
+func (n *Node) takeEffects() Effects {
+	out := n.queuedEffects
+	n.queuedEffects = Effects{}
 	return out
 }
 
 func (n *Node) held() Revision { return n.replica.document.revision }
 
 func (n *Node) send(to NodeID, body Body) {
-	if to != n.me {
-		n.out.Messages = append(n.out.Messages, Message{n.me, to, body})
+	if to != n.id {
+		n.queuedEffects.Messages = append(n.queuedEffects.Messages, Message{n.id, to, body})
 	}
 }
 
-func (n *Node) sendAll(to []NodeID, body Body) {
-	for _, t := range to {
-		n.send(t, body)
+func (n *Node) sendAll(targets []NodeID, body Body) {
+	for _, to := range targets {
+		n.send(to, body)
 	}
 }
 
-// answer tells whoever has asked for a change what became of it.
-func (n *Node) answer(to NodeID, r Result) {
-	if to == n.me {
-		n.out.Results = append(n.out.Results, r)
+// replyToApply sends the result of an Apply to the member that requested it, or reports it if that is this member.
+func (n *Node) replyToApply(to NodeID, r Result) {
+	if to == n.id {
+		n.queuedEffects.Results = append(n.queuedEffects.Results, r)
 		return
 	}
 	n.send(to, ApplyReply{r})
 }
 
-func (n *Node) drop(why DropReason) {
-	if n.counted != nil {
-		n.counted(why)
+func (n *Node) drop(reason DropReason) {
+	if n.onDrop != nil {
+		n.onDrop(reason)
 	}
 }
 
-// jitter draws a time between d and 2d.
+// jitter returns a random duration from d to less than 2d.
 func (n *Node) jitter(d int64) int64 { return d + n.random.Int64N(max(d, 1)) }
 
-func (n *Node) isOrigin(m NodeID) bool { return slices.Contains(n.topology.Origins, m) }
+func (n *Node) isOrigin(node NodeID) bool { return slices.Contains(n.topology.Origins, node) }
--- a/internal/decide/configlog/origin.go
+++ b/internal/decide/configlog/origin.go
@@ -2,92 +2,93 @@
 
 import "slices"
 
-// role is what an origin is doing.
+// role is the state of an origin in elections.
 type role uint8
 
 const (
 	following   role = iota
-	canvassing       // it asks whether it may campaign
-	campaigning      // it asks for the promise of a new epoch
+	preVoting        // it asks whether it may campaign
+	campaigning      // it asks for promises of a new epoch
 	leading
 )
 
-// rules are sound as they are; tests break them to see that it is found.
-type rules struct {
-	anyEpoch    bool // an origin takes a proposal of an epoch that is over
-	one         bool // one origin is enough for a promise and to commit
-	forgetful   bool // an origin that has forgotten votes at once
-	dropsOther  bool // a new leader doesn't take up what another had begun
-	anyBase     bool // a change is taken whatever it was made from
-	behind      bool // an origin takes a proposal though it does not hold the revision before it
-	partly      bool // an origin that has forgotten votes when one other has told it what it knows
-	takesOlder  bool // a follower takes a snapshot that is older than what it holds
-	earlyLeader bool // a new leader begins before it holds what a majority has committed
+// mutations are faults in the protocol. All are off but in tests, which set one at a time to check that they find it.
+type mutations struct {
+	acceptsOldEpochs       bool // an origin accepts a proposal of an epoch that is over
+	quorumOfOne            bool // one origin is a majority
+	votesWithoutRecovery   bool // an origin that has lost its disk votes at once
+	dropsPendingProposal   bool // a new leader does not propose again what its predecessor has proposed
+	ignoresBase            bool // a change is proposed whichever revision it was made from
+	acceptsWithGap         bool // an origin accepts a proposal though it does not hold the previous revision
+	recoversFromOne        bool // an origin that has lost its disk votes after one RecoverReply
+	installsOlderSnapshots bool // a follower installs a snapshot that is older than the document that it holds
+	leadsWhileBehind       bool // a new leader begins before it holds what a majority has committed
 }
 
-// request is an Apply that is under way.
+// request is an Apply that the leader has proposed.
 type request struct {
-	from   NodeID
-	id     uint64
-	base   Revision
-	delta  Delta
-	until  int64
-	active bool
+	from     NodeID
+	id       uint64
+	base     Revision
+	delta    Delta
+	deadline int64
+	active   bool
 }
 
-// origin is what an origin has beside its replica: a vote, and what it does to lead. See the package for the protocol.
+// origin is the state of an origin beside its replica: its vote, and its part in elections and commits. The package
+// comment describes the protocol.
 type origin struct {
-	others []NodeID
-	rules  rules
-	first  bool // it votes from the start, though nothing is saved: the installation is new
-
-	vote Vote
-	life uint64                  // of this start, so that answers to an earlier one do not count
-	told map[NodeID]RecoverReply // what the others have told one that has forgotten
-
-	role      role
-	epoch     Epoch // in which it campaigns or leads
-	seen      uint64
-	willing   map[NodeID]bool
-	promises  map[NodeID]Promise
-	proposal  Proposal // in this epoch; number 0 for none
-	accepted  map[NodeID]bool
-	request   request
-	answered  map[NodeID]int64 // when each other origin last answered this leader
-	tick      uint64           // of the heartbeats that go down with digests: one in each digest period
-	tickAt    int64
-	beatAt    int64 // when the last heartbeat was sent
-	retryAt   int64
-	leaderAt  int64 // when a leader was last heard
-	campaigns int64 // when it campaigns next
+	others    []NodeID // the other origins
+	mutations mutations
+	bootstrap bool // it votes from the start with an empty disk, as the installation is new
+
+	vote           Vote
+	incarnation    uint64                  // of this start; replies to an earlier incarnation do not count
+	recoverReplies map[NodeID]RecoverReply // received while the vote cannot be given
+
+	role            role
+	epoch           Epoch // in which it campaigns or leads
+	maxRoundSeen    uint64
+	preVotes        map[NodeID]bool // origins that granted the pre-vote
+	promises        map[NodeID]Promise
+	proposal        Proposal        // in this epoch; number 0 for none
+	accepted        map[NodeID]bool // other origins that have accepted proposal
+	request         request
+	answeredAt      map[NodeID]int64 // when each other origin last answered this leader
+	heartbeatTick   uint64           // of this leader's heartbeats; advances once per digest interval
+	tickAdvancedAt  int64
+	heartbeatSentAt int64 // when the last heartbeat was sent
+	retryAt         int64 // when unanswered requests are next repeated
+	leaderHeardAt   int64 // when a leader's heartbeat was last received or sent
+	campaignAt      int64 // when the next election starts
 }
 
-func newOrigin(o Options, all []NodeID, saved SavedState) *origin {
-	others := slices.DeleteFunc(slices.Clone(all), func(n NodeID) bool { return n == o.Node })
-	seen := saved.Vote.Promised.Round
-	if saved.Document != nil { // what was restored by hand has no vote beside it
-		seen = max(seen, saved.Document.revision.Epoch.Round)
+func newOrigin(options Options, origins []NodeID, saved SavedState) *origin {
+	others := slices.DeleteFunc(slices.Clone(origins), func(n NodeID) bool { return n == options.Node })
+	maxRoundSeen := saved.Vote.Promised.Round
+	if saved.Document != nil { // a document that was restored by hand has no vote beside it
+		maxRoundSeen = max(maxRoundSeen, saved.Document.revision.Epoch.Round)
 	}
-	return &origin{others: others, vote: saved.Vote, first: o.Bootstrap, life: o.Incarnation, seen: seen,
-		told: map[NodeID]RecoverReply{}}
+	return &origin{others: others, vote: saved.Vote, bootstrap: options.Bootstrap, incarnation: options.Incarnation,
+		maxRoundSeen: maxRoundSeen, recoverReplies: map[NodeID]RecoverReply{}}
 }
 
-// isMajority tells whether so many origins, itself among them, are more than half.
+// isMajority reports whether count origins, this one included, are more than half of all.
 func (o *origin) isMajority(count int) bool {
-	return count > (len(o.others)+1)/2 || o.rules.one && count > 0
+	return count > (len(o.others)+1)/2 || o.mutations.quorumOfOne && count > 0
 }
 
-// handleOrigin takes a message from another origin.
-func (n *Node) handleOrigin(now int64, m Message) {
+// handleOriginMessage processes a message between origins.
+func (n *Node) handleOriginMessage(now int64, m Message) {
 	if n.origin == nil || !n.isOrigin(m.From) {
 		n.drop(DropWrongRole)
 		return
 	}
 	switch body := m.Body.(type) {
 	case PreVote:
-		n.handleCanvass(now, m.From, body)
+		n.handlePreVote(now, m.From, body)
 	case PreVoteGranted:
-		n.handleWilling(m.From, body)
+		n.handlePreVoteGranted(m.From, body)
 	case Prepare:
 		n.handlePrepare(m.From, body)
 	case Promise:
@@ -105,26 +106,26 @@
 	case Recover:
 		n.handleRecover(m.From, body)
 	case RecoverReply:
-		n.handleRecovered(m.From, body)
+		n.handleRecoverReply(m.From, body)
 	}
 }
 
-// knowsHeld notes what another origin holds, so that it can be pulled from there.
-func (n *Node) knowsHeld(from NodeID, held Revision) {
-	if s := n.source(from); s != nil && held.After(s.held) {
+// recordHeld records the revision that another origin holds, so that it can be pulled from there.
+func (n *Node) recordHeld(from NodeID, held Revision) {
+	if s := n.findSource(from); s != nil && held.After(s.held) {
 		s.held = held
 	}
-	n.hearOf(held)
+	n.observeRevision(held)
 }
 
-// promise takes a later epoch, before which nothing is taken any more.
+// promise moves this origin's promise to a later epoch: it accepts nothing of earlier epochs any more.
 func (n *Node) promise(e Epoch) {
 	o := n.origin
 	if e.Compare(o.vote.Promised) <= 0 {
 		return
 	}
-	o.vote.Promised, n.out.SaveVote = e, true
-	o.seen = max(o.seen, e.Round)
+	o.vote.Promised, n.queuedEffects.SaveVote = e, true
+	o.maxRoundSeen = max(o.maxRoundSeen, e.Round)
 	if o.role != following && e != o.epoch {
 		n.stepDown()
 	}
@@ -140,38 +141,38 @@
 		return
 	}
 	n.promise(p.Epoch)
-	n.send(from, Promise{p.Epoch, n.held(), n.pending()})
+	n.send(from, Promise{p.Epoch, n.held(), n.pendingProposal()})
 }
 
-// pending is what this origin has accepted and does not know to be committed.
-func (n *Node) pending() Proposal {
+// pendingProposal returns the proposal that this origin has accepted and does not know to be committed, if any.
+func (n *Node) pendingProposal() Proposal {
 	if n.origin.vote.Accepted.Delta.Revision.After(n.held()) {
 		return n.origin.vote.Accepted
 	}
 	return Proposal{}
 }
 
-func (n *Node) reject(to NodeID, asked Epoch) {
-	n.send(to, Reject{asked, n.origin.vote.Promised, n.held()})
+func (n *Node) reject(to NodeID, requested Epoch) {
+	n.send(to, Reject{requested, n.origin.vote.Promised, n.held()})
 }
 
-// handleAccept stores a proposal, if it is of the latest epoch and this origin holds the revision before it. Whoever
-// has accepted the revision before keeps that until it knows it to be committed: else a majority could come to have
-// forgotten it.
+// handleAccept stores a proposal if no later epoch was promised and this origin holds the previous revision. An origin
+// that has accepted the previous revision keeps that proposal until it knows it to be committed: otherwise a majority
+// could end up without it.
 func (n *Node) handleAccept(from NodeID, p Proposal) {
 	o := n.origin
 	if !o.vote.CanVote || p.Ballot.Leader != from || p.Delta.Revision.Number == 0 {
 		return
 	}
-	if p.Ballot.Compare(o.vote.Promised) < 0 && !o.rules.anyEpoch {
+	if p.Ballot.Compare(o.vote.Promised) < 0 && !o.mutations.acceptsOldEpochs {
 		n.reject(from, p.Ballot)
 		return
 	}
 	n.promise(p.Ballot)
 	switch next := n.held().Number + 1; {
-	case p.Delta.Revision == n.held(): // committed already
-	case p.Delta.Revision.Number == next, o.rules.behind:
-		o.vote.Accepted, n.out.SaveVote = p, true
+	case p.Delta.Revision == n.held(): // already committed
+	case p.Delta.Revision.Number == next, o.mutations.acceptsWithGap:
+		o.vote.Accepted, n.queuedEffects.SaveVote = p, true
 	default:
 		n.reject(from, p.Ballot)
 		return
@@ -181,44 +182,46 @@
 
 func (n *Node) handleRecover(from NodeID, r Recover) {
 	if n.origin.vote.CanVote {
-		n.send(from, RecoverReply{r.Incarnation, Vote{true, n.origin.vote.Promised, n.pending()}, n.held()})
+		n.send(from, RecoverReply{r.Incarnation, Vote{true, n.origin.vote.Promised, n.pendingProposal()}, n.held()})
 	}
 }
 
-// handleRecovered notes what another origin knows. Only when every other one has told, this origin votes again (see
-// recovered): each leader and candidate to whom it may have given a vote is among them, and has stored what it asked
-// for before it asked.
-func (n *Node) handleRecovered(from NodeID, r RecoverReply) {
+// handleRecoverReply records what another origin has stored. This origin votes again only when every other origin has
+// replied (see tryFinishRecovery): each leader and candidate that may have got its vote is among them, and has stored
+// what it asked for before it asked.
+func (n *Node) handleRecoverReply(from NodeID, r RecoverReply) {
 	o := n.origin
-	if o.vote.CanVote || r.Incarnation != o.life {
+	if o.vote.CanVote || r.Incarnation != o.incarnation {
 		return
 	}
-	o.told[from] = r
-	n.knowsHeld(from, r.Held)
+	o.recoverReplies[from] = r
+	n.recordHeld(from, r.Held)
 }
 
-// recovered lets an origin that had forgotten vote again, when it has been told all and holds what was committed.
-func (n *Node) recovered() {
+// tryFinishRecovery lets an origin that has lost its disk vote again, once all others have replied and it holds the
+// newest revision that they hold. A bootstrapping origin votes without replies.
+func (n *Node) tryFinishRecovery() {
 	o := n.origin
-	enough := len(o.told) == len(o.others) && len(o.others) > 0 || o.rules.partly && len(o.told) > 0
-	if o.vote.CanVote || !enough && !o.first && !o.rules.forgetful {
+	enough := len(o.recoverReplies) == len(o.others) && len(o.others) > 0 ||
+		o.mutations.recoversFromOne && len(o.recoverReplies) > 0
+	if o.vote.CanVote || !enough && !o.bootstrap && !o.mutations.votesWithoutRecovery {
 		return
 	}
-	for _, t := range o.told {
-		if t.Held.After(n.held()) {
+	for _, reply := range o.recoverReplies {
+		if reply.Held.After(n.held()) {
 			return
 		}
 	}
-	for _, t := range o.told {
-		if t.Vote.Promised.Compare(o.vote.Promised) > 0 {
-			o.vote.Promised = t.Vote.Promised
+	for _, reply := range o.recoverReplies {
+		if reply.Vote.Promised.Compare(o.vote.Promised) > 0 {
+			o.vote.Promised = reply.Vote.Promised
 		}
-		a := t.Vote.Accepted
-		if a.Delta.Revision.Number == n.held().Number+1 && a.Ballot.Compare(o.vote.Accepted.Ballot) > 0 {
-			o.vote.Accepted = a
+		accepted := reply.Vote.Accepted
+		if accepted.Delta.Revision.Number == n.held().Number+1 && accepted.Ballot.Compare(o.vote.Accepted.Ballot) > 0 {
+			o.vote.Accepted = accepted
 		}
 	}
-	o.seen = max(o.seen, o.vote.Promised.Round)
-	o.vote.CanVote, n.out.SaveVote = true, true
-	o.told = nil
+	o.maxRoundSeen = max(o.maxRoundSeen, o.vote.Promised.Round)
+	o.vote.CanVote, n.queuedEffects.SaveVote = true, true
+	o.recoverReplies = nil
 }
--- a/internal/decide/configlog/replica.go
+++ b/internal/decide/configlog/replica.go
@@ -5,53 +5,53 @@
 	"slices"
 )
 
-// source is one who feeds this member.
+// source is a member that feeds this one: it sends digests and pushes, and answers pulls.
 type source struct {
-	node    NodeID
-	parent  bool     // by the topology; else a substitute
-	held    Revision // by what it has last said
-	heard   int64    // when it last said something that is about as fresh as the best known
-	adopted int64    // of a substitute: when it was last asked to feed this member
+	node         NodeID
+	isParent     bool     // by the topology; otherwise a fallback parent
+	held         Revision // held by it, as last received
+	heardAt      int64    // when it last sent a digest or heartbeat that was about as recent as the latest known
+	subscribedAt int64    // of a fallback parent: when it was last asked to feed this member
 }
 
-// child is one whom this member feeds beyond the topology, for a while.
-type child struct {
-	node  NodeID
-	until int64
+// subscriber is a member that this one feeds for a while, though it is not a child by the topology.
+type subscriber struct {
+	node      NodeID
+	expiresAt int64
 }
 
-// replica is the document that a member holds, and how it gets and passes on what comes after.
+// replica is the document that a member holds, with the state of its replication from sources to children.
 type replica struct {
 	document *Document
-	since    int64
+	since    int64 // when document came into force; 0 if it was loaded at the start
 	log      deltaLog
-	newest   Revision // that was heard of
+	newest   Revision // the newest revision that is known to exist
 
-	beat       HeartbeatID
-	fresh      int64 // when beat last advanced
-	digested   int64 // when the last digest was sent down
-	sources    []source
-	adopted    []child
-	isolatedAt int64 // when this member holds itself to be cut off, unless beat advances
-	seekAt     int64 // when a further substitute may be asked
-	seekWait   int64 // 0 unless the last one asked has not answered
-	candidate  int   // index of the next substitute
+	heartbeat    HeartbeatID // the latest known
+	heartbeatAt  int64       // when heartbeat last advanced
+	digestSentAt int64       // when digests were last sent to children
+	sources      []source
+	subscribers  []subscriber
+	isolatedAt   int64 // when this member considers itself isolated, unless heartbeat advances
+	nextSearchAt int64 // when the next fallback parent may be asked
+	searchWait   int64 // backoff between fallback parents; 0 once one has answered
+	nextFallback int   // index of the next fallback parent
 
-	pull     pull
-	fetch    fetch
-	serve    budget
-	snapshot snapshot
+	pull        pull
+	download    snapshotDownload
+	serveBudget tokenBucket
+	served      servedSnapshot
 
-	takesOlder bool // a planted mistake of the tests: a snapshot is taken though it is older than what is held
+	installsOlderSnapshots bool // a mutation that tests set, see mutations
 }
 
-// pull is the question that is open.
+// pull is the state of the open Pull, of which there is one at most, and of the backoff after failures.
 type pull struct {
-	to       NodeID // "" for none
-	deadline int64
-	wait     int64 // until the next one counts as lost
-	notTo    NodeID
-	again    int64 // no pull before that
+	target     NodeID // the member that was asked; "" if no pull is open
+	deadline   int64
+	timeout    int64 // of the open or else the next pull; doubles with each failure
+	lastFailed NodeID
+	notBefore  int64 // earliest time of the next pull
 }
 
 func newReplica(d *Document) replica {
@@ -61,19 +61,20 @@
 	return replica{document: d, newest: d.revision, log: deltaLog{base: d.revision}}
 }
 
-// margin is by how many ticks of the leader a source may be behind the best one and still be as good as it.
-const margin = 1
+// maxTickLag is by how many ticks of the leader a heartbeat may be behind the latest known one and still be fresh.
+const maxTickLag = 1
 
-// isFresh tells whether a beat is about as new as the best known.
-func (r *replica) isFresh(b HeartbeatID) bool {
-	if b.Epoch == r.beat.Epoch {
-		return b.Tick+margin >= r.beat.Tick
+// isFresh reports whether a heartbeat is about as recent as the latest known one.
+func (r *replica) isFresh(id HeartbeatID) bool {
+	if id.Epoch == r.heartbeat.Epoch {
+		return id.Tick+maxTickLag >= r.heartbeat.Tick
 	}
-	return b.Epoch.Compare(r.beat.Epoch) > 0
+	return id.Epoch.Compare(r.heartbeat.Epoch) > 0
 }
 
-// take brings the next revision into force and tells whether it did.
-func (n *Node) take(now int64, d Delta) bool {
+// applyDelta puts the next revision into force, and reports whether it did. A delta that forks from the log or does not
+// fit the document is counted as dropped.
+func (n *Node) applyDelta(now int64, d Delta) bool {
 	r := &n.replica
 	if d.Revision.Number <= n.held().Number {
 		if known, ok := r.log.find(d.Revision.Number); ok && known.Revision != d.Revision {
@@ -87,178 +88,181 @@
 	}
 	r.log.add(d)
 	r.since = now
-	n.hearOf(d.Revision)
-	n.out.Deltas = append(n.out.Deltas, d)
+	n.observeRevision(d.Revision)
+	n.queuedEffects.Deltas = append(n.queuedEffects.Deltas, d)
 	return true
 }
 
-// replace brings a whole snapshot into force.
-func (n *Node) replace(now int64, d *Document) {
+// installSnapshot puts a whole document into force.
+func (n *Node) installSnapshot(now int64, d *Document) {
 	r := &n.replica
 	r.document, r.since, r.log = d, now, deltaLog{base: d.revision}
-	n.hearOf(d.revision)
-	n.out.Replaced, n.out.Deltas = true, nil
+	n.observeRevision(d.revision)
+	n.queuedEffects.Replaced, n.queuedEffects.Deltas = true, nil
 }
 
-func (n *Node) hearOf(r Revision) {
+func (n *Node) observeRevision(r Revision) {
 	if r.After(n.replica.newest) {
 		n.replica.newest = r
 	}
 }
 
-// feeds are all whom this member feeds now.
-func (n *Node) feeds() []NodeID {
-	all := slices.Clone(n.topology.Children(n.me))
-	for _, c := range n.replica.adopted {
-		if !slices.Contains(all, c.node) {
-			all = append(all, c.node)
+// downstream returns the members that this one feeds: its children and its subscribers.
+func (n *Node) downstream() []NodeID {
+	members := slices.Clone(n.topology.Children(n.id))
+	for _, c := range n.replica.subscribers {
+		if !slices.Contains(members, c.node) {
+			members = append(members, c.node)
 		}
 	}
-	return all
+	return members
 }
 
-// pushOn passes on a revision that has just been taken, to all who are fed but the one that it came from.
-func (n *Node) pushOn(d Delta, from NodeID) {
-	for _, c := range n.feeds() {
+// forwardDelta pushes a delta that was just applied to all downstream members but the one that it came from.
+func (n *Node) forwardDelta(d Delta, from NodeID) {
+	for _, c := range n.downstream() {
 		if c != from {
 			n.send(c, Push{d})
 		}
 	}
 }
 
-// digest tells all who are fed what is held here.
-func (n *Node) digest(now int64) {
-	n.replica.digested = now
-	n.sendAll(n.feeds(), Digest{n.replica.beat, n.held()})
+// sendDigests sends a digest of the revision held to all downstream members.
+func (n *Node) sendDigests(now int64) {
+	n.replica.digestSentAt = now
+	n.sendAll(n.downstream(), Digest{n.replica.heartbeat, n.held()})
 }
 
-// hearBeat takes the leader's heartbeat, however it came, and passes it on where it is new.
-func (n *Node) hearBeat(now int64, b HeartbeatID) {
-	if r := &n.replica; b.Compare(r.beat) > 0 {
-		r.beat, r.fresh = b, now
+// observeHeartbeat records a heartbeat of the leader that arrived directly or in a digest. If it is new, it is passed
+// on in digests.
+func (n *Node) observeHeartbeat(now int64, id HeartbeatID) {
+	if r := &n.replica; id.Compare(r.heartbeat) > 0 {
+		r.heartbeat, r.heartbeatAt = id, now
 		r.isolatedAt = now + n.timing.SourceTimeout + n.random.Int64N(n.timing.DigestInterval/2+1)
-		n.digest(now)
+		n.sendDigests(now)
 	}
 }
 
 func (n *Node) handleDigest(now int64, from NodeID, d Digest) {
 	r := &n.replica
-	s := n.source(from)
+	s := n.findSource(from)
 	if s == nil {
-		return // of one that was asked earlier and is needed no more; it will stop by itself
+		return // from a former fallback parent; it stops when its subscription expires
 	}
 	s.held = d.Held
 	if r.isFresh(d.Heartbeat) {
-		s.heard = now
-		if !s.parent && d.Heartbeat.Compare(r.beat) >= 0 && now <= r.isolatedAt {
-			r.seekWait = 0 // it has taken this member on, and is joined to a leader
+		s.heardAt = now
+		if !s.isParent && d.Heartbeat.Compare(r.heartbeat) >= 0 && now <= r.isolatedAt {
+			r.searchWait = 0 // the fallback parent feeds this member and receives the leader's heartbeats
 		}
 	}
 	if d.Held.Number == n.held().Number && d.Held != n.held() {
 		n.drop(DropFork)
 	}
-	n.hearBeat(now, d.Heartbeat)
-	n.hearOf(d.Held)
+	n.observeHeartbeat(now, d.Heartbeat)
+	n.observeRevision(d.Held)
 	n.pullFrom(now, from, d.Held)
 }
 
 func (n *Node) handlePush(now int64, from NodeID, d Delta) {
-	if s := n.source(from); s != nil {
+	if s := n.findSource(from); s != nil {
 		s.held = d.Revision
 	} else {
-		return // an old message, or one that was asked earlier
+		return // an old message, or one from a former fallback parent
 	}
-	n.hearOf(d.Revision)
+	n.observeRevision(d.Revision)
 	switch next := n.held().Number + 1; {
 	case d.Revision.Number < next:
-		n.take(now, d) // looks for a fork
+		n.applyDelta(now, d) // applies nothing, but detects a fork
 	case d.Revision.Number > next:
 		n.pullFrom(now, from, d.Revision)
-	case n.take(now, d):
-		n.pushOn(d, from)
-	default: // not what comes after the one that is held here: the whole document tells
+	case n.applyDelta(now, d):
+		n.forwardDelta(d, from)
+	default: // the delta does not fit the document held: a pull gets the right deltas, or the whole document
 		n.pullFrom(now, from, d.Revision)
 	}
 }
 
-// upstream are those who feed this member by the topology: its parents, or the other origins of an origin.
-func (n *Node) upstream() []NodeID {
+// topologySources returns the members that feed this one by the topology: its parents, or for an origin the other
+// origins.
+func (n *Node) topologySources() []NodeID {
 	if n.origin == nil {
-		return n.topology.Parents(n.me)
+		return n.topology.Parents(n.id)
 	}
 	return n.origin.others
 }
 
-// tickReplica does what is due.
+// tickReplica sends digests and pulls that are due, drops what has expired, and maintains the sources.
 func (n *Node) tickReplica(now int64) {
 	r := &n.replica
 	if r.sources == nil {
-		for _, p := range n.upstream() {
-			r.sources = append(r.sources, source{node: p, parent: true, heard: now})
+		for _, p := range n.topologySources() {
+			r.sources = append(r.sources, source{node: p, isParent: true, heardAt: now})
 		}
-		r.seekAt = now + n.jitter(n.timing.SourceTimeout)
+		r.nextSearchAt = now + n.jitter(n.timing.SourceTimeout)
 	}
-	if now-r.snapshot.used > snapshotKept {
-		r.snapshot = snapshot{}
+	if now-r.served.usedAt > snapshotRetention {
+		r.served = servedSnapshot{}
 	}
-	r.adopted = slices.DeleteFunc(r.adopted, func(c child) bool { return now > c.until })
-	if r.digested == 0 || now-r.digested >= n.timing.DigestInterval*3/2 {
-		n.digest(now)
+	r.subscribers = slices.DeleteFunc(r.subscribers, func(c subscriber) bool { return now > c.expiresAt })
+	if r.digestSentAt == 0 || now-r.digestSentAt >= n.timing.DigestInterval*3/2 {
+		n.sendDigests(now)
 	}
-	if r.pull.to != "" && now >= r.pull.deadline {
-		n.pullFailed(now)
+	if r.pull.target != "" && now >= r.pull.deadline {
+		n.failPull(now)
 	}
-	if r.pull.to == "" && r.newest.After(n.held()) {
-		for _, s := range n.preferred(now) {
+	if r.pull.target == "" && r.newest.After(n.held()) {
+		for _, s := range n.sourcesByPreference(now) {
 			n.pullFrom(now, s.node, s.held)
 		}
 	}
-	n.seek(now)
+	n.maintainSources(now)
 }
 
-// preferred are the sources in the order in which they are asked: the live ones first, the one that failed last.
-func (n *Node) preferred(now int64) []source {
+// sourcesByPreference returns the sources in the order in which they are asked: live ones first, and among these, as
+// among the others, the one whose pull last failed comes last.
+func (n *Node) sourcesByPreference(now int64) []source {
 	r := &n.replica
-	all := slices.Clone(r.sources)
+	sorted := slices.Clone(r.sources)
 	rank := func(s source) (v int) {
-		if s.node == r.pull.notTo {
+		if s.node == r.pull.lastFailed {
 			v++
 		}
-		if now-s.heard > n.timing.SourceTimeout {
+		if now-s.heardAt > n.timing.SourceTimeout {
 			v += 2
 		}
 		return v
 	}
-	slices.SortStableFunc(all, func(a, b source) int { return rank(a) - rank(b) })
-	return all
+	slices.SortStableFunc(sorted, func(a, b source) int { return rank(a) - rank(b) })
+	return sorted
 }
 
-// errNoRevision says that a log does not reach back to a revision.
+// errNoRevision means that a log does not contain a revision.
 var errNoRevision = errors.New("the revision is not in the log")
 
-// deltaLog is the last deltas, for those who are behind.
+// deltaLog holds the latest deltas, for members that are behind.
 type deltaLog struct {
-	base   Revision // the revision before the first
+	base   Revision // the revision before the first delta
 	deltas []Delta
-	bytes  int
+	bytes  int // sum of deltaSize of all deltas
 }
 
 func (l *deltaLog) add(d Delta) {
 	l.deltas = append(l.deltas, d)
 	l.bytes += deltaSize(d)
-	drop := 0
-	for ; len(l.deltas)-drop > 1 && (len(l.deltas)-drop > MaxLogDeltas || l.bytes > MaxLogBytes); drop++ {
-		l.base = l.deltas[drop].Revision
-		l.bytes -= deltaSize(l.deltas[drop])
-		l.deltas[drop] = Delta{}
+	dropped := 0
+	for ; len(l.deltas)-dropped > 1 && (len(l.deltas)-dropped > MaxLogDeltas || l.bytes > MaxLogBytes); dropped++ {
+		l.base = l.deltas[dropped].Revision
+		l.bytes -= deltaSize(l.deltas[dropped])
+		l.deltas[dropped] = Delta{}
 	}
-	l.deltas = l.deltas[drop:]
+	l.deltas = l.deltas[dropped:]
 }
 
-// deltaSize is about how many bytes a delta has in a message.
+// deltaSize returns the approximate number of bytes of a delta in a message.
 func deltaSize(d Delta) int { return d.Change.size() + 48 + len(d.Revision.Epoch.Leader) }
 
-// find returns the delta that made a revision.
+// find returns the delta that produced the revision of a number.
 func (l *deltaLog) find(number uint64) (Delta, bool) {
 	if len(l.deltas) == 0 || number < l.deltas[0].Revision.Number {
 		return Delta{}, false
@@ -270,7 +274,7 @@
 	return l.deltas[i], true
 }
 
-// after returns the deltas that follow on a revision, and how many bytes they have, or errNoRevision.
+// after returns the deltas after a revision and their approximate size in bytes, or errNoRevision.
 func (l *deltaLog) after(held Revision) (deltas []Delta, size int, err error) {
 	start := 0
 	if held != l.base {
--- a/internal/decide/configlog/replica_test.go
+++ b/internal/decide/configlog/replica_test.go
@@ -8,42 +8,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// feeder is a member's parents as a test plays them, and what has come of it.
-type feeder struct {
+// memberHarness is a member under test; the test sends the messages of its parents and records what it sends.
+type memberHarness struct {
 	t       *testing.T
 	node    *Node
-	me      NodeID
+	id      NodeID
 	now     int64
 	sent    []Message
 	drops   map[DropReason]int
 	parents []NodeID
 }
 
-func newFeeder(t *testing.T, saved SavedState) *feeder {
-	f := &feeder{t: t, me: "f7", now: 1_000_000, drops: map[DropReason]int{}}
-	n, err := New(Options{Node: f.me, Roster: installation(30), Seed: 1, OnDrop: func(d DropReason) { f.drops[d]++ }}, saved)
+func newMemberHarness(t *testing.T, saved SavedState) *memberHarness {
+	h := &memberHarness{t: t, id: "f7", now: 1_000_000, drops: map[DropReason]int{}}
+	n, err := New(Options{Node: h.id, Roster: testInstallation(30), Seed: 1,
+		OnDrop: func(d DropReason) { h.drops[d]++ }}, saved)
 	require.NoError(t, err)
-	f.node, f.parents = n, n.topology.Parents(f.me)
-	f.tick(0)
-	return f
+	h.node, h.parents = n, n.topology.Parents(h.id)
+	h.tick(0)
+	return h
 }
 
-func (f *feeder) tick(d int64) Effects {
-	f.now += d
-	e := f.node.Tick(f.now)
-	f.sent = append(f.sent, e.Messages...)
+func (h *memberHarness) tick(elapsed int64) Effects {
+	h.now += elapsed
+	e := h.node.Tick(h.now)
+	h.sent = append(h.sent, e.Messages...)
 	return e
 }
 
-func (f *feeder) handle(from NodeID, body Body) Effects {
-	e := f.node.Handle(f.now, Message{from, f.me, body})
-	f.sent = append(f.sent, e.Messages...)
+func (h *memberHarness) handle(from NodeID, body Body) Effects {
+	e := h.node.Handle(h.now, Message{from, h.id, body})
+	h.sent = append(h.sent, e.Messages...)
 	return e
 }
 
-// last returns the last body that was sent to somebody, or nil.
-func (f *feeder) last(to NodeID) Body {
-	for _, m := range slices.Backward(f.sent) {
+// lastSentTo returns the last body that was sent to a member, or nil.
+func (h *memberHarness) lastSentTo(to NodeID) Body {
+	for _, m := range slices.Backward(h.sent) {
 		if m.To == to {
 			return m.Body
 		}
@@ -51,14 +52,15 @@
 	return nil
 }
 
-// history makes so many revisions, each with a new value of that size in one of ten keys.
-func history(t *testing.T, revisions, size int) (documents []*Document, deltas []Delta) {
+// makeHistory creates a number of revisions, each with a new value of the given size for one of ten keys. It returns
+// the document at each revision, from 0, and the deltas between them.
+func makeHistory(t *testing.T, revisions, size int) (documents []*Document, deltas []Delta) {
 	d := NewDocument()
 	documents = append(documents, d.Clone())
 	for i := range revisions {
 		value := make([]byte, size)
 		copy(value, fmt.Sprint(i))
-		delta, err := d.next(testEpoch, Change{{Key: fmt.Sprint("k", i%10), Value: value}})
+		delta, err := d.nextDelta(testEpoch, Change{{Key: fmt.Sprint("k", i%10), Value: value}})
 		require.NoError(t, err)
 		require.NoError(t, d.Apply(delta))
 		documents, deltas = append(documents, d.Clone()), append(deltas, delta)
@@ -66,9 +68,9 @@
 	return documents, deltas
 }
 
-// holder is another member that has all of a history.
-func holder(t *testing.T, document *Document, log []Delta) *Node {
-	n, err := New(Options{Node: "c5", Roster: installation(30), Seed: 2}, SavedState{Document: document})
+// newHolder returns another member that holds a document and a log of deltas.
+func newHolder(t *testing.T, document *Document, log []Delta) *Node {
+	n, err := New(Options{Node: "c5", Roster: testInstallation(30), Seed: 2}, SavedState{Document: document})
 	require.NoError(t, err)
 	for _, d := range log {
 		n.replica.log.add(d)
@@ -79,147 +81,149 @@
 	return n
 }
 
-// A snapshot comes in chunks, goes on with another holder after a cut, and is in force only when it is whole.
-func TestSnapshotGoesOnElsewhere(t *testing.T) {
-	documents, _ := history(t, 12, 10_000)
+// A snapshot arrives in chunks, is continued from another member after a cut, and comes into force only when complete.
+func TestSnapshotDownloadResumesAtOtherParent(t *testing.T) {
+	documents, _ := makeHistory(t, 12, 10_000)
 	last := documents[12]
-	f := newFeeder(t, SavedState{})
-	a, b := f.parents[0], f.parents[1]
-	one, other := holder(t, last.Clone(), nil), holder(t, documents[11].Clone(), nil)
+	h := newMemberHarness(t, SavedState{})
+	a, b := h.parents[0], h.parents[1]
+	holder, olderHolder := newHolder(t, last.Clone(), nil), newHolder(t, documents[11].Clone(), nil)
 	answer := func(n *Node, from NodeID) Effects {
-		p, ok := f.last(from).(Pull)
+		p, ok := h.lastSentTo(from).(Pull)
 		require.True(t, ok)
-		e := n.Handle(f.now, Message{f.me, n.me, p})
+		e := n.Handle(h.now, Message{h.id, n.id, p})
 		require.Len(t, e.Messages, 1)
-		return f.handle(from, e.Messages[0].Body)
+		return h.handle(from, e.Messages[0].Body)
 	}
-	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
+	h.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
 	for range 3 {
-		require.False(t, answer(one, a).Replaced)
-		require.Zero(t, f.node.Document().Revision(), "half of it is not in force")
+		require.False(t, answer(holder, a).Replaced)
+		require.Zero(t, h.node.Document().Revision(), "an incomplete snapshot is not in force")
 	}
-	require.Equal(t, uint32(3*ChunkBytes), f.last(a).(Pull).Offset)
-	f.sent = nil // the link is cut
-	f.handle(b, Digest{HeartbeatID{testEpoch, 2}, last.Revision()})
+	require.Equal(t, uint32(3*ChunkBytes), h.lastSentTo(a).(Pull).Offset)
+	h.sent = nil // the link to the first parent is cut
+	h.handle(b, Digest{HeartbeatID{testEpoch, 2}, last.Revision()})
 	for range 10 {
-		f.tick(MaxTickInterval)
+		h.tick(MaxTickInterval)
 	}
-	require.Equal(t, uint32(3*ChunkBytes), f.last(b).(Pull).Offset, "it goes on with the other parent")
-	require.Equal(t, last.Revision(), f.last(b).(Pull).PartialRevision)
-	same := holder(t, last.Clone(), nil)
-	taken := false
+	require.Equal(t, uint32(3*ChunkBytes), h.lastSentTo(b).(Pull).Offset, "resumes at the other parent")
+	require.Equal(t, last.Revision(), h.lastSentTo(b).(Pull).PartialRevision)
+	secondHolder := newHolder(t, last.Clone(), nil)
+	installed := false
 	for range 10 {
-		if e := answer(same, b); e.Replaced {
-			taken = true
+		if e := answer(secondHolder, b); e.Replaced {
+			installed = true
 			break
 		}
-		require.Zero(t, f.node.Document().Revision())
+		require.Zero(t, h.node.Document().Revision())
 	}
-	require.True(t, taken)
-	require.Equal(t, last, f.node.Document())
+	require.True(t, installed)
+	require.Equal(t, last, h.node.Document())
 
-	// One that holds another revision begins anew with its own.
-	g := newFeeder(t, SavedState{})
-	f = g
-	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
-	answer(one, a)
-	p := f.last(a).(Pull)
-	e := other.Handle(f.now, Message{f.me, other.me, p})
+	// A member that holds another revision starts with the first chunk of its own snapshot.
+	second := newMemberHarness(t, SavedState{})
+	h = second
+	h.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
+	answer(holder, a)
+	p := h.lastSentTo(a).(Pull)
+	e := olderHolder.Handle(h.now, Message{h.id, olderHolder.id, p})
 	require.Equal(t, uint32(0), e.Messages[0].Body.(Chunk).Offset)
 	require.Equal(t, documents[11].Revision(), e.Messages[0].Body.(Chunk).Revision)
 }
 
-// A snapshot whose bytes are not those of its revision is dropped whole, and another parent is asked.
-func TestBrokenSnapshot(t *testing.T) {
-	documents, _ := history(t, 3, 100)
-	text := documents[3].Snapshot()
-	text[len(text)-1] ^= 1
-	f := newFeeder(t, SavedState{})
-	a := f.parents[0]
-	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
-	f.handle(f.parents[1], Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
-	f.handle(a, Chunk{documents[3].Revision(), uint32(len(text)), 0, text})
-	require.Zero(t, f.node.Document().Revision())
-	require.Equal(t, 1, f.drops[DropInvalid])
+// A snapshot that does not match the checksum of its revision is dropped as a whole, and another parent is asked.
+func TestCorruptSnapshot(t *testing.T) {
+	documents, _ := makeHistory(t, 3, 100)
+	data := documents[3].Snapshot()
+	data[len(data)-1] ^= 1
+	h := newMemberHarness(t, SavedState{})
+	a := h.parents[0]
+	h.handle(a, Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
+	h.handle(h.parents[1], Digest{HeartbeatID{testEpoch, 1}, documents[3].Revision()})
+	h.handle(a, Chunk{documents[3].Revision(), uint32(len(data)), 0, data})
+	require.Zero(t, h.node.Document().Revision())
+	require.Equal(t, 1, h.drops[DropInvalid])
 	for range 20 {
-		f.tick(MaxTickInterval)
+		h.tick(MaxTickInterval)
 	}
-	require.IsType(t, Pull{}, f.last(f.parents[1]))
+	require.IsType(t, Pull{}, h.lastSentTo(h.parents[1]))
 	for _, c := range []Chunk{
-		{documents[3].Revision(), MaxDocument + 1, 0, text},
-		{documents[3].Revision(), 10, 0, text},
-		{documents[3].Revision(), uint32(len(text)), 5, text[5:]},
-		{documents[3].Revision(), uint32(len(text)), 0, nil},
+		{documents[3].Revision(), MaxDocument + 1, 0, data},
+		{documents[3].Revision(), 10, 0, data},
+		{documents[3].Revision(), uint32(len(data)), 5, data[5:]},
+		{documents[3].Revision(), uint32(len(data)), 0, nil},
 	} {
-		f.node.replica.pull = pull{to: a, wait: 1}
-		f.handle(a, c)
-		require.Zero(t, f.node.Document().Revision())
+		h.node.replica.pull = pull{target: a, timeout: 1}
+		h.handle(a, c)
+		require.Zero(t, h.node.Document().Revision())
 	}
-	require.Equal(t, 4, f.drops[DropInvalid]+f.drops[DropOld]-1)
+	require.Equal(t, 4, h.drops[DropInvalid]+h.drops[DropOld]-1)
 }
 
-// Nothing that is as old as what is held, or older, is ever taken, also after a restart from the saved document.
-func TestNothingOlderIsTaken(t *testing.T) {
-	documents, deltas := history(t, 5, 100)
-	f := newFeeder(t, SavedState{Document: documents[4].Clone()})
-	a := f.parents[0]
+// A revision that is not newer than the one held is never applied, also after a restart from a saved document.
+func TestOlderRevisionsAreIgnored(t *testing.T) {
+	documents, deltas := makeHistory(t, 5, 100)
+	h := newMemberHarness(t, SavedState{Document: documents[4].Clone()})
+	a := h.parents[0]
 	for _, d := range deltas[:4] {
-		require.Zero(t, f.handle(a, Push{d}))
+		require.Zero(t, h.handle(a, Push{d}))
 	}
-	text := documents[3].Snapshot()
-	f.node.replica.pull = pull{to: a, wait: 1}
-	f.handle(a, Chunk{documents[3].Revision(), uint32(len(text)), 0, text})
-	require.Equal(t, documents[4].Revision(), f.node.Document().Revision())
-	require.Equal(t, 1, f.drops[DropOld])
-	require.Equal(t, deltas[4:], f.handle(a, Push{deltas[4]}).Deltas)
-	require.Empty(t, f.handle(f.parents[1], Push{deltas[4]}).Deltas, "twice")
-	require.Equal(t, f.now, f.node.Status(f.now).Since)
+	data := documents[3].Snapshot()
+	h.node.replica.pull = pull{target: a, timeout: 1}
+	h.handle(a, Chunk{documents[3].Revision(), uint32(len(data)), 0, data})
+	require.Equal(t, documents[4].Revision(), h.node.Document().Revision())
+	require.Equal(t, 1, h.drops[DropOld])
+	require.Equal(t, deltas[4:], h.handle(a, Push{deltas[4]}).Deltas)
+	require.Empty(t, h.handle(h.parents[1], Push{deltas[4]}).Deltas, "the second push of a delta has no effect")
+	require.Equal(t, h.now, h.node.Status(h.now).Since)
 }
 
-// A delta that comes early is not taken, and what is missing is pulled.
+// A delta that arrives before its predecessors is not applied, and the missing deltas are pulled.
 func TestGapIsPulled(t *testing.T) {
-	documents, deltas := history(t, 3, 100)
-	f := newFeeder(t, SavedState{})
-	a := f.parents[0]
-	require.Empty(t, f.handle(a, Push{deltas[2]}).Deltas)
-	require.Equal(t, Pull{}, f.last(a))
-	e := f.handle(a, Deltas{deltas, documents[3].Revision()})
+	documents, deltas := makeHistory(t, 3, 100)
+	h := newMemberHarness(t, SavedState{})
+	a := h.parents[0]
+	require.Empty(t, h.handle(a, Push{deltas[2]}).Deltas)
+	require.Equal(t, Pull{}, h.lastSentTo(a))
+	e := h.handle(a, Deltas{deltas, documents[3].Revision()})
 	require.Equal(t, deltas, e.Deltas)
-	require.Equal(t, documents[3], f.node.Document())
+	require.Equal(t, documents[3], h.node.Document())
 }
 
-// A change that does not make its revision, or another document under a number that is held, is counted and dropped.
-func TestWrongDeltas(t *testing.T) {
-	_, deltas := history(t, 2, 100)
-	f := newFeeder(t, SavedState{})
-	a := f.parents[0]
+// A delta whose change does not result in its revision, and another revision of a number that is held, are dropped and
+// counted. So are messages of unknown senders, and messages between origins at a follower.
+func TestInvalidDeltas(t *testing.T) {
+	_, deltas := makeHistory(t, 2, 100)
+	h := newMemberHarness(t, SavedState{})
+	a := h.parents[0]
 	wrong := deltas[0]
 	wrong.Change = Change{{Key: "x", Value: []byte("y")}}
-	require.Empty(t, f.handle(a, Push{wrong}).Deltas)
-	require.Equal(t, 1, f.drops[DropInvalid])
-	f.handle(a, Push{deltas[0]})
+	require.Empty(t, h.handle(a, Push{wrong}).Deltas)
+	require.Equal(t, 1, h.drops[DropInvalid])
+	h.handle(a, Push{deltas[0]})
 	fork := deltas[0]
 	fork.Revision.Epoch.Round++
-	require.Empty(t, f.handle(a, Push{fork}).Deltas)
-	require.Equal(t, 1, f.drops[DropFork])
-	f.handle(a, Digest{HeartbeatID{testEpoch, 1}, fork.Revision})
-	require.Equal(t, 2, f.drops[DropFork])
-	f.handle("nobody", Push{deltas[1]})
-	f.handle("c5", Prepare{testEpoch})
-	require.Equal(t, 1, f.drops[DropUnknownMember])
-	require.Equal(t, 1, f.drops[DropWrongRole])
-	require.Equal(t, uint64(1), f.node.held().Number)
+	require.Empty(t, h.handle(a, Push{fork}).Deltas)
+	require.Equal(t, 1, h.drops[DropFork])
+	h.handle(a, Digest{HeartbeatID{testEpoch, 1}, fork.Revision})
+	require.Equal(t, 2, h.drops[DropFork])
+	h.handle("nobody", Push{deltas[1]})
+	h.handle("c5", Prepare{testEpoch})
+	require.Equal(t, 1, h.drops[DropUnknownMember])
+	require.Equal(t, 1, h.drops[DropWrongRole])
+	require.Equal(t, uint64(1), h.node.held().Number)
 }
 
-// What one member spends on answers is bounded, however many ask: the others are told to come later.
-func TestServingIsBounded(t *testing.T) {
-	documents, _ := history(t, 40, 16_000)
-	n := holder(t, documents[40], nil)
+// The byte rate of answers to pulls and the number of subscribers are limited, however many members ask. The others get
+// Overloaded.
+func TestPullAnswersAreRateLimited(t *testing.T) {
+	documents, _ := makeHistory(t, 40, 16_000)
+	n := newHolder(t, documents[40], nil)
 	total, overloaded := int64(0), 0
 	now, seconds := int64(1_000_000), int64(5)
 	for i := range 10_000 {
-		asker := NodeID(fmt.Sprint("f", i%30))
-		e := n.Handle(now+int64(i)*seconds*100, Message{asker, n.me, Pull{}})
+		from := NodeID(fmt.Sprint("f", i%30))
+		e := n.Handle(now+int64(i)*seconds*100, Message{from, n.id, Pull{}})
 		for _, m := range e.Messages {
 			if _, ok := m.Body.(Overloaded); ok {
 				overloaded++
@@ -228,112 +232,114 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, total, n.fan.ServeBurst+(seconds+1)*n.fan.ServeRate)
+	require.LessOrEqual(t, total, n.fanOut.ServeBurst+(seconds+1)*n.fanOut.ServeRate)
 	require.Greater(t, overloaded, 5000)
-	adopted := 0
+	accepted := 0
 	for i := range 30 {
-		e := n.Handle(now, Message{NodeID(fmt.Sprint("f", i)), n.me, Pull{Subscribe: true}})
-		if _, ok := e.Messages[0].Body.(Digest); ok && !slices.Contains(n.topology.Children(n.me), e.Messages[0].To) {
-			adopted++
+		e := n.Handle(now, Message{NodeID(fmt.Sprint("f", i)), n.id, Pull{Subscribe: true}})
+		if _, ok := e.Messages[0].Body.(Digest); ok && !slices.Contains(n.topology.Children(n.id), e.Messages[0].To) {
+			accepted++
 		}
 	}
-	require.Equal(t, n.fan.Subscribers, adopted)
+	require.Equal(t, n.fanOut.Subscribers, accepted)
 }
 
-// One that loses both parents finds another within SilentAfter and a tick, and lets go of it when a parent is back.
-func TestSubstitutes(t *testing.T) {
-	f := newFeeder(t, SavedState{})
-	beat := func(tick uint64, from ...NodeID) {
+// A member that loses both parents asks a fallback parent within SourceTimeout, half a DigestInterval and a tick, and
+// drops it when the parents are back.
+func TestFallbackParents(t *testing.T) {
+	h := newMemberHarness(t, SavedState{})
+	digest := func(tick uint64, from ...NodeID) {
 		for _, p := range from {
-			f.handle(p, Digest{HeartbeatID{testEpoch, tick}, Revision{}})
+			h.handle(p, Digest{HeartbeatID{testEpoch, tick}, Revision{}})
 		}
 	}
-	beat(1, f.parents...)
+	digest(1, h.parents...)
 	asked := func() (all []NodeID) {
-		for _, m := range f.sent {
+		for _, m := range h.sent {
 			if p, ok := m.Body.(Pull); ok && p.Subscribe {
 				all = append(all, m.To)
 			}
 		}
 		return all
 	}
-	died := f.now
-	for len(asked()) == 0 && f.now < died+10_000_000 {
-		f.tick(MaxTickInterval)
+	died := h.now
+	for len(asked()) == 0 && h.now < died+10_000_000 {
+		h.tick(MaxTickInterval)
 	}
-	require.LessOrEqual(t, f.now-died, f.node.timing.SourceTimeout+f.node.timing.DigestInterval/2+MaxTickInterval)
-	substitute := asked()[0]
-	require.NotContains(t, f.parents, substitute)
-	beat(3, substitute)
-	require.Contains(t, f.node.Status(f.now).Sources, substitute)
-	beat(5, f.parents...)
-	f.tick(MaxTickInterval)
-	require.Equal(t, f.parents, f.node.Status(f.now).Sources)
+	require.LessOrEqual(t, h.now-died, h.node.timing.SourceTimeout+h.node.timing.DigestInterval/2+MaxTickInterval)
+	fallback := asked()[0]
+	require.NotContains(t, h.parents, fallback)
+	digest(3, fallback)
+	require.Contains(t, h.node.Status(h.now).Sources, fallback)
+	digest(5, h.parents...)
+	h.tick(MaxTickInterval)
+	require.Equal(t, h.parents, h.node.Status(h.now).Sources)
 }
 
-// Questions that nobody answers become rarer: a cut of an hour costs little, and its heal finds no storm.
-func TestWaitsGrow(t *testing.T) {
-	f := newFeeder(t, SavedState{})
-	documents, _ := history(t, 1, 10)
-	f.handle(f.parents[0], Digest{HeartbeatID{testEpoch, 1}, documents[1].Revision()})
-	f.sent = nil
+// Pulls without answer back off: an outage of an hour costs little traffic, and its end causes no burst of pulls.
+func TestPullBackoff(t *testing.T) {
+	h := newMemberHarness(t, SavedState{})
+	documents, _ := makeHistory(t, 1, 10)
+	h.handle(h.parents[0], Digest{HeartbeatID{testEpoch, 1}, documents[1].Revision()})
+	h.sent = nil
 	for range 36_000 {
-		f.tick(MaxTickInterval)
+		h.tick(MaxTickInterval)
 	}
 	pulls := 0
-	for _, m := range f.sent {
+	for _, m := range h.sent {
 		if _, ok := m.Body.(Pull); ok {
 			pulls++
 		}
 	}
 	t.Logf("%d pulls in an hour", pulls)
-	require.Less(t, pulls, 1200) // two questions each of 6.4 s on average, and what came before
+	require.Less(t, pulls, 1200) // two kinds of pull, each every 6.4 s on average, and those of the initial backoff
 }
 
-// An answer to an Apply counts once, and only from the one that was asked.
-func TestAnswersToNobodysQuestion(t *testing.T) {
-	f := newFeeder(t, SavedState{})
-	f.handle(f.parents[0], Digest{HeartbeatID{Epoch{1, "o1"}, 1}, Revision{}})
-	e := f.node.Apply(f.now, 7, Revision{}, Change{{Key: "a", Value: []byte("b")}})
+// A reply to an Apply counts once, and only from the member that was asked. Without a reply, the outcome is Unknown.
+func TestUnexpectedApplyReplies(t *testing.T) {
+	h := newMemberHarness(t, SavedState{})
+	h.handle(h.parents[0], Digest{HeartbeatID{Epoch{1, "o1"}, 1}, Revision{}})
+	e := h.node.Apply(h.now, 7, Revision{}, Change{{Key: "a", Value: []byte("b")}})
 	require.Equal(t, NodeID("o1"), e.Messages[0].To)
 	answer := ApplyReply{Result{ID: 7, Outcome: Committed}}
-	require.Empty(t, f.handle("o2", answer).Results)
-	require.Empty(t, f.handle("o1", ApplyReply{Result{ID: 8, Outcome: Committed}}).Results)
-	require.Equal(t, []Result{answer.Result}, f.handle("o1", answer).Results)
-	require.Empty(t, f.handle("o1", answer).Results)
-	require.Equal(t, 3, f.drops[DropLate])
+	require.Empty(t, h.handle("o2", answer).Results)
+	require.Empty(t, h.handle("o1", ApplyReply{Result{ID: 8, Outcome: Committed}}).Results)
+	require.Equal(t, []Result{answer.Result}, h.handle("o1", answer).Results)
+	require.Empty(t, h.handle("o1", answer).Results)
+	require.Equal(t, 3, h.drops[DropLate])
 
-	f.node.Apply(f.now, 9, Revision{}, Change{{Key: "a", Value: []byte("b")}})
-	e = f.tick(2 * f.node.timing.ApplyTimeout)
-	require.Equal(t, []Result{{ID: 9, Outcome: Unknown}}, e.Results, "nobody has answered")
+	h.node.Apply(h.now, 9, Revision{}, Change{{Key: "a", Value: []byte("b")}})
+	e = h.tick(2 * h.node.timing.ApplyTimeout)
+	require.Equal(t, []Result{{ID: 9, Outcome: Unknown}}, e.Results, "no reply has arrived")
 }
 
-// One whose parents still talk, but hear of no leader any more, asks another beside them, and changes it for the next
-// in turn as long as that does not help.
-func TestParentsThatAreCutOff(t *testing.T) {
-	f := newFeeder(t, SavedState{})
+// A member whose parents still send digests, but without new heartbeats of a leader, asks a fallback parent as well,
+// and replaces it by the next one again and again as long as that does not help.
+func TestIsolatedParents(t *testing.T) {
+	h := newMemberHarness(t, SavedState{})
 	stuck := Digest{HeartbeatID{testEpoch, 5}, Revision{}}
-	for _, p := range f.parents {
-		f.handle(p, stuck)
+	for _, p := range h.parents {
+		h.handle(p, stuck)
 	}
-	cut, asked, first := f.now, map[NodeID]bool{}, int64(0)
-	for f.now < cut+60_000_000 {
-		for _, p := range f.parents {
-			f.handle(p, stuck)
+	isolatedSince, asked, first := h.now, map[NodeID]bool{}, int64(0)
+	for h.now < isolatedSince+60_000_000 {
+		for _, p := range h.parents {
+			h.handle(p, stuck)
 		}
-		for _, m := range f.tick(MaxTickInterval).Messages {
+		for _, m := range h.tick(MaxTickInterval).Messages {
 			p, ok := m.Body.(Pull)
 			if !ok || !p.Subscribe {
 				continue
 			}
 			if first == 0 {
-				first = f.now
+				first = h.now
 			}
 			asked[m.To] = true
-			f.handle(m.To, stuck) // it knows no more
+			h.handle(m.To, stuck) // the fallback parent has no newer heartbeat either
 		}
-		require.LessOrEqual(t, len(f.node.replica.sources), parents+1)
+		require.LessOrEqual(t, len(h.node.replica.sources), parentsPerMember+1)
 	}
-	require.LessOrEqual(t, first-cut, f.node.timing.SourceTimeout+f.node.timing.DigestInterval/2+MaxTickInterval)
+	require.LessOrEqual(t, first-isolatedSince,
+		h.node.timing.SourceTimeout+h.node.timing.DigestInterval/2+MaxTickInterval)
 	require.Greater(t, len(asked), 3)
 }
--- a/internal/decide/configlog/sources.go
+++ b/internal/decide/configlog/sources.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// source returns one who feeds this member, or nil.
-func (n *Node) source(node NodeID) *source {
+// findSource returns the source of that name, or nil.
+func (n *Node) findSource(node NodeID) *source {
 	r := &n.replica
 	for i := range r.sources {
 		if r.sources[i].node == node {
@@ -13,132 +13,133 @@
 	return nil
 }
 
-func (n *Node) forget(node NodeID) {
+func (n *Node) removeFallback(node NodeID) {
 	r := &n.replica
-	r.sources = slices.DeleteFunc(r.sources, func(s source) bool { return s.node == node && !s.parent })
+	r.sources = slices.DeleteFunc(r.sources, func(s source) bool { return s.node == node && !s.isParent })
 }
 
-// live tells whether a source has lately said something that is about as fresh as the best known.
-func (n *Node) live(now int64, s source) bool { return now-s.heard <= n.timing.SourceTimeout }
+// isLive reports whether a source has sent a fresh digest or heartbeat within the source timeout.
+func (n *Node) isLive(now int64, s source) bool { return now-s.heardAt <= n.timing.SourceTimeout }
 
 func (n *Node) liveSources(now int64) (live []NodeID) {
 	for _, s := range n.replica.sources {
-		if n.live(now, s) {
+		if n.isLive(now, s) {
 			live = append(live, s.node)
 		}
 	}
 	return live
 }
 
-// adopt feeds one beyond the topology for a while, if there is room.
-func (n *Node) adopt(now int64, node NodeID) bool {
+// addSubscriber feeds a member for a while, or goes on to, and reports whether it does. It always does for children.
+func (n *Node) addSubscriber(now int64, node NodeID) bool {
 	r := &n.replica
-	if slices.Contains(n.topology.Children(n.me), node) {
+	if slices.Contains(n.topology.Children(n.id), node) {
 		return true
 	}
-	until := now + 3*n.timing.DigestInterval
-	for i := range r.adopted {
-		if r.adopted[i].node == node {
-			r.adopted[i].until = until
+	expiresAt := now + 3*n.timing.DigestInterval
+	for i := range r.subscribers {
+		if r.subscribers[i].node == node {
+			r.subscribers[i].expiresAt = expiresAt
 			return true
 		}
 	}
-	if len(r.adopted) >= n.fan.Subscribers {
+	if len(r.subscribers) >= n.fanOut.Subscribers {
 		return false
 	}
-	r.adopted = append(r.adopted, child{node, until})
+	r.subscribers = append(r.subscribers, subscriber{node, expiresAt})
 	return true
 }
 
-// handleAdopt answers one who wants to be fed.
-func (n *Node) handleAdopt(now int64, from NodeID) {
-	if n.adopt(now, from) {
-		n.send(from, Digest{n.replica.beat, n.held()})
+// handleSubscribe answers a member that asks to be fed.
+func (n *Node) handleSubscribe(now int64, from NodeID) {
+	if n.addSubscriber(now, from) {
+		n.send(from, Digest{n.replica.heartbeat, n.held()})
 	} else {
 		n.send(from, Overloaded{})
 	}
 }
 
-// seek keeps two live sources: it renews the substitutes that are needed, drops those that are not, and asks another
-// where one is missing. One more is tried, and changed for another again and again, where no source has brought a
-// heartbeat of a leader for long: all of them may be cut off alike. The waits grow, with jitter, as long as that does
-// no good. Origins have their fellows.
-func (n *Node) seek(now int64) {
+// maintainSources keeps as many live sources as there are parents: it renews the fallback parents that are needed,
+// drops those that are not, and asks a further one if a source is missing. If no source has brought a new heartbeat of
+// a leader for long, all of them may be cut off from the leader: one more source is then wanted, and replaced again
+// and again. The waits in between grow, with jitter, until a fallback parent helps. Origins need no fallback parents,
+// since all other origins are their sources.
+func (n *Node) maintainSources(now int64) {
 	r := &n.replica
 	if n.origin != nil {
 		return
 	}
-	isolated := r.fresh > 0 && now > r.isolatedAt
-	want := len(n.topology.Parents(n.me))
+	isolated := r.heartbeatAt > 0 && now > r.isolatedAt
+	wanted := len(n.topology.Parents(n.id))
 	if isolated {
-		want++
+		wanted++
 	}
-	missing := want - n.keepSubstitutes(now, want)
-	if now < r.seekAt || missing <= 0 && !isolated {
+	missing := wanted - n.renewFallbacks(now, wanted)
+	if now < r.nextSearchAt || missing <= 0 && !isolated {
 		return
 	}
 	if missing <= 0 {
-		n.forgetOldest()
+		n.removeOldestFallback()
 	}
-	n.seekAnother(now)
+	n.addFallback(now)
 }
 
-// keepSubstitutes renews as many substitutes as are wanted beside the live parents, and forgets all others. It
-// returns how many sources are live or may yet answer.
-func (n *Node) keepSubstitutes(now int64, want int) (have int) {
+// renewFallbacks renews the fallback parents that are wanted beside the live parents, and removes all others. It
+// returns how many sources are live or may still answer.
+func (n *Node) renewFallbacks(now int64, wanted int) (count int) {
 	for _, s := range n.replica.sources {
-		if s.parent && n.live(now, s) {
-			have++
+		if s.isParent && n.isLive(now, s) {
+			count++
 		}
 	}
-	if len(n.replica.sources) == len(n.topology.Parents(n.me)) {
-		return have
+	if len(n.replica.sources) == len(n.topology.Parents(n.id)) {
+		return count
 	}
 	for _, s := range slices.Clone(n.replica.sources) {
 		switch {
-		case s.parent:
-		case have >= want, !n.live(now, s):
-			n.forget(s.node)
+		case s.isParent:
+		case count >= wanted, !n.isLive(now, s):
+			n.removeFallback(s.node)
 		default:
-			have++
-			n.renew(now, s.node)
+			count++
+			n.renewSubscription(now, s.node)
 		}
 	}
-	return have
+	return count
 }
 
-// forgetOldest drops the substitute that has been one for longest.
-func (n *Node) forgetOldest() {
+// removeOldestFallback removes the fallback parent that was added first.
+func (n *Node) removeOldestFallback() {
 	for _, s := range n.replica.sources {
-		if !s.parent {
-			n.forget(s.node)
+		if !s.isParent {
+			n.removeFallback(s.node)
 			return
 		}
 	}
 }
 
-// seekAnother asks the next substitute in turn. It counts as live until PullTimeout, so that it is given time to
-// answer.
-func (n *Node) seekAnother(now int64) {
+// addFallback asks the next fallback parent in turn. It counts as live for PullTimeout, so that it has time to answer.
+func (n *Node) addFallback(now int64) {
 	r := &n.replica
-	candidates := slices.DeleteFunc(n.topology.FallbackParents(n.me), func(c NodeID) bool { return n.source(c) != nil })
+	candidates := slices.DeleteFunc(n.topology.FallbackParents(n.id),
+		func(c NodeID) bool { return n.findSource(c) != nil })
 	if len(candidates) == 0 {
 		return
 	}
-	next := candidates[r.candidate%len(candidates)]
-	r.candidate++
-	r.sources = append(r.sources, source{node: next, heard: now - n.timing.SourceTimeout + n.timing.PullTimeout})
-	r.seekWait = min(max(n.timing.PullTimeout, 2*r.seekWait), n.timing.MaxPullTimeout)
-	r.seekAt = now + n.jitter(r.seekWait)
-	n.renew(now, next)
+	next := candidates[r.nextFallback%len(candidates)]
+	r.nextFallback++
+	r.sources = append(r.sources, source{node: next, heardAt: now - n.timing.SourceTimeout + n.timing.PullTimeout})
+	r.searchWait = min(max(n.timing.PullTimeout, 2*r.searchWait), n.timing.MaxPullTimeout)
+	r.nextSearchAt = now + n.jitter(r.searchWait)
+	n.renewSubscription(now, next)
 }
 
-// renew asks a substitute to go on feeding this member.
-func (n *Node) renew(now int64, node NodeID) {
-	s := n.source(node)
-	if s == nil || s.adopted > 0 && now-s.adopted < n.timing.DigestInterval {
+// renewSubscription asks a fallback parent to feed this member, or to go on, at most once per digest interval.
+func (n *Node) renewSubscription(now int64, node NodeID) {
+	s := n.findSource(node)
+	if s == nil || s.subscribedAt > 0 && now-s.subscribedAt < n.timing.DigestInterval {
 		return
 	}
-	s.adopted = now
+	s.subscribedAt = now
 	n.send(node, Pull{Held: n.held(), Subscribe: true})
 }
--- a/internal/decide/configlog/topology_test.go
+++ b/internal/decide/configlog/topology_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// installation has so many followers in 4 regions of 3 zones, 3 origins and 15 relays.
-func installation(followers int) (r Roster) {
+// testInstallation returns a roster of 4 regions with 3 zones each, with 3 origins, 15 relays and some followers.
+func testInstallation(followers int) (r Roster) {
 	for i := range followers + 18 {
 		m := Member{Node: NodeID(fmt.Sprint("f", i-18)), Region: fmt.Sprint("r", i%4), Zone: fmt.Sprint("z", i%12)}
 		switch {
@@ -24,59 +24,60 @@
 	return r
 }
 
-// Everybody has two parents above it, in two zones, and nobody feeds more than its fan-out.
+// Each member but the origins has two parents on the level above, in two zones, and no member feeds more than its
+// fan-out.
 func TestTopology(t *testing.T) {
 	for followers, depth := range map[int]int{0: 1, 1: 2, 30: 3, 300: 4, 1000: 5, 3000: 6} {
 		fan := DefaultFanOut()
-		roster := installation(followers)
-		top, err := NewTopology(roster, fan)
+		roster := testInstallation(followers)
+		topology, err := NewTopology(roster, fan)
 		require.NoError(t, err)
-		require.LessOrEqual(t, top.Depth(), depth, followers)
+		require.LessOrEqual(t, topology.Depth(), depth, followers)
 		for i, m := range roster {
-			require.LessOrEqual(t, len(top.Children(m.Node)), top.fanOut(m.Node, fan), m.Node)
+			require.LessOrEqual(t, len(topology.Children(m.Node)), topology.fanOut(m.Node, fan), m.Node)
 			if m.Role == Origin {
 				continue
 			}
-			p := top.Parents(m.Node)
-			require.Len(t, p, parents)
+			p := topology.Parents(m.Node)
+			require.Len(t, p, parentsPerMember)
 			require.NotEqual(t, p[0], p[1])
-			require.NotEqual(t, top.members[p[0]].Zone, top.members[p[1]].Zone, m.Node)
+			require.NotEqual(t, topology.members[p[0]].Zone, topology.members[p[1]].Zone, m.Node)
 			for _, parent := range p {
-				require.Equal(t, top.Level(m.Node)-1, top.Level(parent))
-				require.Contains(t, top.Children(parent), m.Node)
+				require.Equal(t, topology.Level(m.Node)-1, topology.Level(parent))
+				require.Contains(t, topology.Children(parent), m.Node)
 			}
 			if len(roster) > 400 && i%10 > 0 {
-				continue // the ranking of thousands for each of thousands takes long
+				continue // ranking thousands of members for each of thousands takes long
 			}
-			for _, s := range top.FallbackParents(m.Node) {
-				require.Less(t, top.Level(s), max(2, top.Level(m.Node)))
+			for _, s := range topology.FallbackParents(m.Node) {
+				require.Less(t, topology.Level(s), max(2, topology.Level(m.Node)))
 			}
 		}
 	}
 }
 
-// Whoever asks finds the same, in whatever order the roster is.
-func TestTopologyIsTheSameForAll(t *testing.T) {
-	roster := installation(300)
-	top, err := NewTopology(roster, DefaultFanOut())
+// The topology does not depend on the order of the roster.
+func TestTopologyIgnoresRosterOrder(t *testing.T) {
+	roster := testInstallation(300)
+	topology, err := NewTopology(roster, DefaultFanOut())
 	require.NoError(t, err)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(roster), func(i, k int) { roster[i], roster[k] = roster[k], roster[i] })
 	other, err := NewTopology(roster, DefaultFanOut())
 	require.NoError(t, err)
 	for _, m := range roster {
-		require.Equal(t, top.Parents(m.Node), other.Parents(m.Node))
-		require.ElementsMatch(t, top.Children(m.Node), other.Children(m.Node))
+		require.Equal(t, topology.Parents(m.Node), other.Parents(m.Node))
+		require.ElementsMatch(t, topology.Children(m.Node), other.Children(m.Node))
 	}
 }
 
-// One follower more moves few edges of the others.
-func TestTopologyMovesLittle(t *testing.T) {
-	before, err := NewTopology(installation(300), DefaultFanOut())
+// One more follower changes the parents of few other members.
+func TestTopologyStability(t *testing.T) {
+	before, err := NewTopology(testInstallation(300), DefaultFanOut())
 	require.NoError(t, err)
-	after, err := NewTopology(installation(301), DefaultFanOut())
+	after, err := NewTopology(testInstallation(301), DefaultFanOut())
 	require.NoError(t, err)
 	moved, edges := 0, 0
-	for _, m := range installation(300) {
+	for _, m := range testInstallation(300) {
 		for _, p := range before.Parents(m.Node) {
 			edges++
 			if !slices.Contains(after.Parents(m.Node), p) {
@@ -88,8 +89,8 @@
 	require.Less(t, moved, edges/5)
 }
 
-func TestRosterFaults(t *testing.T) {
-	good := installation(2)
+func TestInvalidRosters(t *testing.T) {
+	good := testInstallation(2)
 	require.NoError(t, good.Validate())
 	for name, bad := range map[string]Roster{
 		"no origin":    good[3:],
@@ -106,12 +107,12 @@
 	require.ErrorIs(t, err, ErrRoster)
 }
 
-// The wanted 4 s hold by the formulas, for one fault of the worst kind and links of 80 ms between regions and 4 ms
-// within.
-func TestBounds(t *testing.T) {
-	top, err := NewTopology(installation(300), DefaultFanOut())
+// By the formulas, a change is in force within the required 4 s, for one fault of the worst kind and one-way delays of
+// 80 ms between regions and 4 ms within a region.
+func TestDelayBounds(t *testing.T) {
+	topology, err := NewTopology(testInstallation(300), DefaultFanOut())
 	require.NoError(t, err)
-	b := NewDelayBounds(DefaultTiming(), top.Depth(), LinkDelays{BetweenRegions: 80_000, WithinRegion: 4_000})
+	b := NewDelayBounds(DefaultTiming(), topology.Depth(), LinkDelays{BetweenRegions: 80_000, WithinRegion: 4_000})
 	for _, line := range b.Formulas() {
 		t.Log(line)
 	}
