--- a/internal/decide/configlog/configlog.go
+++ b/internal/decide/configlog/configlog.go
@@ -70,7 +70,7 @@
 }
 
 // SavedState is the state of an instance on disk. The zero value stands for an empty disk: an origin then asks all
-// other origins what it may have voted for before it votes again.
+// other origins what it may have voted for before it votes again, unless Options.Bootstrap is set.
 type SavedState struct {
 	Document *Document // nil for none
 	Vote     Vote      // of an origin; zero for none
--- a/internal/decide/configlog/origin.go
+++ b/internal/decide/configlog/origin.go
@@ -12,7 +12,7 @@
 	leading
 )
 
-// mutations are faults in the protocol. All are off but in tests, which set one at a time to check that they find it.
+// mutations are deliberate faults in the protocol. Only tests set them, one at a time, to check that they find it.
 type mutations struct {
 	acceptsOldEpochs       bool // an origin accepts a proposal of an epoch that is over
 	quorumOfOne            bool // one origin is a majority
@@ -40,11 +40,11 @@
 type origin struct {
 	others    []NodeID // the other origins
 	mutations mutations
-	bootstrap bool // it votes from the start with an empty disk, as the installation is new
+	bootstrap bool // it votes from the start without a saved vote, see Options
 
 	vote           Vote
 	incarnation    uint64                  // of this start; replies to an earlier incarnation do not count
-	recoverReplies map[NodeID]RecoverReply // received while the vote cannot be given
+	recoverReplies map[NodeID]RecoverReply // of other origins, collected until this one can vote again
 
 	role            role
 	epoch           Epoch // in which it campaigns or leads
--- a/internal/decide/configlog/topology.go
+++ b/internal/decide/configlog/topology.go
@@ -240,8 +240,8 @@
 }
 
 // Neighbors returns the members that a member communicates with in normal operation, each once: the I/O layer keeps
-// connections with them. Beside them, a member only opens connections to its FallbackParents, and to origins for an
-// Apply.
+// connections with them. Apart from replies, a member only sends messages to its Neighbors, to its FallbackParents, and
+// to an origin for an Apply.
 func (t *Topology) Neighbors(n NodeID) []NodeID {
 	neighbors := append(slices.Clone(t.parents[n]), t.children[n]...)
 	if t.members[n].Role == Origin {
