--- a/cmd/topazctl/hosts.go
+++ b/cmd/topazctl/hosts.go
@@ -15,32 +15,32 @@
 	"topazfall/internal/control/controlpb/controlpbconnect"
 )
 
-func hostsCommand(t *tool) *cobra.Command {
+func hostsCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "hosts", Short: "Show the merged list of hosts, and where it comes from",
 		Args: cobra.NoArgs,
-		RunE: t.with(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Hosts(ctx, connect.NewRequest(&pb.HostsRequest{}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
-			if t.output == "json" {
-				return show(c.OutOrStdout(), r.Msg)
+			if o.output == "json" {
+				return printJSON(c.OutOrStdout(), r.Msg)
 			}
-			w := table.NewWriter()
-			w.SetOutputMirror(c.OutOrStdout())
-			w.SetStyle(table.StyleLight)
-			w.Style().Format.Header = text.FormatDefault
-			w.AppendHeader(table.Row{"host", "state", "why", "zone", "kind", "share", "good for", "addresses",
+			writer := table.NewWriter()
+			writer.SetOutputMirror(c.OutOrStdout())
+			writer.SetStyle(table.StyleLight)
+			writer.Style().Format.Header = text.FormatDefault
+			writer.AppendHeader(table.Row{"host", "state", "why", "zone", "kind", "share", "good for", "addresses",
 				"sources"})
 			for _, h := range r.Msg.Hosts {
-				left := ""
+				remaining := ""
 				if h.Remaining != nil {
-					left = h.Remaining.AsDuration().Round(100 * time.Millisecond).String()
+					remaining = h.Remaining.AsDuration().Round(100 * time.Millisecond).String()
 				}
-				w.AppendRow(table.Row{h.Name, h.State, h.Why, h.Zone, h.Kind, h.Share, left,
+				writer.AppendRow(table.Row{h.Name, h.State, h.Why, h.Zone, h.Kind, h.Share, remaining,
 					strings.Join(h.Addresses, "\n"), strings.Join(h.Sources, "\n")})
 			}
-			w.Render()
+			writer.Render()
 			for _, s := range r.Msg.Sources {
 				fault := s.Fault
 				if fault == "" {
--- a/cmd/topazctl/main.go
+++ b/cmd/topazctl/main.go
@@ -1,5 +1,5 @@
-// Command topazctl is for operators: it speaks to the control API of an instance. Its exit codes are 0 for done, 1 for
-// not done, 2 for wrong use and 3 for done in part.
+// Command topazctl is the operators' client of the control API of an instance. Its exit codes are 0 for success, 1 for
+// failure, 2 for incorrect usage and 3 for partial success.
 package main
 
 import (
@@ -19,78 +19,81 @@
 	"topazfall/internal/version"
 )
 
+// Exit codes other than 0.
 const (
-	notDone    = 1
-	wrongUse   = 2
-	doneInPart = 3
+	exitFailure = 1
+	exitUsage   = 2
+	exitPartial = 3
 )
 
-// partial is an error of what was done at some instances and not at others, which it names.
-type partial struct{ error }
+// partialError reports success at some instances and names those where there was none.
+type partialError struct{ error }
 
-// failure is an error of what was to be done; all others are of how it was asked for.
-type failure struct{ error }
+// operationError is an error of the requested operation. All errors but this and partialError are usage errors.
+type operationError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	err := command().ExecuteContext(ctx)
-	var f failure
-	var p partial
+	var failure operationError
+	var partial partialError
 	switch {
 	case err == nil:
-	case errors.As(err, &p):
+	case errors.As(err, &partial):
 		fmt.Fprintln(os.Stderr, "topazctl:", err)
-		os.Exit(doneInPart)
-	case errors.As(err, &f):
+		os.Exit(exitPartial)
+	case errors.As(err, &failure):
 		fmt.Fprintln(os.Stderr, "topazctl:", err)
-		os.Exit(notDone)
+		os.Exit(exitFailure)
 	default:
 		fmt.Fprintln(os.Stderr, "topazctl:", err)
-		os.Exit(wrongUse)
+		os.Exit(exitUsage)
 	}
 }
 
-// tool is what the commands have in common.
-type tool struct {
+// globalOptions are the flags that all commands share.
+type globalOptions struct {
 	address string
 	output  string
-	limit   time.Duration
+	timeout time.Duration
 }
 
-func (t *tool) client() (controlpbconnect.ControlClient, error) {
-	if t.output != "table" && t.output != "json" {
-		return nil, fmt.Errorf("--output %q: want table or json", t.output)
+// client returns a client for the instance that the flags name.
+func (o *globalOptions) client() (controlpbconnect.ControlClient, error) {
+	if o.output != "table" && o.output != "json" {
+		return nil, fmt.Errorf("--output %q: want table or json", o.output)
 	}
-	if t.address == "" {
-		return nil, errors.New("no instance is named: --control, or TOPAZFALL_CONTROL, is unix:/absolute/path")
+	if o.address == "" {
+		return nil, errors.New("no instance given: set --control or TOPAZFALL_CONTROL to unix:/absolute/path")
 	}
-	return client.New(t.address)
+	return client.New(o.address)
 }
 
-// failed turns an error of a call into one that names what it means.
-func failed(err error) error {
+// explainError converts the error of an API call to an operationError that says what its code means.
+func explainError(err error) error {
 	if err == nil {
 		return nil
 	}
-	var e *connect.Error
-	if errors.As(err, &e) {
-		switch e.Code() {
+	var callError *connect.Error
+	if errors.As(err, &callError) {
+		switch callError.Code() {
 		case connect.CodeAborted:
-			return failure{fmt.Errorf("turned down, another revision came between: %s", e.Message())}
+			return operationError{fmt.Errorf("rejected, another revision was applied in between: %s",
+				callError.Message())}
 		case connect.CodeInvalidArgument:
-			return failure{fmt.Errorf("turned down: %s", e.Message())}
+			return operationError{fmt.Errorf("rejected: %s", callError.Message())}
 		case connect.CodeUnavailable:
-			return failure{fmt.Errorf("not now: %s", e.Message())}
+			return operationError{fmt.Errorf("unavailable now: %s", callError.Message())}
 		case connect.CodeFailedPrecondition:
-			return failure{fmt.Errorf("not here: %s", e.Message())}
+			return operationError{fmt.Errorf("not here: %s", callError.Message())}
 		}
 	}
-	return failure{err}
+	return operationError{err}
 }
 
 func command() *cobra.Command {
-	t := &tool{}
+	options := &globalOptions{}
 	root := &cobra.Command{
 		Use:           "topazctl",
 		Short:         "Shows and changes a running topazfall agent",
@@ -99,9 +102,10 @@
 		SilenceUsage:  true,
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&t.address, "control", os.Getenv("TOPAZFALL_CONTROL"), "address of the instance's control API")
-	flags.StringVarP(&t.output, "output", "o", "table", "table or json")
-	flags.DurationVar(&t.limit, "timeout", 10*time.Second, "for a call")
-	root.AddCommand(settingsCommand(t), hostsCommand(t))
+	flags.StringVar(&options.address, "control", os.Getenv("TOPAZFALL_CONTROL"),
+		"address of the instance's control API")
+	flags.StringVarP(&options.output, "output", "o", "table", "table or json")
+	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "for a call")
+	root.AddCommand(settingsCommand(options), hostsCommand(options))
 	return root
 }
--- a/cmd/topazctl/main_test.go
+++ b/cmd/topazctl/main_test.go
@@ -19,27 +19,27 @@
 	"topazfall/internal/settings"
 )
 
-type hosts struct{}
+type fakeHosts struct{}
 
-func (hosts) Now() int64 { return 0 }
-func (hosts) Hosts() ([]sources.Host, map[string]string) {
+func (fakeHosts) Now() int64 { return 0 }
+func (fakeHosts) Hosts() ([]sources.Host, map[string]string) {
 	return []sources.Host{{Entry: sources.Entry{Addr: "10.0.0.1:9000", Worker: topazfall.Worker{ID: "w1.example"}},
 		Sources: []string{"srv:x"}}}, map[string]string{"x": "timeout"}
 }
 
-// code is the exit code that an error stands for.
-func code(err error) int {
-	var f failure
-	var p partial
+// exitCode returns the exit code for an error, as main chooses it.
+func exitCode(err error) int {
+	var failure operationError
+	var partial partialError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &p):
-		return doneInPart
-	case errors.As(err, &f):
-		return notDone
+	case errors.As(err, &partial):
+		return exitPartial
+	case errors.As(err, &failure):
+		return exitFailure
 	}
-	return wrongUse
+	return exitUsage
 }
 
 func TestCommands(t *testing.T) {
@@ -50,27 +50,27 @@
 	address := "unix:" + filepath.Join(dir, "s")
 	ln, err := control.Listen(address)
 	require.NoError(t, err)
-	defer control.Serve(ln, control.Options{Store: store, Hosts: hosts{}}).Close()
+	defer control.Serve(ln, control.Options{Store: store, Hosts: fakeHosts{}}).Close()
 	file := func(text string) string {
 		path := filepath.Join(t.TempDir(), "doc.json")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	good, bad := file(`{"sources":{"hold":"60s"}}`), file(`{"sources":{"hold":"-1s","flaps":99}}`)
-	for _, c := range []struct {
+	valid, invalid := file(`{"sources":{"hold":"60s"}}`), file(`{"sources":{"hold":"-1s","flaps":99}}`)
+	for _, test := range []struct {
 		args []string
 		code int
 		out  string
 	}{
 		{[]string{"settings", "get"}, 0, "{}"},
-		{[]string{"settings", "check", good}, 0, ""},
-		{[]string{"settings", "check", bad}, 1, "sources.hold: -1s is not within 0s to 24h0m0s\nsources.flaps: 99"},
-		{[]string{"settings", "diff", good}, 0, "~ sources.hold: 300s -> 60s"},
-		{[]string{"settings", "apply", bad}, 1, ""},
-		{[]string{"settings", "apply", good}, 0, "revision 1 is in force"},
-		{[]string{"settings", "apply", good, "--from", "0"}, 1, ""},
-		{[]string{"settings", "apply", good, "--from", "1", "-o", "json"}, 0, `"number"`},
-		{[]string{"settings", "diff", good, "-o", "json"}, 0, "[]"},
+		{[]string{"settings", "check", valid}, 0, ""},
+		{[]string{"settings", "check", invalid}, 1, "sources.hold: -1s is not within 0s to 24h0m0s\nsources.flaps: 99"},
+		{[]string{"settings", "diff", valid}, 0, "~ sources.hold: 300s -> 60s"},
+		{[]string{"settings", "apply", invalid}, 1, ""},
+		{[]string{"settings", "apply", valid}, 0, "revision 1 is in force"},
+		{[]string{"settings", "apply", valid, "--from", "0"}, 1, ""},
+		{[]string{"settings", "apply", valid, "--from", "1", "-o", "json"}, 0, `"number"`},
+		{[]string{"settings", "diff", valid, "-o", "json"}, 0, "[]"},
 		{[]string{"settings", "get", "--effective"}, 0, `"drain_every"`},
 		{[]string{"settings", "apply", file(`{"sources":{"holds":"1s"}}`)}, 1, ""},
 		{[]string{"settings", "apply"}, 2, ""},
@@ -86,63 +86,65 @@
 		root := command()
 		root.SetOut(&out)
 		root.SetErr(&bytes.Buffer{})
-		root.SetArgs(append([]string{"--control", address}, c.args...))
+		root.SetArgs(append([]string{"--control", address}, test.args...))
 		err := root.ExecuteContext(t.Context())
-		require.Equal(t, c.code, code(err), "%v: %v", c.args, err)
-		require.Contains(t, out.String(), c.out, "%v", c.args)
+		require.Equal(t, test.code, exitCode(err), "%v: %v", test.args, err)
+		require.Contains(t, out.String(), test.out, "%v", test.args)
 	}
 }
 
-// shared is an installation of four instances: one is behind, one is stopped and one does not answer.
-type shared struct{ instances []*pb.Instance }
+// fakeInstallation is an installation with the given status of its instances. It rejects documents as a follower does.
+type fakeInstallation struct{ instances []*pb.Instance }
 
-func (shared) Apply(context.Context, *pb.Settings, uint64) (*pb.Revision, error) {
+func (fakeInstallation) Apply(context.Context, *pb.Settings, uint64) (*pb.Revision, error) {
 	return nil, control.NotOriginError{Origins: []string{"o1", "o2"}}
 }
 
-func (s shared) Instances(context.Context) *pb.InstancesResponse {
+func (s fakeInstallation) Instances(context.Context) *pb.InstancesResponse {
 	return &pb.InstancesResponse{Newest: 7, NewestSince: timestamppb.Now(), Instances: s.instances}
 }
 
-func TestInstallation(t *testing.T) {
+func TestInstallationCommands(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := settings.Open(dir)
 	require.NoError(t, err)
 	defer store.Close()
-	well := &pb.Instance{Name: "o1", Role: "origin", Answered: true, Revision: 7, Since: timestamppb.Now()}
-	for i, c := range []struct {
+	healthy := &pb.Instance{Name: "o1", Role: "origin", Answered: true, Revision: 7, Since: timestamppb.Now()}
+	for i, test := range []struct {
 		args      []string
 		instances []*pb.Instance
 		code      int
 		out       string
 		err       string
 	}{
-		{[]string{"settings", "status"}, []*pb.Instance{well}, 0, "o1", ""},
-		{[]string{"settings", "status", "-o", "json"}, []*pb.Instance{well}, 0, `"newest"`, ""},
-		{[]string{"settings", "status"}, []*pb.Instance{well, {Name: "f1", Answered: true, Revision: 5, Behind: 2}}, 3,
-			"f1", "f1: 2 revisions behind"},
-		{[]string{"settings", "status"}, []*pb.Instance{well, {Name: "f2", Fault: "connection refused"}}, 3, "f2",
+		{[]string{"settings", "status"}, []*pb.Instance{healthy}, 0, "o1", ""},
+		{[]string{"settings", "status", "-o", "json"}, []*pb.Instance{healthy}, 0, `"newest"`, ""},
+		{[]string{"settings", "status"},
+			[]*pb.Instance{healthy, {Name: "f1", Answered: true, Revision: 5, Behind: 2}}, 3, "f1",
+			"f1: 2 revisions behind"},
+		{[]string{"settings", "status"}, []*pb.Instance{healthy, {Name: "f2", Fault: "connection refused"}}, 3, "f2",
 			"f2: connection refused"},
-		{[]string{"settings", "status"}, []*pb.Instance{well, {Name: "f3", Answered: true, Revision: 7, Fault: "disk"}},
-			3, "disk", "f3: disk"},
+		{[]string{"settings", "status"},
+			[]*pb.Instance{healthy, {Name: "f3", Answered: true, Revision: 7, Fault: "disk"}}, 3, "disk", "f3: disk"},
 		{[]string{"settings", "apply", "-", "--from", "0"}, nil, 1, "",
 			"not here: this instance follows; apply at one of o1, o2"},
 	} {
 		address := fmt.Sprintf("unix:%s/%d", dir, i)
 		ln, err := control.Listen(address)
 		require.NoError(t, err)
-		server := control.Serve(ln, control.Options{Store: store, Hosts: hosts{}, Installation: shared{c.instances}})
+		server := control.Serve(ln, control.Options{Store: store, Hosts: fakeHosts{},
+			Installation: fakeInstallation{test.instances}})
 		var out bytes.Buffer
 		root := command()
 		root.SetIn(bytes.NewBufferString("{}"))
 		root.SetOut(&out)
 		root.SetErr(&bytes.Buffer{})
-		root.SetArgs(append([]string{"--control", address}, c.args...))
+		root.SetArgs(append([]string{"--control", address}, test.args...))
 		err = root.ExecuteContext(t.Context())
-		require.Equal(t, c.code, code(err), "%v: %v", c.args, err)
-		require.Contains(t, out.String(), c.out, "%v", c.args)
-		if c.err != "" {
-			require.ErrorContains(t, err, c.err)
+		require.Equal(t, test.code, exitCode(err), "%v: %v", test.args, err)
+		require.Contains(t, out.String(), test.out, "%v", test.args)
+		if test.err != "" {
+			require.ErrorContains(t, err, test.err)
 		}
 		server.Close()
 	}
--- a/cmd/topazctl/settings.go
+++ b/cmd/topazctl/settings.go
@@ -22,16 +22,17 @@
 	"topazfall/internal/settings"
 )
 
-const largestFile = 2 << 20
+// maxFileBytes limits the size of a settings document.
+const maxFileBytes = 2 << 20
 
-func settingsCommand(t *tool) *cobra.Command {
+func settingsCommand(o *globalOptions) *cobra.Command {
 	c := &cobra.Command{Use: "settings", Short: "The settings of an instance"}
-	c.AddCommand(getCommand(t), checkCommand(t), diffCommand(t), applyCommand(t), watchCommand(t), statusCommand(t))
+	c.AddCommand(getCommand(o), checkCommand(o), diffCommand(o), applyCommand(o), watchCommand(o), statusCommand(o))
 	return c
 }
 
-// document reads a settings document; "-" is standard input.
-func document(c *cobra.Command, path string) (*pb.Settings, error) {
+// readDocument reads a settings document from a file, or from standard input if the path is "-".
+func readDocument(c *cobra.Command, path string) (*pb.Settings, error) {
 	in := c.InOrStdin()
 	if path != "-" {
 		f, err := os.Open(path)
@@ -41,50 +42,51 @@
 		defer f.Close()
 		in = f
 	}
-	text, err := io.ReadAll(io.LimitReader(in, largestFile+1))
+	text, err := io.ReadAll(io.LimitReader(in, maxFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > largestFile {
-		return nil, fmt.Errorf("%s: more than %d bytes", path, largestFile)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxFileBytes)
 	}
 	doc := &pb.Settings{}
 	if err := protojson.Unmarshal(text, doc); err != nil {
-		return nil, failure{fmt.Errorf("%s: %w", path, err)}
+		return nil, operationError{fmt.Errorf("%s: %w", path, err)}
 	}
 	return doc, nil
 }
 
-func show(w io.Writer, m proto.Message) error {
+// printJSON prints a message as indented JSON.
+func printJSON(w io.Writer, m proto.Message) error {
 	text, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true, EmitUnpopulated: false}.Marshal(m)
 	if err != nil {
-		return failure{err}
+		return operationError{err}
 	}
 	_, err = fmt.Fprintf(w, "%s\n", text)
 	return err
 }
 
-// with makes a command's work of one that calls an instance, within the time for a call.
-func (t *tool) with(
-	do func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, args []string) error,
+// run returns the RunE function of a command that calls an instance within the timeout.
+func (o *globalOptions) run(
+	call func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, args []string) error,
 ) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
-		api, err := t.client()
+		api, err := o.client()
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(c.Context(), t.limit)
+		ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 		defer cancel()
-		return do(ctx, c, api, args)
+		return call(ctx, c, api, args)
 	}
 }
 
-// withDocument is with for a command whose one argument names a document.
-func (t *tool) withDocument(
+// runWithDocument is run for a command whose only argument is the path of a document.
+func (o *globalOptions) runWithDocument(
 	do func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, doc *pb.Settings) error,
 ) func(*cobra.Command, []string) error {
-	return t.with(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, args []string) error {
-		doc, err := document(c, args[0])
+	return o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, args []string) error {
+		doc, err := readDocument(c, args[0])
 		if err != nil {
 			return err
 		}
@@ -92,42 +94,42 @@
 	})
 }
 
-func getCommand(t *tool) *cobra.Command {
+func getCommand(o *globalOptions) *cobra.Command {
 	var effective bool
 	c := &cobra.Command{Use: "get", Short: "Show the settings in force, as a document that apply takes",
 		Args: cobra.NoArgs,
-		RunE: t.with(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
-			if t.output == "json" {
-				return show(c.OutOrStdout(), r.Msg)
+			if o.output == "json" {
+				return printJSON(c.OutOrStdout(), r.Msg)
 			}
 			fmt.Fprintf(c.ErrOrStderr(), "revision %d\n", r.Msg.Revision.GetNumber())
 			if r.Msg.ReadOnly != "" {
 				fmt.Fprintf(c.ErrOrStderr(), "no other can be taken now: %s\n", r.Msg.ReadOnly)
 			}
 			if effective {
-				return show(c.OutOrStdout(), r.Msg.Effective)
+				return printJSON(c.OutOrStdout(), r.Msg.Effective)
 			}
-			return show(c.OutOrStdout(), r.Msg.Revision.GetSettings())
+			return printJSON(c.OutOrStdout(), r.Msg.Revision.GetSettings())
 		})}
 	c.Flags().BoolVar(&effective, "effective", false, "with all defaults filled in")
 	return c
 }
 
-func checkCommand(t *tool) *cobra.Command {
+func checkCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "Say what apply would say of a document, and change nothing",
 		Args: cobra.ExactArgs(1),
-		RunE: t.withDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
+		RunE: o.runWithDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
 			doc *pb.Settings) error {
 			r, err := api.Check(ctx, connect.NewRequest(&pb.CheckRequest{Settings: doc}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
-			if t.output == "json" {
-				if err := show(c.OutOrStdout(), r.Msg); err != nil {
+			if o.output == "json" {
+				if err := printJSON(c.OutOrStdout(), r.Msg); err != nil {
 					return err
 				}
 			} else {
@@ -136,21 +138,21 @@
 				}
 			}
 			if n := len(r.Msg.Faults); n > 0 {
-				return failure{fmt.Errorf("%d faults", n)}
+				return operationError{fmt.Errorf("%d faults", n)}
 			}
 			return nil
 		})}
 }
 
-// Change is one path in which two documents differ.
+// Change is a path at which two documents differ, with the value in each.
 type Change struct {
 	Path   string `json:"path"`
 	Before any    `json:"before"`
 	After  any    `json:"after"`
 }
 
-// flat is a document by its paths.
-func flat(doc *pb.Settings) (map[string]any, error) {
+// flatten returns the values of a document by their paths, with all defaults filled in.
+func flatten(doc *pb.Settings) (map[string]any, error) {
 	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(settings.Effective(doc))
 	if err != nil {
 		return nil, err
@@ -179,12 +181,13 @@
 	return out, nil
 }
 
+// differences returns the changes from one document to another, sorted by path.
 func differences(before, after *pb.Settings) (list []Change, err error) {
-	a, err := flat(before)
+	a, err := flatten(before)
 	if err != nil {
 		return nil, err
 	}
-	b, err := flat(after)
+	b, err := flatten(after)
 	if err != nil {
 		return nil, err
 	}
@@ -198,19 +201,19 @@
 	return list, nil
 }
 
-func diffCommand(t *tool) *cobra.Command {
+func diffCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "diff FILE", Short: "Show what a document would change", Args: cobra.ExactArgs(1),
-		RunE: t.withDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
+		RunE: o.runWithDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
 			doc *pb.Settings) error {
 			r, err := api.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
 			list, err := differences(r.Msg.Revision.GetSettings(), doc)
 			if err != nil {
-				return failure{err}
+				return operationError{err}
 			}
-			if t.output == "json" {
+			if o.output == "json" {
 				if list == nil {
 					list = []Change{}
 				}
@@ -233,29 +236,29 @@
 		})}
 }
 
-func applyCommand(t *tool) *cobra.Command {
+func applyCommand(o *globalOptions) *cobra.Command {
 	var from int64
 	c := &cobra.Command{Use: "apply FILE", Short: "Bring a document into force, whole or not at all",
 		Args: cobra.ExactArgs(1),
 		Long: "apply takes a document if it has no fault and the revision that it was made from is still\n" +
 			"in force. --from names that revision, as get has shown it; without it the one in force\n" +
 			"now is taken for it.",
-		RunE: t.withDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
+		RunE: o.runWithDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
 			doc *pb.Settings) error {
-			made := uint64(from)
+			base := uint64(from)
 			if from < 0 {
 				r, err := api.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 				if err != nil {
-					return failed(err)
+					return explainError(err)
 				}
-				made = r.Msg.Revision.GetNumber()
+				base = r.Msg.Revision.GetNumber()
 			}
-			r, err := api.Apply(ctx, connect.NewRequest(&pb.ApplyRequest{Settings: doc, From: made}))
+			r, err := api.Apply(ctx, connect.NewRequest(&pb.ApplyRequest{Settings: doc, From: base}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
-			if t.output == "json" {
-				return show(c.OutOrStdout(), r.Msg)
+			if o.output == "json" {
+				return printJSON(c.OutOrStdout(), r.Msg)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "revision %d is in force\n", r.Msg.Revision.GetNumber())
 			return nil
@@ -264,25 +267,25 @@
 	return c
 }
 
-func watchCommand(t *tool) *cobra.Command {
+func watchCommand(o *globalOptions) *cobra.Command {
 	var after uint64
 	c := &cobra.Command{Use: "watch", Short: "Show each revision that is taken, until interrupted", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			api, err := t.client()
+			api, err := o.client()
 			if err != nil {
 				return err
 			}
 			stream, err := api.Watch(c.Context(), connect.NewRequest(&pb.WatchRequest{After: after}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
 			defer stream.Close()
 			for stream.Receive() {
 				r := stream.Msg().Revision
-				if t.output == "json" {
+				if o.output == "json" {
 					text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(r)
 					if err != nil {
-						return failure{err}
+						return operationError{err}
 					}
 					fmt.Fprintf(c.OutOrStdout(), "%s\n", text)
 					continue
@@ -292,7 +295,7 @@
 					len(r.GetSettings().GetSources().GetSrv()), len(r.GetSettings().GetSources().GetResolvers()))
 			}
 			if err := stream.Err(); err != nil && !errors.Is(err, context.Canceled) && c.Context().Err() == nil {
-				return failed(err)
+				return explainError(err)
 			}
 			return nil
 		}}
--- a/cmd/topazctl/status.go
+++ b/cmd/topazctl/status.go
@@ -16,28 +16,28 @@
 	"topazfall/internal/control/controlpb/controlpbconnect"
 )
 
-func statusCommand(t *tool) *cobra.Command {
+func statusCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "status", Args: cobra.NoArgs,
 		Short: "Show which revision each instance of the installation holds",
 		Long: "status asks every instance on the roster, by way of the one that --control names. It ends with\n" +
 			"3, and names them, where some have not answered, are behind the newest revision or have a fault.",
-		RunE: t.with(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
+		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Instances(ctx, connect.NewRequest(&pb.InstancesRequest{}))
 			if err != nil {
-				return failed(err)
+				return explainError(err)
 			}
-			if t.output == "json" {
-				if err := show(c.OutOrStdout(), r.Msg); err != nil {
+			if o.output == "json" {
+				if err := printJSON(c.OutOrStdout(), r.Msg); err != nil {
 					return err
 				}
 			} else {
-				showInstances(c.OutOrStdout(), r.Msg)
+				printInstances(c.OutOrStdout(), r.Msg)
 			}
-			return notInForce(r.Msg)
+			return statusError(r.Msg)
 		})}
 }
 
-func showInstances(w io.Writer, r *pb.InstancesResponse) {
+func printInstances(w io.Writer, r *pb.InstancesResponse) {
 	out := table.NewWriter()
 	out.SetOutputMirror(w)
 	out.SetStyle(table.StyleLight)
@@ -48,36 +48,40 @@
 			out.AppendRow(table.Row{i.Name, i.Role, i.Region, i.Zone, "?", "", "", "", "", "", i.Fault})
 			continue
 		}
-		out.AppendRow(table.Row{i.Name, i.Role, i.Region, i.Zone, i.Revision, since(i), behind(i), i.Leader, silent(i),
-			strings.Join(i.Sources, "\n"), i.Fault})
+		out.AppendRow(table.Row{i.Name, i.Role, i.Region, i.Zone, i.Revision, formatSince(i), formatBehind(i),
+			i.Leader, formatSilence(i), strings.Join(i.Sources, "\n"), i.Fault})
 	}
 	out.Render()
 	fmt.Fprintf(w, "newest revision: %d\n", r.Newest)
 }
 
-func since(i *pb.Instance) string {
+// formatSince formats the time since which the revision is in force at an instance.
+func formatSince(i *pb.Instance) string {
 	if i.Since == nil {
 		return ""
 	}
 	return i.Since.AsTime().Local().Format("2006-01-02 15:04:05.000")
 }
 
-func behind(i *pb.Instance) string {
+// formatBehind formats how far an instance is behind the newest revision.
+func formatBehind(i *pb.Instance) string {
 	if i.Behind == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%d (%s)", i.Behind, i.BehindFor.AsDuration().Round(10*time.Millisecond))
 }
 
-func silent(i *pb.Instance) string {
+// formatSilence formats how long ago an instance last heard of the leader.
+func formatSilence(i *pb.Instance) string {
 	if i.Silent == nil {
 		return "never"
 	}
 	return i.Silent.AsDuration().Round(10*time.Millisecond).String() + " ago"
 }
 
-// notInForce names the instances where the newest revision is not in force, or nobody knows.
-func notInForce(r *pb.InstancesResponse) error {
+// statusError returns an error that names the instances with a fault and those behind the newest revision. It is nil if
+// there are none.
+func statusError(r *pb.InstancesResponse) error {
 	var faults []string
 	for _, i := range r.Instances {
 		switch {
@@ -91,7 +95,7 @@
 	case 0:
 		return nil
 	case len(r.Instances):
-		return failure{errors.New(strings.Join(faults, "; "))}
+		return operationError{errors.New(strings.Join(faults, "; "))}
 	}
-	return partial{errors.New(strings.Join(faults, "; "))}
+	return partialError{errors.New(strings.Join(faults, "; "))}
 }
--- a/cmd/topazfall-agent/agent_test.go
+++ b/cmd/topazfall-agent/agent_test.go
@@ -27,7 +27,7 @@
 	"topazfall/internal/lab/resolver"
 )
 
-// The agent is this test's own binary, started again.
+// TestMain runs the agent instead of the tests if the environment says so: tests start their own binary as the agent.
 func TestMain(m *testing.M) {
 	if os.Getenv("TOPAZFALL_PLAYED") != "" {
 		main()
@@ -37,33 +37,34 @@
 }
 
 const (
-	patience = 20 * time.Second
-	jobs     = "_jobs._tcp.w.example"
+	waitTimeout = 20 * time.Second
+	jobsName    = "_jobs._tcp.w.example"
 )
 
-type stage struct {
+// fixture is one agent with its workers, a DNS resolver, a client and, in some tests, discovery.
+type fixture struct {
 	*testing.T
-	dns     *resolver.Resolver
-	list    *discoveryserver.Server // nil where there is none
-	hosts   []*host.Host
-	program *program.Process
-	api     controlpbconnect.ControlClient
-	client  *lab.Client
-	state   string
+	dns       *resolver.Resolver
+	discovery *discoveryserver.Server // nil without discovery
+	hosts     []*host.Host
+	program   *program.Process
+	api       controlpbconnect.ControlClient
+	client    *lab.Client
+	state     string
 }
 
-func enact(t *testing.T, hosts int, roster bool) *stage {
+func startFixture(t *testing.T, hosts int, withDiscovery bool) *fixture {
 	t.Parallel()
-	s := &stage{T: t, state: t.TempDir()}
+	s := &fixture{T: t, state: t.TempDir()}
 	var err error
 	s.dns, err = resolver.Start()
 	require.NoError(t, err)
 	t.Cleanup(s.dns.Close)
-	if roster {
-		s.list, err = discoveryserver.Start()
+	if withDiscovery {
+		s.discovery, err = discoveryserver.Start()
 		require.NoError(t, err)
-		t.Cleanup(s.list.Close)
-		s.list.Update()
+		t.Cleanup(s.discovery.Close)
+		s.discovery.Update()
 	}
 	for i := range hosts {
 		h, err := host.Start(host.Options{Name: fmt.Sprintf("w%d.example", i), JobDuration: 5 * time.Millisecond},
@@ -76,11 +77,11 @@
 	return s
 }
 
-func (s *stage) start() {
-	o := program.Options{ProgramPath: os.Args[0], Args: []string{"--state", s.state}, Dir: s.TempDir(), Discovery: "none",
-		Env: []string{"TOPAZFALL_PLAYED=1"}}
-	if s.list != nil {
-		o.Discovery = s.list.Address()
+func (s *fixture) start() {
+	o := program.Options{ProgramPath: os.Args[0], Args: []string{"--state", s.state}, Dir: s.TempDir(),
+		Discovery: "none", Env: []string{"TOPAZFALL_PLAYED=1"}}
+	if s.discovery != nil {
+		o.Discovery = s.discovery.Address()
 	}
 	p, err := program.Start(o)
 	require.NoError(s, err)
@@ -97,23 +98,24 @@
 	require.NoError(s, err)
 }
 
-// target is a host as DNS lists it.
-func target(h *host.Host) resolver.Target {
+// dnsTarget returns the SRV target of a host.
+func dnsTarget(h *host.Host) resolver.Target {
 	_, port, _ := net.SplitHostPort(h.Addresses()[0])
 	n, _ := strconv.Atoi(port)
 	return resolver.Target{Host: h.Name(), Port: uint16(n), Weight: 100, A: []string{"127.0.0.1"}}
 }
 
-func (s *stage) publish(ttl uint32, hosts ...*host.Host) {
+// publish lists hosts in DNS under jobsName.
+func (s *fixture) publish(ttl uint32, hosts ...*host.Host) {
 	var list []resolver.Target
 	for _, h := range hosts {
-		list = append(list, target(h))
+		list = append(list, dnsTarget(h))
 	}
-	s.dns.SetRecords(jobs, ttl, list...)
+	s.dns.SetRecords(jobsName, ttl, list...)
 }
 
-// apply brings settings into force that ask for these names.
-func (s *stage) apply(extra string, names ...string) {
+// apply applies settings that query these names.
+func (s *fixture) apply(extra string, names ...string) {
 	text := `{"sources":{"resolvers":["` + s.dns.Address() + `"],"timeout":"0.2s","least_lifetime":"0.2s"` + extra +
 		`,"srv":[`
 	for i, n := range names {
@@ -131,8 +133,8 @@
 	require.NoError(s, err)
 }
 
-// up are the hosts that may get something new.
-func (s *stage) up() (names []string) {
+// readyHosts returns the names of the hosts that may get new requests.
+func (s *fixture) readyHosts() (names []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	r, err := s.api.Hosts(ctx, connect.NewRequest(&pb.HostsRequest{}))
@@ -145,18 +147,18 @@
 	return names
 }
 
-func (s *stage) eventually(what string, condition func() bool) {
-	require.Eventually(s, condition, patience, 20*time.Millisecond, what)
+func (s *fixture) eventually(what string, condition func() bool) {
+	require.Eventually(s, condition, waitTimeout, 20*time.Millisecond, what)
 }
 
-func (s *stage) send(class string) (string, lab.Answer) {
+func (s *fixture) send(class string) (string, lab.Answer) {
 	id := s.client.NextID()
 	return id, s.client.Do(lab.Message{ID: id, Class: class, Tenant: "delta-mobile", Timeout: 3 * time.Second,
 		Body: []byte("x")})
 }
 
-// load sends messages until stop is closed, and returns how many were not served.
-func (s *stage) load(stop <-chan struct{}) (sent, unserved int) {
+// sendUntil sends messages until stop is closed, and returns how many were sent and how many of them were not served.
+func (s *fixture) sendUntil(stop <-chan struct{}) (sent, unserved int) {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	for i := 0; ; i++ {
@@ -176,30 +178,32 @@
 	}
 }
 
-// Hosts come from DNS alone; a change there is in use within the lifetime and 250 ms. All resolvers are dead for longer
-// than the lifetime, under load: no message is lost. A restart while they are dead goes on with the hosts known before.
+// With DNS as the only source, a change is in use within the records' lifetime and 250 ms. No message is lost under
+// load when all resolvers are down for longer than the lifetime. An agent restarted during the outage uses the saved
+// hosts.
 func TestOutageAndRestart(t *testing.T) {
-	s := enact(t, 3, false)
+	s := startFixture(t, 3, false)
 	s.publish(1, s.hosts[0], s.hosts[1])
-	s.apply("", jobs)
-	s.eventually("both are listed", func() bool { return len(s.up()) == 2 })
+	s.apply("", jobsName)
+	s.eventually("both hosts are listed", func() bool { return len(s.readyHosts()) == 2 })
 	s.publish(1, s.hosts...)
 	changed := time.Now()
-	s.eventually("the third is listed", func() bool { return len(s.up()) == 3 })
-	require.Less(t, time.Since(changed), 1250*time.Millisecond+200*time.Millisecond, "200 ms are this test's own")
+	s.eventually("the third host is listed", func() bool { return len(s.readyHosts()) == 3 })
+	require.Less(t, time.Since(changed), 1250*time.Millisecond+200*time.Millisecond,
+		"the last 200 ms are an allowance for the test itself")
 
 	stop := make(chan struct{})
 	time.AfterFunc(4*time.Second, func() { close(stop) })
 	time.AfterFunc(500*time.Millisecond, func() { s.dns.SetFault(resolver.Timeout) })
-	sent, unserved := s.load(stop)
+	sent, unserved := s.sendUntil(stop)
 	require.Greater(t, sent, 200)
 	require.Zero(t, unserved)
-	require.Len(t, s.up(), 3)
+	require.Len(t, s.readyHosts(), 3)
 
 	require.NoError(t, s.program.Terminate())
-	require.NoError(t, s.program.Wait(patience))
+	require.NoError(t, s.program.Wait(waitTimeout))
 	s.start()
-	require.Len(t, s.up(), 3, "marked old, and better than none")
+	require.Len(t, s.readyHosts(), 3, "saved hosts are used until DNS answers")
 	_, a := s.send("dispute-extract")
 	require.Equal(t, 200, a.Status)
 	r, err := s.api.Hosts(t.Context(), connect.NewRequest(&pb.HostsRequest{}))
@@ -207,39 +211,42 @@
 	require.NotEmpty(t, r.Msg.Sources[1].Fault)
 	s.dns.SetFault(resolver.Answer)
 	s.publish(1, s.hosts[0])
-	s.eventually("DNS is heard again", func() bool { return len(s.up()) == 1 })
+	s.eventually("the answer of DNS is applied again", func() bool { return len(s.readyHosts()) == 1 })
 }
 
-// The roster drains a host that DNS keeps listing: nothing new is sent to it 500 ms after, in whatever order the news
-// come, and its up frees it.
-func TestDrainAgainstDNS(t *testing.T) {
-	s := enact(t, 1, true)   // alone, so that all goes to it
-	s.publish(0, s.hosts...) // asked for all the time: DNS news before, at and after the drain
-	s.apply("", jobs)
-	s.eventually("it is listed", func() bool { return len(s.up()) == 1 })
+// Discovery drains or removes a host that DNS still lists. Within 500 ms no new message is sent to it, whatever the
+// order of the updates from DNS and discovery. The host gets messages again once discovery lists it as up.
+func TestDiscoveryDrainOverridesDNS(t *testing.T) {
+	s := startFixture(t, 1, true) // the only host, so that it gets all messages
+	s.publish(0, s.hosts...)      // TTL 0: queried all the time, so before, during and after the drain
+	s.apply("", jobsName)
+	s.eventually("the host is listed", func() bool { return len(s.readyHosts()) == 1 })
 	stop := make(chan struct{})
 	var load sync.WaitGroup
-	load.Go(func() { s.load(stop) })
+	load.Go(func() { s.sendUntil(stop) })
 	entry := func(health string) discoveryserver.Entry {
 		return discoveryserver.Entry{Host: s.hosts[0].Name(), Dial: s.hosts[0].Addresses()[0], Site: "hall-a",
 			Class: "small", Share: 1, Health: health}
 	}
 	for _, health := range []string{"draining", "removed"} {
-		s.eventually("it is in use", func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
-		told := time.Now()
-		s.list.Update(entry(health))
+		s.eventually("the host is in use",
+			func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
+		changedAt := time.Now()
+		s.discovery.Update(entry(health))
 		time.Sleep(2 * time.Second)
-		require.Less(t, s.hosts[0].LastArrival().Sub(told), 500*time.Millisecond, health)
-		s.list.Update(entry("up"))
-		s.eventually("it is freed", func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
+		require.Less(t, s.hosts[0].LastArrival().Sub(changedAt), 500*time.Millisecond, health)
+		s.discovery.Update(entry("up"))
+		s.eventually("the host is in use again",
+			func() bool { return time.Since(s.hosts[0].LastArrival()) < 50*time.Millisecond })
 	}
 	close(stop)
 	load.Wait()
 }
 
-// 500 of 2,000 hosts are replaced at once; the lists are larger than a datagram. Two names list the same host.
+// 500 of 2,000 hosts are replaced at once. The lists are larger than a datagram, and some hosts are listed under two
+// names.
 func TestManyHostsAndTwoNames(t *testing.T) {
-	s := enact(t, 0, false)
+	s := startFixture(t, 0, false)
 	list := func(from, n int) (targets []resolver.Target) {
 		for i := from; i < from+n; i++ {
 			targets = append(targets, resolver.Target{Host: fmt.Sprintf("h%d.w", i), Port: 9, Weight: 1,
@@ -247,30 +254,30 @@
 		}
 		return targets
 	}
-	s.dns.SetRecords(jobs, 1, list(0, 1500)...)
+	s.dns.SetRecords(jobsName, 1, list(0, 1500)...)
 	s.dns.SetRecords("_b._tcp.w.example", 1, list(1000, 1000)...)
-	s.apply("", jobs, "_b._tcp.w.example")
-	s.eventually("all are listed, once", func() bool { return len(s.up()) == 2000 })
-	s.dns.SetRecords(jobs, 1, list(0, 1000)...)
+	s.apply("", jobsName, "_b._tcp.w.example")
+	s.eventually("all hosts are listed once", func() bool { return len(s.readyHosts()) == 2000 })
+	s.dns.SetRecords(jobsName, 1, list(0, 1000)...)
 	s.dns.SetRecords("_b._tcp.w.example", 1, list(1500, 1000)...)
-	s.eventually("replaced", func() bool {
+	s.eventually("the hosts are replaced", func() bool {
 		up := map[string]bool{}
-		for _, name := range s.up() {
+		for _, name := range s.readyHosts() {
 			up[name] = true
 		}
 		return len(up) == 2000 && !up["h1200.w"] && up["h2400.w"]
 	})
 	require.NoError(t, s.program.Terminate())
-	require.NoError(t, s.program.Wait(patience))
+	require.NoError(t, s.program.Wait(waitTimeout))
 }
 
-// A team that a revision names is served from then on, and one that the next names no more is refused again; those of
-// the configuration stay.
+// A team (tenant) is served once a revision lists it, and refused again once a revision no longer lists it. The teams
+// of the configuration file are not affected.
 func TestTeams(t *testing.T) {
-	s := enact(t, 1, false)
+	s := startFixture(t, 1, false)
 	s.publish(1, s.hosts...)
-	s.apply("", jobs)
-	s.eventually("it is listed", func() bool { return len(s.up()) == 1 })
+	s.apply("", jobsName)
+	s.eventually("the host is listed", func() bool { return len(s.readyHosts()) == 1 })
 	status := func(team string) int {
 		return s.client.Do(lab.Message{ID: s.client.NextID(), Class: program.Classes[0], Tenant: team,
 			Timeout: 3 * time.Second, Body: []byte("x")}).Status
@@ -285,11 +292,11 @@
 	require.NoError(t, err)
 	s.eventually("the team is served", func() bool { return status("new-team") == 200 })
 	require.Equal(t, 200, status("delta-mobile"))
-	// the configuration is read again, and says nothing of the team
+	// Reloading the configuration file, which does not list the team, must not remove it.
 	require.NoError(t, s.program.Signal(syscall.SIGHUP))
-	s.eventually("it was read", func() bool {
-		figures, err := s.program.Metrics()
-		return err == nil && figures["app_sighup_applied_total"] == 1
+	s.eventually("the configuration is reloaded", func() bool {
+		metrics, err := s.program.Metrics()
+		return err == nil && metrics["app_sighup_applied_total"] == 1
 	})
 	require.Equal(t, 200, status("new-team"))
 	doc.Teams = nil
--- a/cmd/topazfall-agent/installation_test.go
+++ b/cmd/topazfall-agent/installation_test.go
@@ -27,63 +27,64 @@
 	"topazfall/internal/snapshot"
 )
 
-// inForce is within what a revision must be in force at every instance that can be reached, on a machine that does not
-// stand still meanwhile.
-const inForce = 4 * time.Second
+// propagationLimit is the time within which a revision must be in force at every reachable instance, unless the machine
+// stalls meanwhile.
+const propagationLimit = 4 * time.Second
 
-// savesInTurn is how many saves follow each other between an Apply's answer and the last instance that has the
-// revision in force: the log's document and the settings, at an origin and at each of the two levels below.
-const savesInTurn = 6
+// sequentialSaves is the number of saves, one after the other, between the reply to an Apply and the moment when the
+// revision is in force at the last instance: the log's document and the settings, at an origin and at each of the two
+// levels below it.
+const sequentialSaves = 6
 
-// teams are as many as the operators expect to have.
-const teams = 490
+// numTeams is the number of teams that the operators expect.
+const numTeams = 490
 
-// TestInstallations runs several installations at a time, and no other test of the package beside them: they are many
-// processes, and others judge by the clock.
+// TestInstallations runs several installations at a time, but no other test of the package in parallel with them: the
+// installations have many processes, and the other tests have time limits.
 func TestInstallations(t *testing.T) {
-	for _, scene := range []struct {
+	for _, scenario := range []struct {
 		name string
-		play func(*testing.T)
+		run  func(*testing.T)
 	}{
-		{"EveryRevisionEverywhere", testEveryRevisionEverywhere},
-		{"TwoAppliesOfOneBase", testTwoAppliesOfOneBase},
-		{"FrozenAndWoken", testFrozenAndWoken},
-		{"CutBothWays", testCutBothWays},
-		{"CutOneWay", testCutOneWay},
-		{"RestartFromNothing", testRestartFromNothing},
-		{"DoubledReorderedAndOld", testDoubledReorderedAndOld},
+		{"RevisionsReachEveryInstance", testRevisionsReachEveryInstance},
+		{"ConcurrentAppliesOfOneBase", testConcurrentAppliesOfOneBase},
+		{"FrozenInstanceCatchesUp", testFrozenInstanceCatchesUp},
+		{"PartitionBothWays", testPartitionBothWays},
+		{"PartitionOneWay", testPartitionOneWay},
+		{"RestartWithEmptyState", testRestartWithEmptyState},
+		{"DuplicatedReorderedAndReplayedFrames", testDuplicatedReorderedAndReplayedFrames},
 		{"ChangeDuringReplacement", testChangeDuringReplacement},
 		{"ZoneKilled", testZoneKilled},
-		{"HalfArrived", testHalfArrived},
+		{"InterruptedSnapshotTransfer", testInterruptedSnapshotTransfer},
 	} {
-		t.Run(scene.name, scene.play)
+		t.Run(scenario.name, scenario.run)
 	}
 }
 
-// shared is an installation of several agents, each a process of its own.
-type shared struct {
+// cluster is an installation of several agents, each in a separate process.
+type cluster struct {
 	*testing.T
 	*rig.Rig
 	origins, followers []string
 
-	pace    pace
-	mu      sync.Mutex
-	clients map[int]controlpbconnect.ControlClient // by process id
-	started map[string]bool                        // by name: no bootstrap again
-	highest map[string]uint64                      // by name: the highest revision seen, which must never fall
-	waits   []time.Duration                        // until an Apply was answered, elections included
-	times   []time.Duration                        // from the answer of an Apply until all that were waited for had it
+	probe            saveProbe
+	mu               sync.Mutex
+	clients          map[int]controlpbconnect.ControlClient // by process id
+	started          map[string]bool                        // by name: instances that were started with --bootstrap
+	highestSeen      map[string]uint64                      // by name: the highest revision seen; never decreases
+	applyTimes       []time.Duration                        // until each Apply was answered, including elections
+	propagationTimes []time.Duration                        // from the reply to an Apply until it was in force
 }
 
-// places bounds how many installations run at a time: each is up to eight processes.
-var places = make(chan struct{}, 4)
+// clusterSlots limits how many installations run at a time: each has up to eight processes.
+var clusterSlots = make(chan struct{}, 4)
 
-func join(t *testing.T, origins, followers int) *shared {
+func startCluster(t *testing.T, origins, followers int) *cluster {
 	t.Parallel()
-	places <- struct{}{}
-	t.Cleanup(func() { <-places })
-	s := &shared{T: t, clients: map[int]controlpbconnect.ControlClient{}, started: map[string]bool{},
-		highest: map[string]uint64{}}
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
+	s := &cluster{T: t, clients: map[int]controlpbconnect.ControlClient{}, started: map[string]bool{},
+		highestSeen: map[string]uint64{}}
 	for i := range origins {
 		s.origins = append(s.origins, fmt.Sprint("o", i))
 	}
@@ -94,18 +95,18 @@
 	require.NoError(t, err)
 	t.Cleanup(list.Close)
 	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
-	dir, err := os.MkdirTemp("", "rig") // a name that is short enough for a socket
+	dir, err := os.MkdirTemp("", "rig") // short enough for the path of a Unix socket
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	go s.pace.run(t.Context(), filepath.Join(dir, "pace"))
+	go s.probe.run(t.Context(), filepath.Join(dir, "pace"))
 	s.Rig, err = rig.Start(rig.Options{Dir: dir, Names: s.all(), Split: configsync.SplitFrames, Seed: 11,
 		Args: s.arguments, Program: program.Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"},
 			Discovery: list.Address()}})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		s.Rig.Close()
-		t.Logf("answered after %v, then in force everywhere after %v; a save took up to %v", s.waits, s.times,
-			s.pace.slowest(time.Time{}))
+		t.Logf("applies took %v, then %v until they were in force everywhere; the slowest save took %v",
+			s.applyTimes, s.propagationTimes, s.probe.slowest(time.Time{}))
 		if t.Failed() {
 			for _, name := range s.all() {
 				t.Logf("%s:\n%s", name, s.Log(name))
@@ -115,20 +116,21 @@
 	return s
 }
 
-func (s *shared) all() []string { return append(slices.Clone(s.origins), s.followers...) }
+func (s *cluster) all() []string { return append(slices.Clone(s.origins), s.followers...) }
 
-// arguments writes a member's roster, on which the others are where its links to them are.
-func (s *shared) arguments(m rig.Member) ([]string, error) {
+// arguments writes the roster of a member and returns its flags. On the roster, the addresses of the other members are
+// those of its links to them.
+func (s *cluster) arguments(m rig.Member) ([]string, error) {
 	roster := configsync.Roster{Installation: s.Name()}
 	for i, name := range s.all() {
-		one := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "north", Zone: fmt.Sprint("z", i%3)}
+		member := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "north", Zone: fmt.Sprint("z", i%3)}
 		if name == m.Name {
-			one.Address = m.PeerListen
+			member.Address = m.PeerListen
 		}
 		if slices.Contains(s.origins, name) {
-			one.Role = "origin"
+			member.Role = "origin"
 		}
-		roster.Members = append(roster.Members, one)
+		roster.Members = append(roster.Members, member)
 	}
 	text, err := json.Marshal(roster)
 	if err != nil {
@@ -145,11 +147,11 @@
 	return args, os.WriteFile(path, text, 0o600)
 }
 
-func (s *shared) api(name string) controlpbconnect.ControlClient {
+func (s *cluster) api(name string) controlpbconnect.ControlClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pid := s.Process(name).PID()
-	if api, ok := s.clients[pid]; ok { // each one keeps a connection, of which an instance takes no more than some
+	if api, ok := s.clients[pid]; ok { // each client keeps a connection open, and an instance limits their number
 		return api
 	}
 	api, err := client.New("unix:" + filepath.Join(s.Member(name).StateDir, "control.sock"))
@@ -158,8 +160,9 @@
 	return api
 }
 
-// holds returns the revision in force at an instance, and checks that it never goes back and is never half of one.
-func (s *shared) holds(name string) (number uint64, ok bool) {
+// revisionAt returns the revision in force at an instance. It checks that revisions never go back and that a document
+// is never a mixture of several.
+func (s *cluster) revisionAt(name string) (number uint64, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	r, err := s.api(name).Get(ctx, connect.NewRequest(&pb.GetRequest{}))
@@ -169,38 +172,40 @@
 	doc := r.Msg.Revision
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if doc.GetNumber() < s.highest[name] {
-		s.Errorf("%s went back from %d to %d", name, s.highest[name], doc.GetNumber())
+	if doc.GetNumber() < s.highestSeen[name] {
+		s.Errorf("%s went back from revision %d to %d", name, s.highestSeen[name], doc.GetNumber())
 	}
-	s.highest[name] = doc.GetNumber()
-	if isMixture(doc.GetSettings()) {
-		s.Errorf("%s has a mixture: %v", name, doc)
+	s.highestSeen[name] = doc.GetNumber()
+	if isMixed(doc.GetSettings()) {
+		s.Errorf("%s has a mixture of several documents: %v", name, doc)
 	}
 	return doc.GetNumber(), true
 }
 
-// document is one whose parts must agree: it is larger than a chunk of a snapshot, and all of it changes each time.
+// document returns a document whose parts all derive from value, so that a mixture of two can be detected. It is larger
+// than a chunk of a snapshot.
 func document(value int) *pb.Settings {
 	d := durationpb.New(time.Duration(value) * time.Millisecond)
 	doc := &pb.Settings{Sources: &pb.Sources{Hold: d}, Addresses: &pb.Addresses{Calm: d}}
-	for i := range teams {
-		team := &pb.Team{Name: fmt.Sprintf("team-%03d", i), Share: 1. / teams, Quota: float64(value)}
+	for i := range numTeams {
+		team := &pb.Team{Name: fmt.Sprintf("team-%03d", i), Share: 1. / numTeams, Quota: float64(value)}
 		doc.Teams = append(doc.Teams, team)
 	}
 	return doc
 }
 
-// isMixture tells whether a document has parts of several.
-func isMixture(doc *pb.Settings) bool {
+// isMixed reports whether a document has parts of several documents.
+func isMixed(doc *pb.Settings) bool {
 	value := doc.GetSources().GetHold().AsDuration()
-	if doc.GetAddresses().GetCalm().AsDuration() != value || value > 0 && len(doc.GetTeams()) != teams {
+	if doc.GetAddresses().GetCalm().AsDuration() != value || value > 0 && len(doc.GetTeams()) != numTeams {
 		return true
 	}
 	differs := func(team *pb.Team) bool { return team.Quota != float64(value/time.Millisecond) }
 	return slices.ContainsFunc(doc.GetTeams(), differs)
 }
 
-func (s *shared) tryApply(origin string, from uint64, value int) (uint64, error) {
+// tryApply applies a document at an origin once, and returns the number of the new revision.
+func (s *cluster) tryApply(origin string, from uint64, value int) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	r, err := s.api(origin).Apply(ctx, connect.NewRequest(&pb.ApplyRequest{Settings: document(value), From: from}))
@@ -210,60 +215,61 @@
 	return r.Msg.Revision.Number, nil
 }
 
-// apply makes a revision at an origin as soon as it can be made, and returns its number and when the answer came.
-func (s *shared) apply(origin string, value int) (number uint64, at time.Time) {
+// apply creates a revision at an origin, retrying until it succeeds. It returns its number and the time of the reply.
+func (s *cluster) apply(origin string, value int) (number uint64, answeredAt time.Time) {
 	var last error
-	began := time.Now()
-	defer func() { s.waits = append(s.waits, time.Since(began)) }()
+	startedAt := time.Now()
+	defer func() { s.applyTimes = append(s.applyTimes, time.Since(startedAt)) }()
 	require.Eventually(s, func() bool {
-		from, ok := s.holds(origin)
+		from, ok := s.revisionAt(origin)
 		if !ok {
 			return false
 		}
 		number, last = s.tryApply(origin, from, value)
-		at = time.Now()
+		answeredAt = time.Now()
 		return last == nil
-	}, patience, 50*time.Millisecond, "apply at %s: %v", origin, last)
-	return number, at
+	}, waitTimeout, 50*time.Millisecond, "apply at %s: %v", origin, last)
+	return number, answeredAt
 }
 
-// reach waits until instances hold a revision, and checks how long that took since.
-func (s *shared) reach(number uint64, since time.Time, names ...string) {
+// waitForRevision waits until instances hold a revision, and checks that the time since then is within the limit.
+func (s *cluster) waitForRevision(number uint64, since time.Time, names ...string) {
 	require.Eventually(s, func() bool {
 		for _, name := range names {
-			if held, ok := s.holds(name); !ok || held < number {
+			if held, ok := s.revisionAt(name); !ok || held < number {
 				return false
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond, "revision %d at %v", number, names)
-	took := time.Since(since)
-	s.times = append(s.times, took)
-	slowest := s.pace.slowest(since)
-	require.Less(s, took, inForce+savesInTurn*slowest, "a save took up to %v meanwhile", slowest)
+	}, waitTimeout, 10*time.Millisecond, "revision %d is not in force at all of %v", number, names)
+	elapsed := time.Since(since)
+	s.propagationTimes = append(s.propagationTimes, elapsed)
+	slowest := s.probe.slowest(since)
+	require.Less(s, elapsed, propagationLimit+sequentialSaves*slowest, "the slowest save meanwhile took %v", slowest)
 }
 
-// pace saves a small file again and again, as the instances do, to tell how long the machine takes for that: others
-// use it too, and it has stood still for seconds.
-type pace struct {
-	mu    sync.Mutex
-	saves []save
+// saveProbe saves a small file repeatedly, as the instances do, and measures how long that takes. The machine is shared
+// with other work, and has stalled for seconds.
+type saveProbe struct {
+	mu      sync.Mutex
+	samples []saveSample
 }
 
-type save struct {
-	end  time.Time
-	took time.Duration
+// saveSample is the end and the duration of one save.
+type saveSample struct {
+	end      time.Time
+	duration time.Duration
 }
 
-func (p *pace) run(ctx context.Context, path string) {
+func (p *saveProbe) run(ctx context.Context, path string) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		err := snapshot.Write(path, "pace", nil)
 		if err != nil { // the folder is removed at the end
 			return
 		}
 		p.mu.Lock()
-		p.saves = append(p.saves, save{time.Now(), time.Since(began)})
+		p.samples = append(p.samples, saveSample{time.Now(), time.Since(startedAt)})
 		p.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -272,20 +278,20 @@
 	}
 }
 
-// slowest is the longest save that has ended since.
-func (p *pace) slowest(since time.Time) (took time.Duration) {
+// slowest returns the duration of the longest save that ended after a time.
+func (p *saveProbe) slowest(since time.Time) (longest time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.saves {
-		if one.end.After(since) {
-			took = max(took, one.took)
+	for _, sample := range p.samples {
+		if sample.end.After(since) {
+			longest = max(longest, sample.duration)
 		}
 	}
-	return took
+	return longest
 }
 
-// instance is what an instance says of itself, nil if it does not answer.
-func (s *shared) instance(name string) *pb.Instance {
+// instanceStatus returns the status of an instance, or nil if it does not answer.
+func (s *cluster) instanceStatus(name string) *pb.Instance {
 	r, err := s.api(name).Instances(s.Context(), connect.NewRequest(&pb.InstancesRequest{}))
 	if err != nil {
 		return nil
@@ -298,27 +304,30 @@
 	return nil
 }
 
-// leader is who leads the origins, as an instance has heard.
-func (s *shared) leader(name string, except ...string) (leader string) {
+// waitForLeader waits until an instance reports a leader of the origins that is none of those in except, and returns
+// it.
+func (s *cluster) waitForLeader(name string, except ...string) (leader string) {
 	require.Eventually(s, func() bool {
-		leader = s.instance(name).GetLeader()
+		leader = s.instanceStatus(name).GetLeader()
 		return leader != "" && !slices.Contains(except, leader)
-	}, patience, 50*time.Millisecond, "no leader but %v", except)
+	}, waitTimeout, 50*time.Millisecond, "no leader other than %v", except)
 	return leader
 }
 
+// without returns names without others.
 func without(names []string, others ...string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(others, n) })
 }
 
-// Revisions made at any origin are in force everywhere; instances that follow say where to apply; status tells of all.
-func testEveryRevisionEverywhere(t *testing.T) {
-	s := join(t, 3, 5)
+// Revisions created at any origin come into force at every instance. A follower rejects a document and names the
+// origins. The status covers all instances, including one that does not answer.
+func testRevisionsReachEveryInstance(t *testing.T) {
+	s := startCluster(t, 3, 5)
 	var number uint64
 	for i := range 6 {
 		next, at := s.apply(s.origins[i%3], i+1)
 		require.Greater(t, next, number)
-		s.reach(next, at, s.all()...)
+		s.waitForRevision(next, at, s.all()...)
 		number = next
 	}
 	_, err := s.tryApply("f0", number, 1)
@@ -340,20 +349,20 @@
 			require.NotNil(t, i.Since)
 		}
 	}
-	figures, err := s.Process("f1").Metrics()
+	metrics, err := s.Process("f1").Metrics()
 	require.NoError(t, err)
-	require.EqualValues(t, number, figures["app_config_revision"])
-	require.Positive(t, figures["app_config_in_force_seconds"])
+	require.EqualValues(t, number, metrics["app_config_revision"])
+	require.Positive(t, metrics["app_config_in_force_seconds"])
 }
 
-// Of several changes of the same base at most one wins, at whichever origins they are made, and all hold just that. An
-// answer may be lost for want of time, but no two say yes.
-func testTwoAppliesOfOneBase(t *testing.T) {
-	s := join(t, 3, 2)
+// Of several concurrent changes of the same base at most one is committed, whichever origins they are applied at, and
+// all instances hold that one. All may fail, for example on a timeout, but no two may succeed.
+func testConcurrentAppliesOfOneBase(t *testing.T) {
+	s := startCluster(t, 3, 2)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
-	wins := 0
-	for i := 1; wins < 5; i++ {
+	s.waitForRevision(number, at, s.all()...)
+	committed := 0
+	for i := 1; committed < 5; i++ {
 		require.Less(t, i, 50)
 		var wait sync.WaitGroup
 		results := make([]uint64, 3)
@@ -362,55 +371,55 @@
 		}
 		wait.Wait()
 		at := time.Now()
-		won := slices.IndexFunc(results, func(n uint64) bool { return n > 0 })
-		if won < 0 {
+		winner := slices.IndexFunc(results, func(n uint64) bool { return n > 0 })
+		if winner < 0 {
 			number, at = s.apply("o0", 1)
-			s.reach(number, at, s.all()...)
+			s.waitForRevision(number, at, s.all()...)
 			continue
 		}
-		wins++
-		require.Equal(t, number+1, results[won])
-		results[won] = 0
-		require.Equal(t, make([]uint64, 3), results, "a second one")
+		committed++
+		require.Equal(t, number+1, results[winner])
+		results[winner] = 0
+		require.Equal(t, make([]uint64, 3), results, "a second change was committed")
 		number++
-		s.reach(number, at, s.all()...)
+		s.waitForRevision(number, at, s.all()...)
 		for _, name := range s.all() {
 			r, err := s.api(name).Get(t.Context(), connect.NewRequest(&pb.GetRequest{}))
 			require.NoError(t, err)
-			require.EqualValues(t, 10*i+won, r.Msg.Revision.Settings.Teams[0].Quota, name)
+			require.EqualValues(t, 10*i+winner, r.Msg.Revision.Settings.Teams[0].Quota, name)
 		}
 	}
 }
 
-// An instance that was frozen, for longer than anybody waits for it, has what it missed soon after it wakes; a frozen
-// leader is replaced by another, and does not bring back what was before.
-func testFrozenAndWoken(t *testing.T) {
-	s := join(t, 3, 4)
+// An instance that was frozen for longer than any timeout catches up soon after it continues. A frozen leader is
+// replaced by another origin, and does not restore an older revision when it continues.
+func testFrozenInstanceCatchesUp(t *testing.T) {
+	s := startCluster(t, 3, 4)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
-	for _, name := range []string{"f0", s.leader("f1")} {
+	s.waitForRevision(number, at, s.all()...)
+	for _, name := range []string{"f0", s.waitForLeader("f1")} {
 		require.NoError(t, s.Freeze(name))
 		rest := without(s.all(), name)
 		if name != "f0" {
-			s.leader("f1", name)
+			s.waitForLeader("f1", name)
 		}
 		for i := range 3 {
 			number, at = s.apply(without(s.origins, name)[0], 10+i)
-			s.reach(number, at, rest...)
+			s.waitForRevision(number, at, rest...)
 		}
 		require.NoError(t, s.Thaw(name))
-		s.reach(number, time.Now(), s.all()...)
+		s.waitForRevision(number, time.Now(), s.all()...)
 	}
 }
 
-// Cut off both ways an instance keeps what it has, and has the rest soon after the heal; an origin that is alone takes
-// nothing.
-func testCutBothWays(t *testing.T) {
-	s := join(t, 3, 4)
+// An instance that is cut off in both directions keeps its revision, and catches up soon after the partition heals. An
+// isolated origin commits nothing.
+func testPartitionBothWays(t *testing.T) {
+	s := startCluster(t, 3, 4)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 	before := number
-	alone := s.leader("f1")
+	alone := s.waitForLeader("f1")
 	s.Partition(alone, "f0")
 	rest := without(s.all(), alone, "f0")
 	_, err := s.tryApply(alone, number, 99)
@@ -418,131 +427,136 @@
 	origin := without(s.origins, alone)[0]
 	for i := range 3 {
 		number, at = s.apply(origin, 10+i)
-		s.reach(number, at, rest...)
+		s.waitForRevision(number, at, rest...)
 	}
-	held, ok := s.holds("f0")
+	held, ok := s.revisionAt("f0")
 	require.True(t, ok)
 	require.Equal(t, before, held)
 	s.Heal()
-	s.reach(number, time.Now(), s.all()...)
+	s.waitForRevision(number, time.Now(), s.all()...)
 	number, at = s.apply(alone, 20)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 }
 
-// An instance that hears the others and is not heard, and one that is heard and does not hear.
-func testCutOneWay(t *testing.T) {
-	s := join(t, 3, 4)
+// Partitions in one direction: an instance that receives but whose messages are lost, and one that sends but receives
+// nothing.
+func testPartitionOneWay(t *testing.T) {
+	s := startCluster(t, 3, 4)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
-	for i, name := range []string{"f1", "o2", "o0", "o1", s.leader("f2")} {
+	s.waitForRevision(number, at, s.all()...)
+	for i, name := range []string{"f1", "o2", "o0", "o1", s.waitForLeader("f2")} {
 		s.CutOutgoing(name)
 		number, at = s.apply(without(s.origins, name)[0], 10+i)
-		s.reach(number, at, without(s.all(), name)...)
+		s.waitForRevision(number, at, without(s.all(), name)...)
 		s.Heal()
-		s.reach(number, time.Now(), s.all()...)
+		s.waitForRevision(number, time.Now(), s.all()...)
 	}
 	for _, from := range without(s.all(), "f2") {
 		s.Link(from, "f2").Cut(link.Forward)
 	}
 	number, at = s.apply("o1", 30)
-	s.reach(number, at, without(s.all(), "f2")...)
+	s.waitForRevision(number, at, without(s.all(), "f2")...)
 	s.Heal()
-	s.reach(number, time.Now(), s.all()...)
+	s.waitForRevision(number, time.Now(), s.all()...)
 }
 
-// Whoever comes back from nothing gets all of it; an origin among them votes only on what it was told again.
-func testRestartFromNothing(t *testing.T) {
-	s := join(t, 3, 3)
+// An instance that restarts with an empty state receives the whole document. An origin votes only after the other
+// origins have told it what it may have voted on.
+func testRestartWithEmptyState(t *testing.T) {
+	s := startCluster(t, 3, 3)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 	for _, name := range []string{"f0", "o1"} {
 		s.Kill(name)
 		require.NoError(t, s.WipeState(name))
 		s.mu.Lock()
-		s.highest[name] = 0 // it has forgotten
+		s.highestSeen[name] = 0 // its state is empty now
 		s.mu.Unlock()
 		number, at = s.apply("o0", 10)
-		s.reach(number, at, without(s.all(), name)...)
+		s.waitForRevision(number, at, without(s.all(), name)...)
 		require.NoError(t, s.Restart(name))
-		s.reach(number, time.Now(), s.all()...)
+		s.waitForRevision(number, time.Now(), s.all()...)
 	}
-	require.Eventually(t, func() bool { return s.instance("o1").GetVoting() }, patience, 50*time.Millisecond)
-	s.Kill("o0") // the one that came back is needed now
+	require.Eventually(t, func() bool { return s.instanceStatus("o1").GetVoting() }, waitTimeout, 50*time.Millisecond)
+	s.Kill("o0") // the majority now needs the origin that restarted
 	number, at = s.apply("o1", 20)
-	s.reach(number, at, without(s.all(), "o0")...)
+	s.waitForRevision(number, at, without(s.all(), "o0")...)
 }
 
-// Frames that come twice, out of order and once more much later change nothing but the count of what was dropped.
-func testDoubledReorderedAndOld(t *testing.T) {
-	s := join(t, 3, 4)
+// Frames that arrive twice, out of order or again much later do not affect the outcome.
+func testDuplicatedReorderedAndReplayedFrames(t *testing.T) {
+	s := startCluster(t, 3, 4)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 	s.SetFrameFaults(link.FrameFaults{Duplicate: 0.3, Reorder: 0.3, Replay: 0.3})
 	for i := range 10 {
 		number, at = s.apply(s.origins[i%3], 10+i)
-		s.reach(number, at, s.all()...)
+		s.waitForRevision(number, at, s.all()...)
 	}
 	s.Heal()
 	number, at = s.apply("o0", 50)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 }
 
-// A change that comes while a process is being replaced is in force at both, and an instance goes on under its name.
+// A change during the replacement of a process comes into force in both processes, and the instance continues under its
+// name.
 func testChangeDuringReplacement(t *testing.T) {
-	s := join(t, 1, 3)
+	s := startCluster(t, 1, 3)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 	for i, name := range []string{"f0", "o0"} {
-		old, err := s.Replace(name) // from now on the control API answers for the second one
+		old, err := s.Replace(name) // from now on the control API is that of the second process
 		require.NoError(t, err)
-		if name != "o0" { // the first process of the origin makes the revisions, and its API is gone
+		if name != "o0" { // the first process of the origin still creates the revisions, but its API is gone
 			number, at = s.apply("o0", 10+i)
-			s.reach(number, at, s.all()...)
+			s.waitForRevision(number, at, s.all()...)
 		}
 		require.NoError(t, s.Terminate(old))
 		number, at = s.apply("o0", 20+i)
-		s.reach(number, at, s.all()...)
+		s.waitForRevision(number, at, s.all()...)
 	}
 }
 
-// Several processes of a zone are killed at once, an origin among them: the rest goes on, and they catch up.
+// All instances of a zone, including the leading origin, are killed at once. The others continue, and the killed ones
+// catch up after their restart.
 func testZoneKilled(t *testing.T) {
-	s := join(t, 3, 5)
+	s := startCluster(t, 3, 5)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
-	zone := []string{s.leader("f1"), "f0", "f3"}
+	s.waitForRevision(number, at, s.all()...)
+	zone := []string{s.waitForLeader("f1"), "f0", "f3"}
 	s.Kill(zone...)
 	for i := range 3 {
 		number, at = s.apply(without(s.origins, zone...)[0], 10+i)
-		s.reach(number, at, without(s.all(), zone...)...)
+		s.waitForRevision(number, at, without(s.all(), zone...)...)
 	}
 	require.NoError(t, s.Restart(zone...))
-	s.reach(number, time.Now(), s.all()...)
+	s.waitForRevision(number, time.Now(), s.all()...)
 }
 
-// A snapshot that comes piece by piece over a link that is reset between the pieces is in force whole, or not at all.
-func testHalfArrived(t *testing.T) {
-	s := join(t, 1, 2)
+// A snapshot whose transfer is interrupted between two chunks comes into force as a whole or not at all.
+func testInterruptedSnapshotTransfer(t *testing.T) {
+	s := startCluster(t, 1, 2)
 	number, at := s.apply("o0", 1)
-	s.reach(number, at, s.all()...)
+	s.waitForRevision(number, at, s.all()...)
 	for i := range 3 {
 		s.Kill("f0")
 		require.NoError(t, s.WipeState("f0"))
 		s.mu.Lock()
-		s.highest["f0"] = 0 // it has forgotten
+		s.highestSeen["f0"] = 0 // its state is empty now
 		s.mu.Unlock()
 		number, at = s.apply("o0", 10+i)
-		s.reach(number, at, "o0", "f1")
-		came := s.Link("o0", "f0").Bytes(link.Forward)
+		s.waitForRevision(number, at, "o0", "f1")
+		received := s.Link("o0", "f0").Bytes(link.Forward)
 		s.Link("o0", "f0").Delay(100*time.Millisecond, link.Forward)
 		require.NoError(t, s.Restart("f0"))
-		require.Eventually(t, func() bool { return s.Link("o0", "f0").Bytes(link.Forward) > came+configlog.ChunkBytes },
-			patience, time.Millisecond)
-		held, ok := s.holds("f0")
+		require.Eventually(t, func() bool {
+			return s.Link("o0", "f0").Bytes(link.Forward) > received+configlog.ChunkBytes
+		}, waitTimeout, time.Millisecond)
+		held, ok := s.revisionAt("f0")
 		require.True(t, ok)
-		require.Zero(t, held, "a part of it has come")
+		require.Zero(t, held, "only a part of the snapshot has arrived")
 		s.Link("o0", "f0").Reset()
 		s.Link("o0", "f0").Heal()
-		s.reach(number, time.Now(), s.all()...)
+		s.waitForRevision(number, time.Now(), s.all()...)
 	}
 }
--- a/cmd/topazfall-agent/main.go
+++ b/cmd/topazfall-agent/main.go
@@ -1,5 +1,5 @@
-// Command topazfall-agent is the dispatcher with what other installations switch on: the control API, and DNS SRV as a
-// source of hosts. "topazfall agent" starts it.
+// Command topazfall-agent runs a dispatcher (load balancer) with the control API, and with DNS SRV records as a source
+// of hosts (workers). "topazfall agent" starts it.
 package main
 
 import (
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,5 @@
-// Package agent is what other installations add to a dispatcher: settings by an API call, and DNS as a source of hosts.
+// Package agent extends a dispatcher (the load balancer of one instance) with settings that change by API call, and
+// with DNS as a source of hosts (workers as the network code knows them).
 package agent
 
 import (
@@ -29,45 +30,46 @@
 )
 
 const (
-	kind      = "hosts"
-	saveEvery = 2 * time.Second // at most, where something has changed
+	snapshotKind = "hosts"         // in the head line of the snapshot
+	saveInterval = 2 * time.Second // shortest time between two saves of changed hosts
 )
 
-// Options say where the agent is found, and what it keeps.
+// Options configures an Agent.
 type Options struct {
-	Control string // unix:/absolute/path
+	Control string // address of the control API, unix:/absolute/path
 	State   string // folder of the snapshots
-	// Roster is who shares the settings; nil for an instance that has them for itself. Its name is the dispatcher's.
+	// Roster lists the instances that share the settings; nil for an instance that does not share them. The instance's
+	// name on the roster is the name of the dispatcher.
 	Roster *configsync.Roster
-	// Bootstrap says that the installation is new, so that an origin with an empty folder has forgotten nothing.
+	// Bootstrap is set for a new installation: an origin with an empty state folder has lost no state and may vote.
 	Bootstrap bool
 }
 
-// Agent is an extension of a dispatcher.
+// Agent is the extension of a dispatcher that instance.Run starts and closes.
 type Agent struct {
-	o      Options
-	parts  instance.Dependencies
-	list   *hostlist.List
-	source *srv.Source
-	store  *settings.Store
-	server *control.Server
-	shared *installation // nil without a roster
-	stop   context.CancelFunc
-	asked  *pb.Sources // as last configured; that goroutine's own
-	wait   sync.WaitGroup
+	options           Options
+	dependencies      instance.Dependencies
+	hostList          *hostlist.List
+	dnsSource         *srv.Source
+	store             *settings.Store
+	server            *control.Server
+	installation      *installation // nil without a roster
+	cancel            context.CancelFunc
+	configuredSources *pb.Sources // as last configured; used by Start and then by followSettings only
+	wg                sync.WaitGroup
 
-	mu    sync.Mutex
-	names []string
-	saved string
+	mu         sync.Mutex
+	srvNames   []string
+	savedHosts string
 }
 
-// New returns an agent; instance.Run starts it.
-func New(o Options) *Agent { return &Agent{o: o} }
+// New returns an agent, which instance.Run starts.
+func New(o Options) *Agent { return &Agent{options: o} }
 
-// Start opens what is saved, follows it, and serves the control API.
+// Start loads and applies the saved settings and hosts, follows new revisions, and serves the control API.
 func (a *Agent) Start(p instance.Dependencies) error {
-	a.parts = p
-	store, fault, err := settings.Open(a.o.State)
+	a.dependencies = p
+	store, fault, err := settings.Open(a.options.State)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -75,101 +77,101 @@
 		slog.Error("settings", "state", "older", "error", fault)
 	}
 	a.store = store
-	if err := a.join(); err != nil {
+	if err := a.joinInstallation(); err != nil {
 		store.Close()
 		return err
 	}
-	a.list = hostlist.New(p.Core)
-	a.source = srv.New(a.list)
-	now, readOnly := store.Current()
+	a.hostList = hostlist.New(p.Core)
+	a.dnsSource = srv.New(a.hostList)
+	current, readOnly := store.Current()
 	if readOnly != "" {
 		slog.Warn("settings", "state", "read-only", "reason", readOnly)
 	}
-	a.configure(now)
-	a.remember()
-	var ln net.Listener
-	if ln, err = control.Listen(a.o.Control); err != nil {
+	a.configure(current)
+	a.restoreHosts()
+	var listener net.Listener
+	if listener, err = control.Listen(a.options.Control); err != nil {
 		store.Close()
-		a.source.Close()
+		a.dnsSource.Close()
 		return err
 	}
-	served := control.Options{Store: store, Hosts: a.list}
-	if a.shared != nil {
-		served.Installation = a.shared
+	serverOptions := control.Options{Store: store, Hosts: a.hostList}
+	if a.installation != nil {
+		serverOptions.Installation = a.installation
 	}
-	a.server = control.Serve(ln, served)
-	slog.Info("control", "listen", a.o.Control, "revision", now.Number)
-	ctx, stop := context.WithCancel(context.Background())
-	a.stop = stop
-	a.wait.Go(func() { a.follow(ctx, now.Number) })
-	a.wait.Go(func() { a.keep(ctx) })
-	if a.shared != nil {
-		a.wait.Go(func() { a.share(ctx) })
+	a.server = control.Serve(listener, serverOptions)
+	slog.Info("control", "listen", a.options.Control, "revision", current.Number)
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	a.wg.Go(func() { a.followSettings(ctx, current.Number) })
+	a.wg.Go(func() { a.saveHostsPeriodically(ctx) })
+	if a.installation != nil {
+		a.wg.Go(func() { a.runInstallation(ctx) })
 	}
 	return nil
 }
 
-// join makes this instance one of those on the roster, if there is one.
-func (a *Agent) join() error {
-	if a.o.Roster == nil {
+// joinInstallation makes this instance a member of the installation, if there is a roster.
+func (a *Agent) joinInstallation() error {
+	if a.options.Roster == nil {
 		return nil
 	}
-	i := &installation{roster: a.o.Roster, store: a.store}
+	i := &installation{roster: a.options.Roster, store: a.store}
 	var err error
-	i.sync, err = configsync.New(configsync.Options{Name: a.parts.Config.Name, Roster: a.o.Roster, State: a.o.State,
-		Bootstrap: a.o.Bootstrap, Target: i})
+	i.sync, err = configsync.New(configsync.Options{Name: a.dependencies.Config.Name, Roster: a.options.Roster,
+		State: a.options.State, Bootstrap: a.options.Bootstrap, Target: i})
 	if err != nil {
 		return err
 	}
 	a.store.SetManaged()
-	a.shared = i
-	a.parts.Metrics.AddWriter(i.sync.WriteMetrics)
+	a.installation = i
+	a.dependencies.Metrics.AddWriter(i.sync.WriteMetrics)
 	return nil
 }
 
-// share takes part in the installation once no other process of this instance does, until the end. A process that is
-// about to replace another follows what that one saves.
-func (a *Agent) share(ctx context.Context) {
+// runInstallation participates in the installation until the context ends. It starts once no other process of this
+// instance participates: until then, a process that is to replace another one follows what that one saves.
+func (a *Agent) runInstallation(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-a.store.LockAcquired():
 	}
-	a.shared.sync.Start()
+	a.installation.sync.Start()
 	<-ctx.Done()
-	a.shared.sync.Close()
+	a.installation.sync.Close()
 }
 
-// Descriptors are those that the connections to other instances need.
+// Descriptors returns how many file descriptors the connections to other instances need.
 func (a *Agent) Descriptors(name string) int {
-	if a.o.Roster == nil {
+	if a.options.Roster == nil {
 		return 0
 	}
-	return configsync.Descriptors(a.o.Roster, name)
+	return configsync.Descriptors(a.options.Roster, name)
 }
 
-// ApplyList takes the inventory's news.
+// ApplyList applies a list or a change of the list from discovery.
 func (a *Agent) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
-	a.list.ApplyList(kind, entries)
+	a.hostList.ApplyList(kind, entries)
 }
 
-// Close ends it, and lets another process have what it keeps.
+// Close stops the agent, saves the hosts and releases the state folder for another process.
 func (a *Agent) Close() {
-	a.stop()
+	a.cancel()
 	a.server.Close()
-	a.source.Close()
-	a.wait.Wait()
-	a.save()
-	a.list.Close()
+	a.dnsSource.Close()
+	a.wg.Wait()
+	a.saveHosts()
+	a.hostList.Close()
 	a.store.Close()
 }
 
-// follow brings each revision into force.
-func (a *Agent) follow(ctx context.Context, last uint64) {
+// followSettings applies each revision.
+func (a *Agent) followSettings(ctx context.Context, last uint64) {
 	for {
 		r, err := a.store.NextAfter(ctx, last)
 		if err != nil && ctx.Err() == nil {
-			r, _ = a.store.Current() // some were left out: the last is what counts
+			r, _ = a.store.Current() // revisions are missing in between: continue with the last one
 		} else if err != nil {
 			return
 		}
@@ -179,31 +181,32 @@
 	}
 }
 
+// configure applies the settings of a revision.
 func (a *Agent) configure(r *pb.Revision) {
-	e := settings.Effective(r.Settings)
-	knobs, set := settings.MergeSettings(e)
+	effective := settings.Effective(r.Settings)
+	mergeSettings, nameSettings := settings.MergeSettings(effective)
 	var names []string
-	for name := range set {
+	for name := range nameSettings {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	a.mu.Lock()
-	a.names = names
+	a.srvNames = names
 	a.mu.Unlock()
-	a.parts.SetTenants(settings.Tenants(e))
-	a.parts.Hosts.SetAddressLimits(settings.AddressLimits(e))
-	if proto.Equal(a.asked, e.Sources) { // to ask anew for what has not changed would cost the resolvers
+	a.dependencies.SetTenants(settings.Tenants(effective))
+	a.dependencies.Hosts.SetAddressLimits(settings.AddressLimits(effective))
+	if proto.Equal(a.configuredSources, effective.Sources) { // avoids querying unchanged names again
 		return
 	}
-	a.asked = e.Sources
-	a.list.Configure(knobs, set)
-	s := e.Sources
-	a.source.Configure(srv.Options{Resolvers: s.Resolvers, Timeout: s.Timeout.AsDuration(),
+	a.configuredSources = effective.Sources
+	a.hostList.Configure(mergeSettings, nameSettings)
+	s := effective.Sources
+	a.dnsSource.Configure(srv.Options{Resolvers: s.Resolvers, Timeout: s.Timeout.AsDuration(),
 		MinLifetime: s.LeastLifetime.AsDuration(), MaxLifetime: s.MostLifetime.AsDuration()}, names)
 }
 
-// record is a record as it is saved.
-type record struct {
+// savedRecord is the saved form of an SRV record with its addresses.
+type savedRecord struct {
 	Target    string   `json:"target"`
 	Port      uint16   `json:"port"`
 	Priority  uint16   `json:"priority"`
@@ -211,19 +214,19 @@
 	Addresses []string `json:"addresses"`
 }
 
-func (a *Agent) path() string { return filepath.Join(a.o.State, "hosts.snapshot") }
+func (a *Agent) hostsPath() string { return filepath.Join(a.options.State, "hosts.snapshot") }
 
-// remember takes the hosts that were known before.
-func (a *Agent) remember() {
-	body, fault, err := snapshot.Read(a.path(), kind)
+// restoreHosts restores the hosts that an earlier process saved.
+func (a *Agent) restoreHosts() {
+	body, fault, err := snapshot.Read(a.hostsPath(), snapshotKind)
 	if err != nil || fault != nil {
 		slog.Error("sources", "state", "older", "fault", fault, "error", err)
 	}
-	var saved map[string][]record
+	var saved map[string][]savedRecord
 	if body == nil || jsoniter.Unmarshal(body, &saved) != nil {
 		return
 	}
-	for _, name := range a.names {
+	for _, name := range a.srvNames {
 		var records []sources.Record
 		for _, r := range saved[name] {
 			list, _ := addresses.ParseList(r.Addresses)
@@ -232,47 +235,48 @@
 		}
 		if len(records) > 0 {
 			slog.Warn("sources", "name", name, "state", "old", "hosts", len(records))
-			a.list.RestoreRecords(name, records)
+			a.hostList.RestoreRecords(name, records)
 		}
 	}
 }
 
-// keep saves the hosts that DNS names, when they have changed.
-func (a *Agent) keep(ctx context.Context) {
+// saveHostsPeriodically saves the hosts that DNS lists, if they have changed, every saveInterval.
+func (a *Agent) saveHostsPeriodically(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(saveEvery):
+		case <-time.After(saveInterval):
 		}
-		a.save()
+		a.saveHosts()
 	}
 }
 
-func (a *Agent) save() {
-	if _, readOnly := a.store.Current(); readOnly != "" { // another process keeps them
+// saveHosts saves the hosts that DNS lists, if they have changed since the last save.
+func (a *Agent) saveHosts() {
+	if _, readOnly := a.store.Current(); readOnly != "" { // another process owns the folder
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	saved := map[string][]record{}
-	for _, name := range a.names {
-		for _, r := range a.list.KnownRecords(name) {
+	saved := map[string][]savedRecord{}
+	for _, name := range a.srvNames {
+		for _, r := range a.hostList.KnownRecords(name) {
 			texts := make([]string, len(r.Addresses))
-			for i, one := range r.Addresses {
-				texts[i] = one.String()
+			for i, address := range r.Addresses {
+				texts[i] = address.String()
 			}
-			saved[name] = append(saved[name], record{r.Target, r.Port, r.Priority, r.Weight, texts})
+			saved[name] = append(saved[name], savedRecord{r.Target, r.Port, r.Priority, r.Weight, texts})
 		}
 	}
-	api := jsoniter.ConfigCompatibleWithStandardLibrary // keys in order
+	api := jsoniter.ConfigCompatibleWithStandardLibrary // sorts the keys
 	body, err := api.Marshal(saved)
-	if err != nil || string(body) == a.saved || len(saved) == 0 && a.saved == "" {
+	if err != nil || string(body) == a.savedHosts || len(saved) == 0 && a.savedHosts == "" {
 		return
 	}
-	if err := snapshot.Write(a.path(), kind, body); err != nil {
+	if err := snapshot.Write(a.hostsPath(), snapshotKind, body); err != nil {
 		slog.Error("sources", "state", "unsaved", "error", err)
 		return
 	}
-	a.saved = string(body)
+	a.savedHosts = string(body)
 }
--- a/internal/agent/installation.go
+++ b/internal/agent/installation.go
@@ -18,28 +18,28 @@
 	"topazfall/internal/settings"
 )
 
-// appliedKey is the entry that says when a revision was asked for: no two are the same, so that a document that changes
-// nothing is a revision too.
+// appliedKey is the entry with the time at which a revision was requested. It makes every change unique, so that
+// applying an unchanged document creates a revision too.
 const appliedKey = "applied"
 
-// localTime bounds the wait for a committed revision to come into force at the origin that has answered for it.
-const localTime = 2 * time.Second
+// localApplyTimeout limits the wait until a committed revision is in force at the origin that applied it.
+const localApplyTimeout = 2 * time.Second
 
-// Where nothing was done, as while the origins have no leader, an Apply is tried again at these times: elections take
-// about as long.
+// An Apply that had no effect, for example because the origins have no leader, is retried for this period and at this
+// interval. An election takes about as long as the period.
 const (
-	againWithin = 3 * time.Second
-	againEvery  = 100 * time.Millisecond
+	applyRetryPeriod   = 3 * time.Second
+	applyRetryInterval = 100 * time.Millisecond
 )
 
-// installation is an instance's place among those that share their settings.
+// installation is an instance's membership in the installation that shares its settings.
 type installation struct {
 	sync   *configsync.Sync
 	roster *configsync.Roster
 	store  *settings.Store
 }
 
-// Take brings a committed revision into force here.
+// ApplyRevision applies a committed revision at this instance.
 func (i *installation) ApplyRevision(r configlog.Revision, entries map[string][]byte) (since time.Time, err error) {
 	doc, err := settings.FromEntries(entries)
 	if err != nil {
@@ -48,28 +48,28 @@
 	return i.store.ApplyManaged(revisionOf(r, doc))
 }
 
-// revisionOf is a revision of the log as the store has it.
+// revisionOf converts a revision of the log to one of the store.
 func revisionOf(r configlog.Revision, doc *pb.Settings) *pb.Revision {
 	return &pb.Revision{Number: r.Number, Epoch: r.Epoch.String(), Settings: doc, Taken: timestamppb.Now()}
 }
 
-// Apply has the origins make a revision, and answers when it is committed.
+// Apply has the origins create a revision, and returns when it is committed.
 func (i *installation) Apply(ctx context.Context, doc *pb.Settings, from uint64) (*pb.Revision, error) {
 	if !i.sync.IsOrigin() {
 		return nil, control.NotOriginError{Origins: i.roster.Origins()}
 	}
-	entries, err := changed(doc, time.Now())
+	entries, err := entriesOf(doc, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	result, err := i.applyPatiently(ctx, from, entries)
+	result, err := i.applyWithRetry(ctx, from, entries)
 	if err != nil {
 		return nil, err
 	}
 	switch result.Outcome {
 	case configlog.Committed:
 		r := revisionOf(result.Revision, doc)
-		i.waitFor(ctx, r.Number)
+		i.waitUntilInForce(ctx, r.Number)
 		return r, nil
 	case configlog.Stale:
 		return nil, settings.StaleError{From: from, InForce: result.Revision.Number}
@@ -82,12 +82,12 @@
 	return nil, fmt.Errorf("nothing was done: %s", result.Outcome)
 }
 
-// applyPatiently tries again as long as nothing was done.
-func (i *installation) applyPatiently(ctx context.Context, from uint64,
+// applyWithRetry retries for applyRetryPeriod while the outcome is that nothing was done.
+func (i *installation) applyWithRetry(ctx context.Context, from uint64,
 	entries map[string][]byte) (configlog.Result, error) {
-	for end := time.Now().Add(againWithin); ; {
+	for deadline := time.Now().Add(applyRetryPeriod); ; {
 		result, err := i.sync.Apply(ctx, from, entries)
-		if err != nil || time.Now().After(end) {
+		if err != nil || time.Now().After(deadline) {
 			return result, err
 		}
 		switch result.Outcome {
@@ -98,28 +98,30 @@
 		select {
 		case <-ctx.Done():
 			return result, nil
-		case <-time.After(againEvery):
+		case <-time.After(applyRetryInterval):
 		}
 	}
 }
 
-// waitFor waits until a revision, or a newer one, is in force here, so that whoever was told of it finds it.
-func (i *installation) waitFor(ctx context.Context, number uint64) {
-	ctx, cancel := context.WithTimeout(ctx, localTime)
+// waitUntilInForce waits until the revision or a newer one is in force here, so that a caller who gets a revision's
+// number back finds it in force.
+func (i *installation) waitUntilInForce(ctx context.Context, number uint64) {
+	ctx, cancel := context.WithTimeout(ctx, localApplyTimeout)
 	defer cancel()
 	for {
-		now, _ := i.store.Current()
-		if now.Number >= number {
+		current, _ := i.store.Current()
+		if current.Number >= number {
 			return
 		}
-		if _, err := i.store.NextAfter(ctx, now.Number); err != nil {
+		if _, err := i.store.NextAfter(ctx, current.Number); err != nil {
 			return
 		}
 	}
 }
 
-// changed returns the entries of a document. Its errors are settings.Faults, and that of the encoding.
-func changed(doc *pb.Settings, now time.Time) (map[string][]byte, error) {
+// entriesOf returns the entries of a document, with the time in appliedKey. Its errors are settings.Faults and encoding
+// errors.
+func entriesOf(doc *pb.Settings, now time.Time) (map[string][]byte, error) {
 	if faults := settings.Check(doc); len(faults) > 0 {
 		return nil, faults
 	}
@@ -142,49 +144,52 @@
 	return entries, err
 }
 
-// Instances asks every instance what it holds.
+// Instances requests the status of every instance on the roster.
 func (i *installation) Instances(ctx context.Context) *pb.InstancesResponse {
-	answers := i.sync.StatusAll(ctx)
+	statuses := i.sync.StatusAll(ctx)
 	out := &pb.InstancesResponse{}
 	var since int64
-	for _, a := range answers {
-		s := a.Status
-		if s == nil || s.Revision < out.Newest {
+	for _, a := range statuses {
+		status := a.Status
+		if status == nil || status.Revision < out.Newest {
 			continue
 		}
-		if s.Revision > out.Newest || since == 0 || s.SinceUs < since {
-			out.Newest, since = s.Revision, s.SinceUs
+		if status.Revision > out.Newest || since == 0 || status.SinceUs < since {
+			out.Newest, since = status.Revision, status.SinceUs
 		}
 	}
 	if since > 0 {
 		out.NewestSince = timestamppb.New(time.UnixMicro(since))
 	}
-	for _, a := range answers {
+	for _, a := range statuses {
 		out.Instances = append(out.Instances, instanceOf(a, out.Newest, since))
 	}
 	return out
 }
 
+// instanceOf converts the status of an instance. newest is the newest revision that any instance holds, and newestSince
+// the time in microseconds since which it is in force somewhere.
 func instanceOf(a configsync.InstanceStatus, newest uint64, newestSince int64) *pb.Instance {
-	one := &pb.Instance{Name: a.Member.Name, Region: a.Member.Region, Zone: a.Member.Zone, Role: a.Member.Role}
-	if one.Role == "" {
-		one.Role = "follower"
+	instance := &pb.Instance{Name: a.Member.Name, Region: a.Member.Region, Zone: a.Member.Zone, Role: a.Member.Role}
+	if instance.Role == "" {
+		instance.Role = "follower"
 	}
 	if a.Status == nil {
-		one.Fault = a.Err.Error()
-		return one
+		instance.Fault = a.Err.Error()
+		return instance
 	}
-	s := a.Status
-	one.Answered, one.Revision, one.Leader, one.Sources, one.Fault = true, s.Revision, s.Leader, s.Sources, s.Fault
-	one.Voting = s.Voting
-	if s.SinceUs > 0 {
-		one.Since = timestamppb.New(time.UnixMicro(s.SinceUs))
+	status := a.Status
+	instance.Answered, instance.Revision, instance.Leader = true, status.Revision, status.Leader
+	instance.Sources, instance.Fault = status.Sources, status.Fault
+	instance.Voting = status.Voting
+	if status.SinceUs > 0 {
+		instance.Since = timestamppb.New(time.UnixMicro(status.SinceUs))
 	}
-	if s.SilentUs >= 0 {
-		one.Silent = durationpb.New(time.Duration(s.SilentUs) * time.Microsecond)
+	if status.SilentUs >= 0 {
+		instance.Silent = durationpb.New(time.Duration(status.SilentUs) * time.Microsecond)
 	}
-	if one.Behind = newest - s.Revision; one.Behind > 0 && newestSince > 0 {
-		one.BehindFor = durationpb.New(max(time.Since(time.UnixMicro(newestSince)), 0))
+	if instance.Behind = newest - status.Revision; instance.Behind > 0 && newestSince > 0 {
+		instance.BehindFor = durationpb.New(max(time.Since(time.UnixMicro(newestSince)), 0))
 	}
-	return one
+	return instance
 }
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -1,10 +1,11 @@
-// Package configsync keeps the settings of all instances of an installation the same: it is the I/O round
-// internal/decide/configlog. It carries the log's messages between the instances on a roster, keeps what an
-// instance must not forget, and brings each committed revision into force.
+// Package configsync replicates the settings to all instances of an installation. It does the I/O for
+// internal/decide/configlog: it carries the log's messages between the instances on a roster, saves the state that an
+// instance must keep across restarts, and applies each committed revision.
 //
-// For each instance that this one has something to say to there is one connection, which is made when it is needed and
-// carries messages one way. Frames are bounded and checked whole; what is not as it should be is dropped and counted.
-// Nothing is encrypted or signed: connections stay on the machine or in a network that the roster calls trusted.
+// An instance opens one connection to each instance that it has messages for, when the first message is sent. A
+// connection carries log messages in one direction. Frames have a size limit and are validated as a whole; invalid
+// input is dropped and counted. Nothing is encrypted or signed: connections stay on the machine or in a network that
+// the roster declares as trusted.
 package configsync
 
 import (
@@ -24,112 +25,112 @@
 )
 
 const (
-	tickPeriod  = configlog.MaxTickInterval * time.Microsecond / 2
-	eventsMost  = 256             // that wait for the goroutine that owns the log: 16 MB of messages at most
-	againTime   = 5 * time.Second // after a fault of the disk or the address
-	applySlack  = time.Second     // beyond the log's own limit for an Apply
-	spareLinks  = 16              // for status requests and substitutes
-	statusAsked = 16              // instances that are asked at a time
-
-	spareDescriptors = 4 // of the listener, and of a file that is saved, its folder and the one before
+	tickInterval       = configlog.MaxTickInterval * time.Microsecond / 2
+	maxPendingEvents   = 256             // queued for the goroutine that owns the log: at most 16 MB of messages
+	retryInterval      = 5 * time.Second // between attempts after a disk or listen error
+	applyTimeoutMargin = time.Second     // beyond the log's own timeout of an Apply
+	spareConnections   = 16              // for status requests and for fallback parents
+	maxStatusRequests  = 16              // status requests in flight at a time
+
+	spareDescriptors = 4 // for the listener, and for a file being saved, its folder and its previous version
 )
 
-// Target is where committed revisions come into force. Take is called from one goroutine, each time with a newer
-// one than before: not with all of them where they follow each other faster than it returns, and again with the
-// same after a restart or an error. It returns since when the revision is in force here, or why it cannot be
-// brought into force.
+// Target applies committed revisions. ApplyRevision is called from one goroutine, with increasing revision numbers.
+// Revisions are skipped if they are committed faster than ApplyRevision returns, and a revision is repeated after a
+// restart or an error. ApplyRevision returns the time since which the revision is in force here, or why it cannot be
+// applied.
 type Target interface {
 	ApplyRevision(revision configlog.Revision, entries map[string][]byte) (since time.Time, err error)
 }
 
-// Options say what an instance is started with.
+// Options configures an instance.
 type Options struct {
-	Name   string // on the roster
+	Name   string // the instance's name on the roster
 	Roster *Roster
-	State  string // folder that no other process uses
-	// Bootstrap says that the installation is new: an origin whose folder is empty has forgotten nothing.
+	State  string // state folder, which no other process may use at the same time
+	// Bootstrap is set for a new installation: an origin with an empty state folder has lost no state and may vote.
 	Bootstrap bool
 	Target    Target
-	Timing    configlog.Timing // zero for the default
-	FanOut    configlog.FanOut // zero for the default
+	Timing    configlog.Timing // the zero value selects the default
+	FanOut    configlog.FanOut // the zero value selects the default
 }
 
-// Sync is one instance's part in it.
+// Sync is one instance's participant in the replication.
 type Sync struct {
-	options  Options
-	me       Member
-	members  map[string]Member
-	storage  storage
-	enforcer *enforcer
-	counts   *counts
-	began    time.Time
-	events   chan func(*session)
-	context  context.Context
-	stop     context.CancelFunc
-	wait     sync.WaitGroup
-	running  atomic.Bool // a session takes events
-	lastID   atomic.Uint64
+	options   Options
+	self      Member
+	members   map[string]Member
+	storage   storage
+	applier   *applier
+	metrics   *metrics
+	startedAt time.Time
+	events    chan func(*session)
+	context   context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	running   atomic.Bool // a session is handling events
+	lastID    atomic.Uint64
 
 	mu    sync.Mutex
-	fault string // why nothing is followed
+	fault string // why this instance follows no revisions; "" if it does
 }
 
-// ErrClosed says that the instance ends.
-var ErrClosed = errors.New("the instance ends")
+// ErrClosed is returned when the instance is shutting down.
+var ErrClosed = errors.New("the instance is shutting down")
 
-// ErrNotRunning says that the instance does not take part now: another process of it does, or its disk or address
-// cannot be used. Nothing was done.
-var ErrNotRunning = errors.New("this process does not take part now")
+// ErrNotRunning is returned while this process does not participate in the replication: another process of the
+// instance does, or the disk or the listen address cannot be used. Nothing was done.
+var ErrNotRunning = errors.New("this process does not participate in the replication now")
 
-// ErrNotOrigin says that revisions are not made here.
-var ErrNotOrigin = errors.New("this instance follows")
+// ErrNotOrigin is returned by an instance that cannot create revisions because it is not an origin.
+var ErrNotOrigin = errors.New("this instance is not an origin")
 
-// New checks what it is told; its errors wrap ErrRoster.
+// New returns the participant for the instance that the options name; its errors wrap ErrInvalidRoster.
 func New(o Options) (*Sync, error) {
-	me, ok := o.Roster.Member(o.Name)
+	self, ok := o.Roster.Member(o.Name)
 	if !ok {
-		return nil, fmt.Errorf("%w: %.64q is not on it", ErrInvalidRoster, o.Name)
+		return nil, fmt.Errorf("%w: it has no member %.64q", ErrInvalidRoster, o.Name)
 	}
-	s := &Sync{options: o, me: me, members: map[string]Member{}, storage: storage{o.State}, counts: newCounts(),
-		began: time.Now(), fault: "it does not take part yet: another process of this instance does",
-		events: make(chan func(*session), eventsMost)}
-	s.enforcer = newEnforcer(o.Target, s.counts)
+	s := &Sync{options: o, self: self, members: map[string]Member{}, storage: storage{o.State}, metrics: newMetrics(),
+		startedAt: time.Now(), fault: "it does not take part yet: another process of this instance does",
+		events: make(chan func(*session), maxPendingEvents)}
+	s.applier = newApplier(o.Target, s.metrics)
 	for _, m := range o.Roster.Members {
 		s.members[m.Name] = m
 	}
-	s.lastID.Store(rand.Uint64() >> 1) // ids of an earlier start must not be taken for this one's
-	s.counts.silent.Store(-1)
-	s.context, s.stop = context.WithCancel(context.Background())
+	s.lastID.Store(rand.Uint64() >> 1) // so that IDs of an earlier start are not mistaken for IDs of this one
+	s.metrics.leaderSilence.Store(-1)
+	s.context, s.cancel = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Start begins to follow, or to take part in making revisions.
-func (s *Sync) Start() { s.wait.Go(s.run) }
+// Start starts following revisions and, at an origin, participating in creating them.
+func (s *Sync) Start() { s.wg.Go(s.run) }
 
-// Close ends it and returns when nothing of it runs any more.
+// Close stops the instance and waits until all its goroutines have ended.
 func (s *Sync) Close() {
-	s.stop()
-	s.wait.Wait()
+	s.cancel()
+	s.wg.Wait()
 }
 
-// IsOrigin tells whether revisions are made here.
-func (s *Sync) IsOrigin() bool { return roles[s.me.Role] == configlog.Origin }
+// IsOrigin reports whether this instance can create revisions.
+func (s *Sync) IsOrigin() bool { return roles[s.self.Role] == configlog.Origin }
 
-// WriteMetrics writes the figures in the text exposition format.
-func (s *Sync) WriteMetrics(w io.Writer) { s.counts.write(w) }
+// WriteMetrics writes the metrics in the text exposition format.
+func (s *Sync) WriteMetrics(w io.Writer) { s.metrics.write(w) }
 
-// run runs sessions: one lasts until the end, or until its disk fails.
+// run runs one session after another. A session lasts until the context ends or until it fails, as on a disk error.
 func (s *Sync) run() {
 	for s.context.Err() == nil {
-		err := s.session()
+		err := s.runSession()
 		if s.context.Err() != nil {
 			return
 		}
-		slog.Error("configsync", "state", "stopped", "again_in", againTime, "error", err)
+		slog.Error("configsync", "state", "stopped", "again_in", retryInterval, "error", err)
 		s.setFault(err.Error())
 		select {
 		case <-s.context.Done():
-		case <-time.After(againTime):
+		case <-time.After(retryInterval):
 		}
 	}
 }
@@ -140,14 +141,14 @@
 	s.fault = text
 }
 
-func (s *Sync) nowFault() string {
+func (s *Sync) currentFault() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault
 }
 
-// session goes on from what is saved.
-func (s *Sync) session() error {
+// runSession loads the saved state and runs a session with it.
+func (s *Sync) runSession() error {
 	saved, fault, err := s.storage.load()
 	if err != nil {
 		return err
@@ -155,13 +156,14 @@
 	if fault != nil {
 		slog.Error("configsync", "state", "forgotten", "error", fault)
 	}
-	first := s.options.Bootstrap && fault == nil && saved.Document == nil && !saved.Vote.CanVote
-	if first && s.IsOrigin() {
-		slog.Warn("configsync", "state", "bootstrap", "name", s.me.Name)
+	bootstrap := s.options.Bootstrap && fault == nil && saved.Document == nil && !saved.Vote.CanVote
+	if bootstrap && s.IsOrigin() {
+		slog.Warn("configsync", "state", "bootstrap", "name", s.self.Name)
 	}
-	node, err := configlog.New(configlog.Options{Node: configlog.NodeID(s.me.Name), Roster: s.options.Roster.members(),
-		Timing: s.options.Timing, FanOut: s.options.FanOut, Seed: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
-		Bootstrap: first, OnDrop: s.counts.dropLog}, saved)
+	node, err := configlog.New(configlog.Options{Node: configlog.NodeID(s.self.Name),
+		Roster: s.options.Roster.logRoster(), Timing: s.options.Timing, FanOut: s.options.FanOut,
+		Seed: rand.Uint64(), Incarnation: uint64(time.Now().UnixNano()),
+		Bootstrap: bootstrap, OnDrop: s.metrics.dropLogMessage}, saved)
 	if err != nil {
 		return err
 	}
@@ -169,65 +171,68 @@
 	if err != nil {
 		return err
 	}
-	listener, err := listen(s.me.Address)
+	listener, err := listen(s.self.Address)
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(s.context)
-	run := &session{Sync: s, context: ctx, node: node, outgoing: map[configlog.NodeID]*outgoing{},
-		applies: map[uint64]pendingApply{}}
-	in := &incoming{me: s.me, roster: s.options.Roster, members: s.members, counts: s.counts,
-		listener: listener, hello: hello, most: mostConnections(s.options.Roster, s.me.Name, s.options.FanOut),
-		handle: run.handle, status: s.Status, open: map[net.Conn]bool{}, from: map[string]net.Conn{}}
-	s.wait.Go(func() { in.run(ctx) })
-	slog.Info("configsync", "state", "started", "name", s.me.Name, "listen", s.me.Address, "role", s.role(),
+	ctx, cancel := context.WithCancel(s.context)
+	current := &session{Sync: s, context: ctx, node: node, senders: map[configlog.NodeID]*sender{},
+		pendingApplies: map[uint64]pendingApply{}}
+	incoming := &receiver{self: s.self, roster: s.options.Roster, members: s.members, metrics: s.metrics,
+		listener: listener, hello: hello,
+		maxConnections: maxIncomingConnections(s.options.Roster, s.self.Name, s.options.FanOut),
+		handle:         current.handle, status: s.Status, open: map[net.Conn]bool{}, bySender: map[string]net.Conn{}}
+	s.wg.Go(func() { incoming.run(ctx) })
+	slog.Info("configsync", "state", "started", "name", s.self.Name, "listen", s.self.Address, "role", s.role(),
 		"revision", node.Document().Revision().Number)
 	s.setFault("")
-	run.wait.Go(func() { s.enforcer.run(ctx) })
-	s.options.Bootstrap = false // what is lost from now on was there
+	current.wg.Go(func() { s.applier.run(ctx) })
+	s.options.Bootstrap = false // state that is lost from now on did exist
 	s.running.Store(true)
-	err = run.loop()
+	err = current.loop()
 	s.running.Store(false)
-	stop()
+	cancel()
 	listener.Close()
-	run.wait.Wait()
+	current.wg.Wait()
 	return err
 }
 
 func (s *Sync) role() string {
-	if s.me.Role == "" {
+	if s.self.Role == "" {
 		return "follower"
 	}
-	return s.me.Role
+	return s.self.Role
 }
 
-// mostConnections is how many connections other instances may have here at a time.
-func mostConnections(roster *Roster, name string, fan configlog.FanOut) int {
-	if fan == (configlog.FanOut{}) {
-		fan = configlog.DefaultFanOut()
+// maxIncomingConnections returns how many connections from other instances are accepted at a time.
+func maxIncomingConnections(roster *Roster, name string, fanOut configlog.FanOut) int {
+	if fanOut == (configlog.FanOut{}) {
+		fanOut = configlog.DefaultFanOut()
 	}
-	t, err := configlog.NewTopology(roster.members(), fan)
+	topology, err := configlog.NewTopology(roster.logRoster(), fanOut)
 	if err != nil {
-		return spareLinks
+		return spareConnections
 	}
-	return len(t.Neighbors(configlog.NodeID(name))) + fan.Subscribers + spareLinks
+	return len(topology.Neighbors(configlog.NodeID(name))) + fanOut.Subscribers + spareConnections
 }
 
-// Descriptors are those that an instance's connections need, both ways, with its listener and files.
+// Descriptors returns how many file descriptors an instance needs for its connections in both directions, its
+// listener and its files.
 func Descriptors(roster *Roster, name string) int {
-	return 2*mostConnections(roster, name, configlog.FanOut{}) + spareDescriptors
+	return 2*maxIncomingConnections(roster, name, configlog.FanOut{}) + spareDescriptors
 }
 
-// now is the log's time in microseconds; it is never 0.
-func (s *Sync) now() int64 { return time.Since(s.began).Microseconds() + 1 }
+// now returns the log's time in microseconds; it is never 0.
+func (s *Sync) now() int64 { return time.Since(s.startedAt).Microseconds() + 1 }
 
-// do has the goroutine that owns the log do something. Its errors are those of the context, ErrEnded and ErrNotRunning.
-func (s *Sync) do(ctx context.Context, what func(*session)) error {
+// submit queues a function for the goroutine that owns the log. Its errors are those of the context, ErrClosed and
+// ErrNotRunning.
+func (s *Sync) submit(ctx context.Context, event func(*session)) error {
 	if !s.running.Load() {
 		return ErrNotRunning
 	}
 	select {
-	case s.events <- what:
+	case s.events <- event:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -236,51 +241,51 @@
 	}
 }
 
-// ask has that goroutine work something out, and returns it.
-func ask[T any](ctx context.Context, s *Sync, what func(*session) T) (v T, err error) {
-	answer := make(chan T, 1)
-	if err := s.do(ctx, func(r *session) { answer <- what(r) }); err != nil {
-		return v, err
+// query runs a function in the goroutine that owns the log and returns its result.
+func query[T any](ctx context.Context, s *Sync, work func(*session) T) (value T, err error) {
+	reply := make(chan T, 1)
+	if err := s.submit(ctx, func(r *session) { reply <- work(r) }); err != nil {
+		return value, err
 	}
 	select {
-	case v = <-answer:
-		return v, nil
+	case value = <-reply:
+		return value, nil
 	case <-ctx.Done():
-		return v, ctx.Err()
+		return value, ctx.Err()
 	case <-s.context.Done():
-		return v, ErrClosed
+		return value, ErrClosed
 	}
 }
 
-// Apply makes a revision of the one in force here, with just these entries, if that has the number base and is the
-// one in force at the origins. It answers when the outcome is known; no two changes may have the same entries, so
-// that each is known by what it makes. Besides the log's outcomes there are ErrNotOrigin, ErrEnded and the
-// context's errors.
+// Apply creates a revision that has exactly these entries. It succeeds only if the revision held here has the number
+// base and is the one in force at the origins (compare and set). It returns when the outcome is known. No two changes
+// may have the same entries, because a committed change is recognized by its entries. Beside the outcomes of the log,
+// the errors are ErrNotOrigin, ErrNotRunning, ErrClosed and those of the context.
 func (s *Sync) Apply(ctx context.Context, base uint64, entries map[string][]byte) (configlog.Result, error) {
 	if !s.IsOrigin() {
 		return configlog.Result{}, ErrNotOrigin
 	}
-	answer := make(chan configlog.Result, 1)
+	reply := make(chan configlog.Result, 1)
 	id := s.lastID.Add(1)
-	err := s.do(ctx, func(r *session) {
-		held := r.node.Document().Revision()
-		if held.Number != base {
-			answer <- configlog.Result{ID: id, Outcome: configlog.Stale, Revision: held}
+	err := s.submit(ctx, func(r *session) {
+		current := r.node.Document().Revision()
+		if current.Number != base {
+			reply <- configlog.Result{ID: id, Outcome: configlog.Stale, Revision: current}
 			return
 		}
-		r.applies[id] = pendingApply{base, entries, answer}
-		r.carryOut(r.node.Apply(s.now(), id, held, r.node.Document().ChangeTo(entries)))
+		r.pendingApplies[id] = pendingApply{base, entries, reply}
+		r.applyEffects(r.node.Apply(s.now(), id, current, r.node.Document().ChangeTo(entries)))
 	})
 	if err != nil {
 		return configlog.Result{}, err
 	}
-	defer s.do(context.WithoutCancel(ctx), func(r *session) { delete(r.applies, id) })
-	limit := time.NewTimer(time.Duration(s.timing().ApplyTimeout)*time.Microsecond + applySlack)
-	defer limit.Stop()
+	defer s.submit(context.WithoutCancel(ctx), func(r *session) { delete(r.pendingApplies, id) })
+	timeout := time.NewTimer(time.Duration(s.timing().ApplyTimeout)*time.Microsecond + applyTimeoutMargin)
+	defer timeout.Stop()
 	select {
-	case r := <-answer:
+	case r := <-reply:
 		return r, nil
-	case <-limit.C:
+	case <-timeout.C:
 		return configlog.Result{ID: id, Outcome: configlog.Unknown}, nil
 	case <-ctx.Done():
 		return configlog.Result{}, ctx.Err()
@@ -296,58 +301,61 @@
 	return s.options.Timing
 }
 
-// Status is what this instance says of itself.
+// Status returns the status of this instance.
 func (s *Sync) Status() *syncpb.StatusReply {
-	ctx, cancel := context.WithTimeout(s.context, writeTime)
+	ctx, cancel := context.WithTimeout(s.context, writeTimeout)
 	defer cancel()
-	reply, err := ask(ctx, s, (*session).status)
+	reply, err := query(ctx, s, (*session).status)
 	if err != nil {
-		reply = &syncpb.StatusReply{Name: s.me.Name, Revision: s.counts.revision.Load(),
-			SinceUs: s.counts.since.Load(), SilentUs: -1, Fault: err.Error()}
+		reply = &syncpb.StatusReply{Name: s.self.Name, Revision: s.metrics.revision.Load(),
+			SinceUs: s.metrics.inForceSince.Load(), SilentUs: -1, Fault: err.Error()}
 	}
-	if fault := s.nowFault(); fault != "" {
+	if fault := s.currentFault(); fault != "" {
 		reply.Fault = fault
 	}
 	return reply
 }
 
-// InstanceStatus is what an instance has said of itself, or why it has said nothing.
+// InstanceStatus is the status of an instance, or the reason why it could not be fetched.
 type InstanceStatus struct {
 	Member Member
-	Status *syncpb.StatusReply // nil where Err is not
+	Status *syncpb.StatusReply // nil if Err is set
 	Err    error
 }
 
-// StatusAll asks every instance on the roster, some at a time, and returns the answers in the roster's order.
+// StatusAll fetches the status of every instance on the roster, maxStatusRequests at a time, and returns the results
+// in the roster's order.
 func (s *Sync) StatusAll(ctx context.Context) []InstanceStatus {
-	answers := make([]InstanceStatus, len(s.options.Roster.Members))
-	places := make(chan struct{}, statusAsked)
-	var wait sync.WaitGroup
+	statuses := make([]InstanceStatus, len(s.options.Roster.Members))
+	slots := make(chan struct{}, maxStatusRequests)
+	var wg sync.WaitGroup
 	for i, m := range s.options.Roster.Members {
-		answers[i].Member = m
-		if m.Name == s.me.Name {
-			answers[i].Status = s.Status()
+		statuses[i].Member = m
+		if m.Name == s.self.Name {
+			statuses[i].Status = s.Status()
 			continue
 		}
-		places <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-places }()
-			answers[i].Status, answers[i].Err = s.askOne(ctx, m)
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			statuses[i].Status, statuses[i].Err = s.fetchStatus(ctx, m)
 		})
 	}
-	wait.Wait()
-	return answers
+	wg.Wait()
+	return statuses
 }
 
-func (s *Sync) askOne(ctx context.Context, m Member) (*syncpb.StatusReply, error) {
+// fetchStatus requests the status of another instance.
+func (s *Sync) fetchStatus(ctx context.Context, m Member) (*syncpb.StatusReply, error) {
 	hello, err := s.hello(m.Name)
 	if err != nil {
 		return nil, err
 	}
-	return askStatus(ctx, m, hello)
+	return requestStatus(ctx, m, hello)
 }
 
+// hello returns the encoded Hello frame for an instance, or, if to is empty, the one that answers any instance.
 func (s *Sync) hello(to string) ([]byte, error) {
 	return encodeFrame(&syncpb.Frame{Content: &syncpb.Frame_Hello{Hello: &syncpb.Hello{
-		Installation: s.options.Roster.Installation, From: s.me.Name, To: to, Region: s.me.Region}}})
+		Installation: s.options.Roster.Installation, From: s.self.Name, To: to, Region: s.self.Region}}})
 }
--- a/internal/configsync/input_test.go
+++ b/internal/configsync/input_test.go
@@ -17,52 +17,52 @@
 	"topazfall/internal/decide/configlog"
 )
 
-// makeUnusable puts a file in the place of a folder.
-func makeUnusable(path string) error {
+// replaceWithFile moves a folder aside and puts a file in its place, so that nothing can be saved there.
+func replaceWithFile(path string) error {
 	if err := os.Rename(path, path+".aside"); err != nil {
 		return err
 	}
 	return os.WriteFile(path, nil, 0o600)
 }
 
-func makeUsable(path string) error {
+// restoreFolder undoes replaceWithFile.
+func restoreFolder(path string) error {
 	if err := os.Remove(path); err != nil {
 		return err
 	}
 	return os.Rename(path+".aside", path)
 }
 
-func encode(t testing.TB, f *syncpb.Frame) []byte {
+func mustEncode(t testing.TB, f *syncpb.Frame) []byte {
 	text, err := encodeFrame(f)
 	require.NoError(t, err)
 	return text
 }
 
-func hello(t testing.TB, change func(*syncpb.Hello)) []byte {
+func encodeHello(t testing.TB, change func(*syncpb.Hello)) []byte {
 	h := &syncpb.Hello{Installation: "test", From: "f1", To: "f0", Region: "r"}
 	if change != nil {
 		change(h)
 	}
-	return encode(t, &syncpb.Frame{Content: &syncpb.Frame_Hello{Hello: h}})
+	return mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Hello{Hello: h}})
 }
 
-func message(t testing.TB, body configlog.Body) []byte {
-	return encode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{Log: configlog.AppendBody(nil, body)}})
+func encodeMessage(t testing.TB, body configlog.Body) []byte {
+	return mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{Log: configlog.AppendBody(nil, body)}})
 }
 
-func dropped(s *Sync, why DropReason) int64 {
-	s.counts.mu.Lock()
-	defer s.counts.mu.Unlock()
-	return s.counts.dropped[why]
+func droppedCount(s *Sync, reason DropReason) int64 {
+	s.metrics.mu.Lock()
+	defer s.metrics.mu.Unlock()
+	return s.metrics.dropped[reason]
 }
 
-// What is not as it should be is dropped and counted, and nothing else changes: the document held, and the connections
-// of others.
-func TestBadInput(t *testing.T) {
+// Invalid input is dropped and counted. It changes neither the document held nor the connections of other instances.
+func TestInvalidInputIsDropped(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 2)
+	i := startInstallation(t, 1, 2)
 	i.apply("o0", "good")
-	i.reach("good")
+	i.waitForValue("good")
 	entry := func(key string) configlog.Entry { return configlog.Entry{Key: key, Value: []byte("x")} }
 	many := make(configlog.Change, 50_000)
 	for n := range many {
@@ -76,67 +76,68 @@
 	frame := func(text []byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
-	sound := message(t, configlog.Digest{})
-	other := encode(t, &syncpb.Frame{Content: &syncpb.Frame_Hello{Hello: &syncpb.Hello{}}})
-	unknown := bytes.Clone(sound)
-	unknown[lengthBytes+1] = 9 // the version's value
+	valid := encodeMessage(t, configlog.Digest{})
+	secondHello := mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Hello{Hello: &syncpb.Hello{}}})
+	unknownVersion := bytes.Clone(valid)
+	unknownVersion[lengthPrefixBytes+1] = 9 // the value of the version field
 	for _, c := range []struct {
-		name string
-		text []byte
-		why  DropReason
+		name   string
+		text   []byte
+		reason DropReason
 	}{
-		{"no hello", sound, ReasonHello},
-		{"another installation", hello(t, func(h *syncpb.Hello) { h.Installation = "other" }), ReasonStranger},
-		{"nobody on the roster", hello(t, func(h *syncpb.Hello) { h.From = "x" }), ReasonStranger},
-		{"for another", hello(t, func(h *syncpb.Hello) { h.To = "o0" }), ReasonStranger},
-		{"from itself", hello(t, func(h *syncpb.Hello) { h.From = "f0" }), ReasonStranger},
-		{"another region", hello(t, func(h *syncpb.Hello) { h.Region = "s" }), ReasonRegion},
-		{"a second hello", append(hello(t, nil), other...), ReasonHello},
-		{"too large", append(hello(t, nil), 0xff, 0xff, 0xff, 0xff), ReasonSize},
-		{"50,000 entries", append(hello(t, nil), frame(manyText)...), ReasonSize},
-		{"cut short", append(hello(t, nil), sound[:len(sound)-1]...), ReasonCut},
-		{"no frame", append(hello(t, nil), frame([]byte("\xff\xff"))...), ReasonForm},
-		{"an unknown version", append(hello(t, nil), unknown...), ReasonVersion},
-		{"a message cut short", append(hello(t, nil), encode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
+		{"no hello", valid, ReasonHello},
+		{"another installation", encodeHello(t, func(h *syncpb.Hello) { h.Installation = "other" }), ReasonStranger},
+		{"not on the roster", encodeHello(t, func(h *syncpb.Hello) { h.From = "x" }), ReasonStranger},
+		{"for another instance", encodeHello(t, func(h *syncpb.Hello) { h.To = "o0" }), ReasonStranger},
+		{"from itself", encodeHello(t, func(h *syncpb.Hello) { h.From = "f0" }), ReasonStranger},
+		{"another region", encodeHello(t, func(h *syncpb.Hello) { h.Region = "s" }), ReasonRegion},
+		{"a second hello", append(encodeHello(t, nil), secondHello...), ReasonHello},
+		{"too large", append(encodeHello(t, nil), 0xff, 0xff, 0xff, 0xff), ReasonSize},
+		{"50,000 entries", append(encodeHello(t, nil), frame(manyText)...), ReasonSize},
+		{"truncated", append(encodeHello(t, nil), valid[:len(valid)-1]...), ReasonCut},
+		{"not a frame", append(encodeHello(t, nil), frame([]byte("\xff\xff"))...), ReasonForm},
+		{"an unknown version", append(encodeHello(t, nil), unknownVersion...), ReasonVersion},
+		{"a truncated message", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
 			Log: push(configlog.Change{entry("a")})[:20]}})...), ReasonForm},
-		{"an entry twice", append(hello(t, nil), encode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
+		{"a duplicate entry", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
 			Log: push(configlog.Change{entry("a"), entry("a")})}})...), ReasonForm},
-		{"a checksum that differs, of one who does not feed it", append(hello(t, nil), encode(t, &syncpb.Frame{
+		{"a wrong checksum from a member that is not a parent", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{
 			Content: &syncpb.Frame_Log{Log: push(configlog.Change{entry("a")})}})...), ""},
-		{"an origin's word of a follower", append(hello(t, nil), message(t, configlog.Heartbeat{Held: revision})...),
+		{"an origin's message from a follower", append(encodeHello(t, nil),
+			encodeMessage(t, configlog.Heartbeat{Held: revision})...),
 			DropReason(configlog.DropWrongRole)},
 	} {
-		before := dropped(i.syncs["f0"], c.why)
+		before := droppedCount(i.syncs["f0"], c.reason)
 		conn := dialMember(t, i, "f0")
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		_, err := conn.Write(c.text)
-		if err == nil { // else it was refused before its end
+		if err == nil { // otherwise the connection was closed before the end of the text
 			err = conn.(interface{ CloseWrite() error }).CloseWrite()
 		}
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, c.name)
-		_, err = io.Copy(io.Discard, conn) // it is read to its end, or refused
+		_, err = io.Copy(io.Discard, conn) // until the instance has read everything or rejected the connection
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, c.name)
-		if c.why != "" {
-			counted := func() bool { return dropped(i.syncs["f0"], c.why) == before+1 }
-			require.Eventually(t, counted, patience, time.Millisecond, c.name)
+		if c.reason != "" {
+			counted := func() bool { return droppedCount(i.syncs["f0"], c.reason) == before+1 }
+			require.Eventually(t, counted, testTimeout, time.Millisecond, c.name)
 		}
-		r, v := i.targets["f0"].now()
+		r, v := i.targets["f0"].current()
 		require.EqualValues(t, 1, r.Number, c.name)
 		require.Equal(t, "good", v, c.name)
 	}
 	i.apply("o0", "after")
-	require.Less(t, i.reach("after"), 4*time.Second)
+	require.Less(t, i.waitForValue("after"), 4*time.Second)
 }
 
-// The parent of an instance may say what it likes: a revision that does not make its checksum is not taken, and one
-// that is held already, doubled or older, changes nothing.
-func TestBadInputOfAParent(t *testing.T) {
+// Even from the parent of an instance, a revision with a wrong checksum is rejected, and a revision that is held
+// already or is older changes nothing.
+func TestInvalidInputFromParent(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 1)
+	i := startInstallation(t, 1, 1)
 	i.apply("o0", "good")
-	i.reach("good")
-	from := hello(t, func(h *syncpb.Hello) { h.From = "o0" })
-	held, _ := i.targets["f0"].now()
+	i.waitForValue("good")
+	from := encodeHello(t, func(h *syncpb.Hello) { h.From = "o0" })
+	held, _ := i.targets["f0"].current()
 	wrong := held
 	wrong.Number++
 	bad := configlog.Change{{Key: "key", Value: []byte("bad")}}
@@ -148,30 +149,32 @@
 		configlog.Chunk{Revision: configlog.Revision{Number: 1}, Total: 0},
 	} {
 		conn := dialMember(t, i, "f0")
-		_, err := conn.Write(append(bytes.Clone(from), message(t, body)...))
+		_, err := conn.Write(append(bytes.Clone(from), encodeMessage(t, body)...))
 		require.NoError(t, err)
 		conn.Close()
 	}
 	i.apply("o0", "after")
-	require.Less(t, i.reach("after"), 4*time.Second)
+	require.Less(t, i.waitForValue("after"), 4*time.Second)
 }
 
-// No more connections than the topology needs and some are taken; those that say nothing are closed.
+// An instance accepts no more connections than the topology needs and a few spare ones. Connections on which no frame
+// arrives are closed, so that others can use their places.
 func TestConnectionsAreBounded(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 1)
+	i := startInstallation(t, 1, 1)
 	i.apply("o0", "w")
-	i.reach("w")
+	i.waitForValue("w")
 	s := i.syncs["f0"]
-	for range mostConnections(i.roster, "f0", configlog.FanOut{}) + 5 {
+	for range maxIncomingConnections(i.roster, "f0", configlog.FanOut{}) + 5 {
 		dialMember(t, i, "f0")
 	}
-	require.Eventually(t, func() bool { return dropped(s, ReasonConnections) >= 5 }, patience, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return droppedCount(s, ReasonConnections) >= 5 }, testTimeout,
+		5*time.Millisecond)
 	i.apply("o0", "x")
-	require.Less(t, i.reach("x"), helloTime+4*time.Second)
+	require.Less(t, i.waitForValue("x"), helloTimeout+4*time.Second)
 }
 
-// A socket that a process before has left is replaced, and a file that is none is left alone.
+// A socket that an earlier process left behind is replaced. A socket in use and a file of another type are left alone.
 func TestListenAtUsedPath(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -180,7 +183,7 @@
 	require.NoError(t, err)
 	first.(*net.UnixListener).SetUnlinkOnClose(false)
 	_, err = listen("unix:" + path)
-	require.Error(t, err, "it is in use")
+	require.Error(t, err, "the socket is in use")
 	require.NoError(t, first.Close())
 	second, err := listen("unix:" + path)
 	require.NoError(t, err)
@@ -195,29 +198,29 @@
 	require.FileExists(t, file)
 }
 
-// Of what an instance is not there for, no more waits than may.
+// The queue for an unreachable instance stays within its limits of frames and bytes.
 func TestQueueIsBounded(t *testing.T) {
 	t.Parallel()
-	o := newOutgoing(Member{Name: "x", Address: "unix:/nowhere/x"}, nil, newCounts())
-	for range 3 * queueFrames {
+	o := newSender(Member{Name: "x", Address: "unix:/nowhere/x"}, nil, newMetrics())
+	for range 3 * maxQueuedFrames {
 		o.send(make([]byte, 100))
 	}
-	require.LessOrEqual(t, len(o.frames), queueFrames)
-	require.EqualValues(t, 2*queueFrames, o.counts.dropped[ReasonQueue])
+	require.LessOrEqual(t, len(o.queue), maxQueuedFrames)
+	require.EqualValues(t, 2*maxQueuedFrames, o.metrics.dropped[ReasonQueue])
 	for range 100 {
 		o.send(make([]byte, configlog.MaxMessage))
 	}
-	require.LessOrEqual(t, o.bytes, queueBytes)
+	require.LessOrEqual(t, o.queuedBytes, maxQueuedBytes)
 }
 
 func FuzzParseFrame(f *testing.F) {
-	f.Add(encode(f, &syncpb.Frame{Content: &syncpb.Frame_Log{Log: []byte("x")}})[lengthBytes:])
-	f.Add(hello(f, nil)[lengthBytes:])
+	f.Add(mustEncode(f, &syncpb.Frame{Content: &syncpb.Frame_Log{Log: []byte("x")}})[lengthPrefixBytes:])
+	f.Add(encodeHello(f, nil)[lengthPrefixBytes:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		frame, err := parseFrame(text)
 		if err == nil && (frame.Version != FrameVersion || frame.Content == nil) {
-			t.Fatal("a frame that is not whole")
+			t.Fatal("parsed a frame without the right version or without content")
 		}
 	})
 }
@@ -226,12 +229,12 @@
 	t.Parallel()
 	const origin = `{"name":"a","address":"127.0.0.1:1","role":"origin"}`
 	list := func(members string) string { return `{"installation":"i","members":[` + members + `]}` }
-	elsewhere := strings.Replace(origin, "127.0.0.1", "10.0.0.1", 1)
-	trusted := strings.Replace(list(elsewhere), "{", `{"trusted_network":true,`, 1)
+	remote := strings.Replace(origin, "127.0.0.1", "10.0.0.1", 1)
+	trusted := strings.Replace(list(remote), "{", `{"trusted_network":true,`, 1)
 	for text, want := range map[string]string{
-		list(origin):    "",
-		trusted:         "",
-		list(elsewhere): "trusted",
+		list(origin): "",
+		trusted:      "",
+		list(remote): "trusted",
 		list(strings.Replace(origin, "127.0.0.1:1", "unix:x", 1)):   "absolute",
 		list(strings.Replace(origin, "127.0.0.1", "x", 1)):          "neither",
 		list(strings.Replace(origin, "origin", "follower", 1)):      "0 origins",
@@ -253,7 +256,7 @@
 	}
 }
 
-// What is damaged on disk is a vote that is forgotten, never another vote.
+// A damaged state folder makes an origin forget its vote. It never yields another vote.
 func TestDamagedStorage(t *testing.T) {
 	t.Parallel()
 	s := storage{t.TempDir()}
@@ -277,7 +280,7 @@
 				require.NoError(t, os.WriteFile(path, damaged, 0o600))
 				saved, fault, err := s.load()
 				require.NoError(t, err)
-				if fault == nil { // a letter of the head that says nothing
+				if fault == nil { // a byte of the head line that has no meaning
 					require.Equal(t, vote, saved.Vote)
 					continue
 				}
--- a/internal/configsync/counts_test.go
+++ b/internal/configsync/metrics_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each reason is named once in logEvery, with how many there were; all are counted.
-func TestReasonsAreNamedOnceAMinute(t *testing.T) {
+// Each drop reason is logged at most once per minLogInterval, with the count since; all drops are counted.
+func TestDropsAreLoggedOncePerMinute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCounts()
-		waits := func(why DropReason) int64 { return c.unsaid[why] } // what the log has not told yet
+		c := newMetrics()
+		unlogged := func(reason DropReason) int64 { return c.unlogged[reason] } // dropped, but not logged yet
 		c.drop(ReasonForm, 1)
-		require.Zero(t, waits(ReasonForm))
+		require.Zero(t, unlogged(ReasonForm))
 		for range 1000 {
 			c.drop(ReasonForm, 2)
 		}
-		require.EqualValues(t, 2000, waits(ReasonForm))
+		require.EqualValues(t, 2000, unlogged(ReasonForm))
 		c.drop(ReasonSize, 1)
-		require.Zero(t, waits(ReasonSize), "another reason has its own")
-		time.Sleep(logEvery)
+		require.Zero(t, unlogged(ReasonSize), "each reason has its own interval")
+		time.Sleep(minLogInterval)
 		c.drop(ReasonForm, 1)
-		require.Zero(t, waits(ReasonForm))
+		require.Zero(t, unlogged(ReasonForm))
 		require.EqualValues(t, 2002, c.dropped[ReasonForm])
 		var text bytes.Buffer
 		c.write(&text)
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -15,62 +15,64 @@
 type pendingApply struct {
 	base    uint64
 	entries map[string][]byte
-	answer  chan configlog.Result // has one place
+	reply   chan configlog.Result // capacity 1
 }
 
-// session is the time between two starts from what is saved. All its fields are of the goroutine that runs loop.
+// session runs the log from one load of the saved state until the next. Only the goroutine that runs loop uses its
+// fields.
 type session struct {
 	*Sync
-	context  context.Context
-	node     *configlog.Node
-	outgoing map[configlog.NodeID]*outgoing
-	applies  map[uint64]pendingApply
-	wait     sync.WaitGroup // of the connections
-	fault    error          // of the disk: nothing may leave any more
-	voting   bool           // as last said
+	context        context.Context
+	node           *configlog.Node
+	senders        map[configlog.NodeID]*sender
+	pendingApplies map[uint64]pendingApply
+	wg             sync.WaitGroup // waits for the connections and the applier
+	diskError      error          // nothing may be sent or reported after a failed save
+	wasVoting      bool           // as last logged
 }
 
-// loop owns the log until the end, or a fault of the disk, which it returns.
-func (r *session) loop() error {
-	defer r.abandon()
-	if r.node.Document().Revision().Number > 0 {
-		r.enforcer.enforce(r.node.Document())
+// loop owns the log and handles its events until the context ends or a save fails, which it returns as an error.
+func (s *session) loop() error {
+	defer s.abandonApplies()
+	if s.node.Document().Revision().Number > 0 {
+		s.applier.schedule(s.node.Document())
 	}
-	ticker := time.NewTicker(tickPeriod)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	for r.fault == nil {
+	for s.diskError == nil {
 		select {
-		case <-r.context.Done():
+		case <-s.context.Done():
 			return nil
-		case event := <-r.events:
-			event(r)
+		case event := <-s.events:
+			event(s)
 		case <-ticker.C:
-			r.carryOut(r.node.Tick(r.now()))
-			r.note()
+			s.applyEffects(s.node.Tick(s.now()))
+			s.updateMetrics()
 		}
 	}
-	return r.fault
+	return s.diskError
 }
 
-// abandon answers whoever waits: what was begun may be saved somewhere, or not.
-func (r *session) abandon() {
-	for id := range r.applies {
-		r.answer(configlog.Result{ID: id, Outcome: configlog.Unknown})
+// abandonApplies ends all pending changes with the outcome Unknown: another instance may have saved them.
+func (s *session) abandonApplies() {
+	for id := range s.pendingApplies {
+		s.finishApply(configlog.Result{ID: id, Outcome: configlog.Unknown})
 	}
 }
 
-func (r *session) answer(result configlog.Result) {
-	if apply, ok := r.applies[result.ID]; ok {
-		delete(r.applies, result.ID)
-		apply.answer <- result
+// finishApply returns the outcome of a change to its caller.
+func (s *session) finishApply(result configlog.Result) {
+	if apply, ok := s.pendingApplies[result.ID]; ok {
+		delete(s.pendingApplies, result.ID)
+		apply.reply <- result
 	}
 }
 
-// settle answers the changes whose outcome shows in the revision that has come into force, also where the answer of the
-// one who led was lost.
-func (r *session) settle() {
-	d := r.node.Document()
-	for id, apply := range r.applies {
+// resolveApplies ends the pending changes whose outcome is evident from the newest document. This also covers changes
+// for which the leader's reply was lost.
+func (s *session) resolveApplies() {
+	d := s.node.Document()
+	for id, apply := range s.pendingApplies {
 		if d.Revision().Number != apply.base+1 {
 			continue
 		}
@@ -78,113 +80,115 @@
 		if len(d.ChangeTo(apply.entries)) == 0 {
 			outcome = configlog.Committed
 		}
-		r.answer(configlog.Result{ID: id, Outcome: outcome, Revision: d.Revision()})
+		s.finishApply(configlog.Result{ID: id, Outcome: outcome, Revision: d.Revision()})
 	}
 }
 
-// handle gives a message of another instance to the log, or drops it where too many wait.
-func (r *session) handle(m configlog.Message) {
+// handle queues a message of another instance for the log, or drops it if the queue is full.
+func (s *session) handle(m configlog.Message) {
 	select {
-	case r.events <- func(now *session) { now.carryOut(now.node.Handle(now.now(), m)) }:
+	case s.events <- func(current *session) { current.applyEffects(current.node.Handle(current.now(), m)) }:
 	default:
-		r.counts.drop(ReasonBusy, 1, "from", m.From)
+		s.metrics.drop(ReasonBusy, 1, "from", m.From)
 	}
 }
 
-// carryOut does what the log asks for: it saves, and only then has the document brought into force, sends and reports.
-// After a fault of the disk nothing that is not saved may be seen by anybody.
-func (r *session) carryOut(e configlog.Effects) {
-	if r.fault != nil {
+// applyEffects executes the effects that the log requests: it saves first, and only then applies the document, sends
+// messages and reports results. After a failed save, no state that is not on disk may become visible to others.
+func (s *session) applyEffects(e configlog.Effects) {
+	if s.diskError != nil {
 		return
 	}
 	changed := e.Replaced || len(e.Deltas) > 0
 	if changed {
-		r.fault = r.storage.saveDocument(r.node.Document())
+		s.diskError = s.storage.saveDocument(s.node.Document())
 	}
-	if e.SaveVote && r.fault == nil {
-		r.fault = r.storage.saveVote(r.node.Vote())
+	if e.SaveVote && s.diskError == nil {
+		s.diskError = s.storage.saveVote(s.node.Vote())
 	}
-	if r.fault != nil {
+	if s.diskError != nil {
 		return
 	}
 	if changed {
-		r.enforcer.enforce(r.node.Document())
-		r.settle()
+		s.applier.schedule(s.node.Document())
+		s.resolveApplies()
 	}
 	for _, m := range e.Messages {
-		r.send(m)
+		s.send(m)
 	}
 	for _, result := range e.Results {
-		r.answer(result)
+		s.finishApply(result)
 	}
 }
 
-func (r *session) send(m configlog.Message) {
-	to, ok := r.outgoing[m.To]
+func (s *session) send(m configlog.Message) {
+	to, ok := s.senders[m.To]
 	if !ok {
 		var err error
-		if to, err = r.open(m.To); err != nil {
+		if to, err = s.openSender(m.To); err != nil {
 			slog.Error("configsync", "to", m.To, "error", err)
 			return
 		}
 	}
 	frame, err := encodeFrame(&syncpb.Frame{Content: &syncpb.Frame_Log{Log: configlog.AppendBody(nil, m.Body)}})
 	if err != nil {
-		r.counts.drop(ReasonSize, 1, "to", m.To, "error", err)
+		s.metrics.drop(ReasonSize, 1, "to", m.To, "error", err)
 		return
 	}
 	to.send(frame)
 }
 
-// open makes the queue for an instance; a connection follows when there is something in it.
-func (r *session) open(name configlog.NodeID) (*outgoing, error) {
-	m, ok := r.members[string(name)]
+// openSender creates the sender for an instance; it connects when the first frame is queued.
+func (s *session) openSender(name configlog.NodeID) (*sender, error) {
+	m, ok := s.members[string(name)]
 	if !ok {
-		return nil, fmt.Errorf("%w: %.64q is not on it", ErrInvalidRoster, name)
+		return nil, fmt.Errorf("%w: it has no member %.64q", ErrInvalidRoster, name)
 	}
-	hello, err := r.hello(m.Name)
+	hello, err := s.hello(m.Name)
 	if err != nil {
 		return nil, err
 	}
-	o := newOutgoing(m, hello, r.counts)
-	r.outgoing[name] = o
-	r.wait.Go(func() { o.run(r.context) })
+	o := newSender(m, hello, s.metrics)
+	s.senders[name] = o
+	s.wg.Go(func() { o.run(s.context) })
 	return o, nil
 }
 
-// note brings the figures up to date.
-func (r *session) note() {
-	now := r.now()
-	s := r.node.Status(now)
-	r.counts.newest.Store(s.Newest.Number)
-	r.counts.silent.Store(silence(now, s))
-	if s.CanVote != r.voting {
-		r.voting = s.CanVote
-		slog.Info("configsync", "state", "voting", "name", r.me.Name)
+// updateMetrics updates the metrics from the state of the log.
+func (s *session) updateMetrics() {
+	now := s.now()
+	status := s.node.Status(now)
+	s.metrics.newestRevision.Store(status.Newest.Number)
+	s.metrics.leaderSilence.Store(leaderSilence(now, status))
+	if status.CanVote != s.wasVoting {
+		s.wasVoting = status.CanVote
+		slog.Info("configsync", "state", "voting", "name", s.self.Name)
 	}
 }
 
-// silence is how long ago the leader was last heard of, in microseconds; negative for never.
-func silence(now int64, s configlog.Status) int64 {
-	if s.LeaderHeardAt == 0 {
+// leaderSilence returns how long ago the leader was last heard of, in microseconds; negative for never.
+func leaderSilence(now int64, status configlog.Status) int64 {
+	if status.LeaderHeardAt == 0 {
 		return -1
 	}
-	return max(now-s.LeaderHeardAt, 0)
+	return max(now-status.LeaderHeardAt, 0)
 }
 
-func (r *session) status() *syncpb.StatusReply {
-	now := r.now()
-	s := r.node.Status(now)
-	inForce, fault := r.enforcer.state()
-	reply := &syncpb.StatusReply{Name: r.me.Name, Voting: s.CanVote, Revision: inForce.Number, Fault: fault,
-		SinceUs: r.counts.since.Load(), Newest: s.Newest.Number, SilentUs: silence(now, s), Leader: string(s.Leader)}
+// status returns the status of this instance.
+func (s *session) status() *syncpb.StatusReply {
+	now := s.now()
+	status := s.node.Status(now)
+	inForce, fault := s.applier.state()
+	reply := &syncpb.StatusReply{Name: s.self.Name, Voting: status.CanVote, Revision: inForce.Number, Fault: fault,
+		SinceUs: s.metrics.inForceSince.Load(), Newest: status.Newest.Number, SilentUs: leaderSilence(now, status),
+		Leader: string(status.Leader)}
 	if inForce.Number > 0 {
 		reply.Epoch = inForce.Epoch.String()
 	}
-	if r.IsOrigin() && !s.CanVote {
+	if s.IsOrigin() && !status.CanVote {
 		reply.Fault = "it does not vote: it has forgotten, and not all other origins have told it what they know"
 	}
-	for _, source := range s.Sources {
+	for _, source := range status.Sources {
 		reply.Sources = append(reply.Sources, string(source))
 	}
 	return reply
--- a/internal/configsync/storage.go
+++ b/internal/configsync/storage.go
@@ -10,7 +10,7 @@
 	"topazfall/internal/snapshot"
 )
 
-// The files of a state folder, and what their first lines call them.
+// The files of a state folder, and the kinds that stand in their first lines.
 const (
 	documentFile = "config-document.snapshot"
 	documentKind = "config-document"
@@ -18,30 +18,32 @@
 	voteKind     = "config-vote"
 )
 
-// storage keeps what an instance must not forget: the document that it holds and, of an origin, its vote. Only one
-// process at a time may use a folder.
+// storage saves the state that an instance must keep across restarts: the document that it holds and, at an origin,
+// its vote. Only one process at a time may use a folder.
 type storage struct{ dir string }
 
-// load returns what is saved. fault says what was wrong with it though the instance can go on: what could not be
-// read is left out, and an origin then has forgotten, and does not vote before it has been told what it may have
-// known. A document that is older than the one saved last is such a case too.
+// load returns the saved state. fault describes damage with which the instance can still start: the state that could
+// not be read is left out. An origin has then lost state, and does not vote before the other origins have told it
+// what it may have voted on. A document that is older than the one saved last counts as damage too.
 func (s storage) load() (saved configlog.SavedState, fault, err error) {
 	if err := os.MkdirAll(s.dir, 0o700); err != nil {
 		return saved, nil, err
 	}
 	document, documentFault := s.loadDocument()
-	vote, known, voteFault := s.loadVote()
+	vote, hasVote, voteFault := s.loadVote()
 	saved.Document = document
-	if known && vote.Accepted.Delta.Revision.Number > held(document).Number+1 {
-		documentFault = errors.Join(documentFault, fmt.Errorf("%s: older than what the vote is about", documentFile))
+	if hasVote && vote.Accepted.Delta.Revision.Number > revisionOf(document).Number+1 {
+		documentFault = errors.Join(documentFault, fmt.Errorf(
+			"%s: more than one revision behind the vote", documentFile))
 	}
-	if documentFault == nil && voteFault == nil && known {
+	if documentFault == nil && voteFault == nil && hasVote {
 		saved.Vote = vote
 	}
 	return saved, errors.Join(documentFault, voteFault), nil
 }
 
-func held(d *configlog.Document) (r configlog.Revision) {
+// revisionOf returns the revision of a document, which may be nil.
+func revisionOf(d *configlog.Document) (r configlog.Revision) {
 	if d != nil {
 		r = d.Revision()
 	}
@@ -63,8 +65,9 @@
 	return d, fault
 }
 
-// loadVote returns the vote saved last, and whether there is one. The one before it would be a vote that is forgotten.
-func (s storage) loadVote() (vote configlog.Vote, known bool, fault error) {
+// loadVote returns the vote saved last, and whether there is one. It does not fall back to the previous version of
+// the file: using that one would forget a vote.
+func (s storage) loadVote() (vote configlog.Vote, exists bool, fault error) {
 	body, fault, err := snapshot.Read(filepath.Join(s.dir, voteFile), voteKind)
 	if fault != nil || err != nil || body == nil {
 		return vote, false, errors.Join(fault, err)
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -18,49 +18,49 @@
 	"topazfall/internal/decide/configlog"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// target notes what comes into force, and that nothing goes back.
-type target struct {
-	mu       sync.Mutex
-	revision configlog.Revision
-	entries  map[string][]byte
-	at       time.Time
-	back     []configlog.Revision
-	refuse   uint64 // the number of a revision that it cannot use
+// fakeTarget records the revision in force, and every revision that is older than the one before it.
+type fakeTarget struct {
+	mu              sync.Mutex
+	revision        configlog.Revision
+	entries         map[string][]byte
+	appliedAt       time.Time
+	regressions     []configlog.Revision
+	refusedRevision uint64 // the number of a revision that it cannot apply
 }
 
-func (g *target) ApplyRevision(r configlog.Revision, entries map[string][]byte) (time.Time, error) {
+func (g *fakeTarget) ApplyRevision(r configlog.Revision, entries map[string][]byte) (time.Time, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Number < g.revision.Number {
-		g.back = append(g.back, r)
+		g.regressions = append(g.regressions, r)
 	}
-	if r.Number == g.refuse {
+	if r.Number == g.refusedRevision {
 		return time.Time{}, errors.New("it is not for this program")
 	}
-	g.revision, g.entries, g.at = r, entries, time.Now()
-	return g.at, nil
+	g.revision, g.entries, g.appliedAt = r, entries, time.Now()
+	return g.appliedAt, nil
 }
 
-func (g *target) now() (configlog.Revision, string) {
+func (g *fakeTarget) current() (configlog.Revision, string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.revision, string(g.entries["key"])
 }
 
-// installation is several instances in this process, joined by Unix sockets.
+// installation runs several instances in this process, connected by Unix sockets.
 type installation struct {
 	*testing.T
 	dir     string
 	roster  *Roster
 	syncs   map[string]*Sync
-	targets map[string]*target
+	targets map[string]*fakeTarget
 }
 
-func install(t *testing.T, origins, followers int) *installation {
+func startInstallation(t *testing.T, origins, followers int) *installation {
 	i := &installation{T: t, dir: t.TempDir(), roster: &Roster{Installation: "test"}, syncs: map[string]*Sync{},
-		targets: map[string]*target{}}
+		targets: map[string]*fakeTarget{}}
 	add := func(prefix, role string, n int) {
 		for k := range n {
 			name := fmt.Sprintf("%s%d", prefix, k)
@@ -85,7 +85,7 @@
 
 func (i *installation) start(name string, bootstrap bool) {
 	if i.targets[name] == nil {
-		i.targets[name] = &target{}
+		i.targets[name] = &fakeTarget{}
 	}
 	s, err := New(Options{Name: name, Roster: i.roster, State: filepath.Join(i.dir, name), Bootstrap: bootstrap,
 		Target: i.targets[name]})
@@ -99,42 +99,42 @@
 	delete(i.syncs, name)
 }
 
-// apply makes a revision at an origin, as soon as there is a leader, and returns its number.
+// apply creates a revision at an origin, retrying until there is a leader, and returns its number.
 func (i *installation) apply(name, value string) uint64 {
-	var result configlog.Result
+	var last configlog.Result
 	require.Eventually(i, func() bool {
-		held, _ := i.targets[name].now()
+		held, _ := i.targets[name].current()
 		r, err := i.syncs[name].Apply(i.Context(), held.Number, map[string][]byte{"key": []byte(value)})
-		result = r
+		last = r
 		return err == nil && r.Outcome == configlog.Committed
-	}, patience, 20*time.Millisecond, "%v", result)
-	return result.Revision.Number
+	}, testTimeout, 20*time.Millisecond, "%v", last)
+	return last.Revision.Number
 }
 
-// reach waits until all that run hold a value, and returns how long that took.
-func (i *installation) reach(value string) time.Duration {
+// waitForValue waits until all running instances hold a value, and returns how long that took.
+func (i *installation) waitForValue(value string) time.Duration {
 	began := time.Now()
 	require.Eventually(i, func() bool {
 		for name := range i.syncs {
-			if _, v := i.targets[name].now(); v != value {
+			if _, v := i.targets[name].current(); v != value {
 				return false
 			}
 		}
 		return true
-	}, patience, 5*time.Millisecond, "not all hold %q", value)
+	}, testTimeout, 5*time.Millisecond, "not all instances hold %q", value)
 	for name, g := range i.targets {
-		require.Empty(i, g.back, name)
+		require.Empty(i, g.regressions, name)
 	}
 	return time.Since(began)
 }
 
-func TestRevisionsReachAll(t *testing.T) {
+func TestRevisionsReachEveryInstance(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	i := install(t, 3, 5)
+	i := startInstallation(t, 3, 5)
 	for n := range 20 {
 		value := fmt.Sprint("v", n)
 		require.EqualValues(t, n+1, i.apply(fmt.Sprintf("o%d", n%3), value))
-		require.Less(t, i.reach(value), 4*time.Second)
+		require.Less(t, i.waitForValue(value), 4*time.Second)
 	}
 	for name := range i.syncs {
 		i.stop(name)
@@ -142,14 +142,15 @@
 	goleak.VerifyNone(t, before)
 }
 
-// Of two changes of one base one is taken, and the other told that it was late or that another was under way.
-func TestOneOfTwoWins(t *testing.T) {
+// Of two concurrent changes of the same base exactly one is committed. The other gets the outcome Stale, or Busy while
+// the first is in progress.
+func TestOneOfTwoConcurrentAppliesWins(t *testing.T) {
 	t.Parallel()
-	i := install(t, 3, 2)
+	i := startInstallation(t, 3, 2)
 	i.apply("o0", "first")
-	i.reach("first")
+	i.waitForValue("first")
 	for n := range 10 {
-		held, _ := i.targets["o0"].now()
+		held, _ := i.targets["o0"].current()
 		var wait sync.WaitGroup
 		results := make([]configlog.Result, 2)
 		for k := range 2 {
@@ -175,45 +176,46 @@
 		require.Equal(t, 1, committed, "%v", results)
 		require.Eventually(t, func() bool {
 			for name := range i.syncs {
-				if r, _ := i.targets[name].now(); r.Number != held.Number+1 {
+				if r, _ := i.targets[name].current(); r.Number != held.Number+1 {
 					return false
 				}
 			}
 			return true
-		}, patience, 5*time.Millisecond)
+		}, testTimeout, 5*time.Millisecond)
 	}
 }
 
-// An instance goes on from what it kept; one without anything gets all, and an origin among them votes again.
+// A restarted instance continues from its saved state. One that lost its state receives the whole document, and an
+// origin that lost its state votes again.
 func TestRestart(t *testing.T) {
 	t.Parallel()
-	i := install(t, 3, 3)
+	i := startInstallation(t, 3, 3)
 	i.apply("o0", "first")
-	i.reach("first")
+	i.waitForValue("first")
 	i.stop("f0")
 	i.stop("o1")
 	i.apply("o0", "second")
-	i.reach("second")
+	i.waitForValue("second")
 	i.start("f0", false)
 	require.NoError(t, i.wipe("o1"))
 	i.start("o1", false)
-	require.Less(t, i.reach("second"), 4*time.Second)
-	require.Eventually(t, func() bool { return i.syncs["o1"].Status().Voting }, patience, 5*time.Millisecond,
-		"the other two have told it what it may have forgotten")
+	require.Less(t, i.waitForValue("second"), 4*time.Second)
+	require.Eventually(t, func() bool { return i.syncs["o1"].Status().Voting }, testTimeout, 5*time.Millisecond,
+		"the other origins told it what it may have voted on")
 	i.stop("o2")
 	i.apply("o1", "third")
-	i.reach("third")
+	i.waitForValue("third")
 }
 
-// wipe removes what an instance has kept.
+// wipe removes the saved state of an instance.
 func (i *installation) wipe(name string) error {
-	i.targets[name] = &target{}
+	i.targets[name] = &fakeTarget{}
 	return os.RemoveAll(filepath.Join(i.dir, name))
 }
 
 func TestApplyAtFollower(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 1)
+	i := startInstallation(t, 1, 1)
 	_, err := i.syncs["f0"].Apply(t.Context(), 0, nil)
 	require.ErrorIs(t, err, ErrNotOrigin)
 	require.EqualValues(t, 1, i.apply("o0", "x"))
@@ -225,11 +227,11 @@
 	require.Equal(t, configlog.Invalid, r.Outcome)
 }
 
-// A process that waits for another one of its instance takes nothing, and says so at once.
+// A process that waits for another process of its instance rejects changes at once, and its status has a fault.
 func TestApplyBeforeStart(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 1)
-	waiting, err := New(Options{Name: "o0", Roster: i.roster, State: t.TempDir(), Target: &target{}})
+	i := startInstallation(t, 1, 1)
+	waiting, err := New(Options{Name: "o0", Roster: i.roster, State: t.TempDir(), Target: &fakeTarget{}})
 	require.NoError(t, err)
 	began := time.Now()
 	_, err = waiting.Apply(t.Context(), 0, nil)
@@ -239,30 +241,31 @@
 	waiting.Close()
 }
 
-// A revision that one program cannot use is not in force there, is said, and reaches the others; the next one is.
-func TestRevisionThatCannotBeUsed(t *testing.T) {
+// A revision that one instance cannot apply reaches the others, and the status of the instance has the fault. The next
+// revision is applied there too.
+func TestUnusableRevisionIsReported(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 2)
-	i.targets["f0"].refuse = 1
+	i := startInstallation(t, 1, 2)
+	i.targets["f0"].refusedRevision = 1
 	i.apply("o0", "x")
 	require.Eventually(t, func() bool {
-		_, v := i.targets["f1"].now()
+		_, v := i.targets["f1"].current()
 		return v == "x" && strings.Contains(i.syncs["f0"].Status().Fault, "not for this program")
-	}, patience, 5*time.Millisecond)
+	}, testTimeout, 5*time.Millisecond)
 	i.apply("o0", "y")
-	i.reach("y")
+	i.waitForValue("y")
 	require.Empty(t, i.syncs["f0"].Status().Fault)
 }
 
 func TestStatusAll(t *testing.T) {
 	t.Parallel()
-	i := install(t, 3, 2)
+	i := startInstallation(t, 3, 2)
 	i.apply("o0", "x")
-	i.reach("x")
+	i.waitForValue("x")
 	i.stop("f1")
-	answers := i.syncs["o1"].StatusAll(t.Context())
-	require.Len(t, answers, 5)
-	for _, a := range answers {
+	statuses := i.syncs["o1"].StatusAll(t.Context())
+	require.Len(t, statuses, 5)
+	for _, a := range statuses {
 		if a.Member.Name == "f1" {
 			require.Error(t, a.Err)
 			continue
@@ -274,40 +277,42 @@
 	}
 }
 
-// A disk that fails ends the session: what is not saved is shown to nobody. When it is well again all goes on.
-func TestDiskFails(t *testing.T) {
+// A disk error ends the session, so that no unsaved state becomes visible. The instance resumes when the disk works
+// again.
+func TestDiskFailure(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 1)
+	i := startInstallation(t, 1, 1)
 	i.apply("o0", "x")
-	i.reach("x")
-	require.NoError(t, makeUnusable(filepath.Join(i.dir, "o0")))
+	i.waitForValue("x")
+	require.NoError(t, replaceWithFile(filepath.Join(i.dir, "o0")))
 	r, err := i.syncs["o0"].Apply(t.Context(), 1, map[string][]byte{"key": []byte("y")})
 	require.NoError(t, err)
 	require.Equal(t, configlog.Unknown, r.Outcome, "it may have been saved")
-	_, v := i.targets["f0"].now()
+	_, v := i.targets["f0"].current()
 	require.Equal(t, "x", v)
 	require.NotEmpty(t, i.syncs["o0"].Status().Fault)
-	require.NoError(t, makeUsable(filepath.Join(i.dir, "o0")))
+	require.NoError(t, restoreFolder(filepath.Join(i.dir, "o0")))
 	require.EqualValues(t, 2, i.apply("o0", "z"))
-	require.Less(t, i.reach("z"), 4*time.Second)
+	require.Less(t, i.waitForValue("z"), 4*time.Second)
 }
 
-// --bootstrap holds for the start of the process: an origin that loses its folder while it runs has forgotten.
-func TestBootstrapHoldsOnce(t *testing.T) {
+// --bootstrap applies only to the start of the process: an origin whose state folder disappears while it runs must not
+// vote from an empty state.
+func TestBootstrapAppliesOnce(t *testing.T) {
 	t.Parallel()
-	i := install(t, 1, 0)
+	i := startInstallation(t, 1, 0)
 	i.apply("o0", "x")
 	folder := filepath.Join(i.dir, "o0")
-	require.NoError(t, makeUnusable(folder))
+	require.NoError(t, replaceWithFile(folder))
 	_, err := i.syncs["o0"].Apply(t.Context(), 1, map[string][]byte{"key": []byte("y")})
 	require.NoError(t, err)
 	require.NoError(t, os.Remove(folder))
 	require.Eventually(t, func() bool {
 		s := i.syncs["o0"].Status()
 		return s.Voting || strings.Contains(s.Fault, "does not vote")
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	votes := func() bool { return i.syncs["o0"].Status().Voting }
-	require.Never(t, votes, 20*tickPeriod, tickPeriod/5, "it would vote at the first tick")
+	require.Never(t, votes, 20*tickInterval, tickInterval/5, "an origin that bootstraps votes at the first tick")
 }
 
 func dialMember(t *testing.T, i *installation, name string) net.Conn {
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -1,4 +1,4 @@
-// Package client reaches an instance's control API.
+// Package client connects to the control API of an instance.
 package client
 
 import (
@@ -12,7 +12,7 @@
 	"topazfall/internal/control/controlpb/controlpbconnect"
 )
 
-// New returns a client of the API at unix:/absolute/path.
+// New returns a client for the API at an address of the form unix:/absolute/path.
 func New(address string) (controlpbconnect.ControlClient, error) {
 	path, ok := strings.CutPrefix(address, "unix:")
 	if !ok || !filepath.IsAbs(path) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control serves the control API of one instance: settings, and the list of hosts. One handler speaks gRPC and
-// gRPC-Web to programs and JSON over HTTP POST to a person with curl (Connect). It listens on a Unix socket that only
-// its owner may use.
+// Package control serves the control API of one instance: its settings and its list of hosts (workers as the network
+// code knows them). One Connect handler serves gRPC and gRPC-Web for programs, and JSON over HTTP POST for use with
+// curl. It listens on a Unix socket that only its owner may use.
 package control
 
 import (
@@ -31,138 +31,140 @@
 )
 
 const (
-	largest   = 2 << 20 // of a request
-	callers   = 64      // connections at a time
-	watchers  = 32
-	readTime  = 5 * time.Second  // for a request
-	writeTime = 10 * time.Second // for a part of an answer that its caller does not read
-	idleTime  = time.Minute
+	maxRequestBytes = 2 << 20          // bytes of a request
+	maxConnections  = 64               // open connections at a time
+	maxWatchers     = 32               // Watch calls at a time
+	readTimeout     = 5 * time.Second  // for reading a request
+	writeTimeout    = 10 * time.Second // for each write of a response whose caller does not read
+	idleTimeout     = time.Minute
 )
 
-// Hosts is the merged list, and what is wrong with each source.
+// Hosts provides the merged list of hosts, and the fault of each source, by its name.
 type Hosts interface {
 	Hosts() ([]sources.Host, map[string]string)
 	Now() int64
 }
 
-// Installation is the other instances that this one shares its settings with.
+// Installation is the group of instances that share their settings.
 type Installation interface {
-	// Apply takes a document for all of them, as settings.options.Store.Apply does for one. Its errors are
-	// settings.Faults, settings.StaleError, ElsewhereError, ErrOutcomeUnknown, or why it cannot be done now.
+	// Apply applies a document at all of them, as settings.Store.Apply does at one. Its errors are settings.Faults,
+	// settings.StaleError, NotOriginError, ErrOutcomeUnknown, or the reason why no document can be applied now.
 	Apply(ctx context.Context, doc *pb.Settings, from uint64) (*pb.Revision, error)
-	// Instances asks all of them what they hold.
+	// Instances requests the status of all of them.
 	Instances(ctx context.Context) *pb.InstancesResponse
 }
 
-// NotOriginError turns a document down at an instance that follows.
+// NotOriginError rejects a document at an instance that is not an origin. It names the origins, which accept documents.
 type NotOriginError struct{ Origins []string }
 
 func (e NotOriginError) Error() string {
 	return "this instance follows; apply at one of " + strings.Join(e.Origins, ", ")
 }
 
-// ErrOutcomeUnknown says that a document may be in force or not.
+// ErrOutcomeUnknown is returned when a document may or may not have been applied.
 var ErrOutcomeUnknown = errors.New("whether it was taken is not known; see which revision is in force")
 
-// Options say what is served.
+// Options configures a Server.
 type Options struct {
 	Store        *settings.Store
 	Hosts        Hosts
-	Installation Installation // nil for an instance that has its settings for itself
+	Installation Installation // nil for an instance that does not share its settings
 }
 
 // Server serves the API.
 type Server struct {
 	options  Options
-	watching atomic.Int64
+	watchers atomic.Int64
 	http     *http.Server
 }
 
-// Listen opens the socket. A TCP address is refused: nobody could tell there who calls.
+// Listen opens the socket. A TCP address is rejected, because callers cannot be authenticated there.
 func Listen(address string) (net.Listener, error) {
 	path, ok := strings.CutPrefix(address, "unix:")
 	if !ok || !filepath.IsAbs(path) {
-		return nil, fmt.Errorf("control address %q: only unix:/absolute/path is served; "+
-			"TCP needs mutual TLS, which is not there yet", address)
+		return nil, fmt.Errorf("control address %q: only unix:/absolute/path is supported; "+
+			"TCP would need mutual TLS, which is not implemented", address)
 	}
-	// Bound beside and renamed, so that the path never leads nowhere while one process replaces another, and never to a
-	// socket with wider rights.
+	// Bound at a temporary path and renamed. The path thus always leads to a socket while one process replaces another,
+	// and never to a socket with wider permissions.
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".control")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	aside := filepath.Join(dir, "s") // the folder is closed to others
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: aside, Net: "unix"})
+	tempPath := filepath.Join(dir, "s") // in a folder that only the owner can access
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(aside, 0o600), os.Rename(aside, path)); err != nil {
+	if err := errors.Join(os.Chmod(tempPath, 0o600), os.Rename(tempPath, path)); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	return ln, nil
 }
 
-// Serve serves on ln until Close.
+// Serve serves the API on ln until Close is called.
 func Serve(ln net.Listener, o Options) *Server {
 	s := &Server{options: o}
-	path, handler := controlpbconnect.NewControlHandler(s, connect.WithReadMaxBytes(largest))
+	path, handler := controlpbconnect.NewControlHandler(s, connect.WithReadMaxBytes(maxRequestBytes))
 	mux := http.NewServeMux()
-	mux.Handle(path, patient(handler))
+	mux.Handle(path, withTimeouts(handler))
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	s.http = &http.Server{Handler: mux, Protocols: protocols, ReadHeaderTimeout: readTime, IdleTimeout: idleTime,
+	s.http = &http.Server{Handler: mux, Protocols: protocols, ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelInfo)}
 	go func() {
-		if err := s.http.Serve(netutil.LimitListener(ln, callers)); err != http.ErrServerClosed {
+		if err := s.http.Serve(netutil.LimitListener(ln, maxConnections)); err != http.ErrServerClosed {
 			slog.Error("control", "state", "ended", "error", err)
 		}
 	}()
 	return s
 }
 
-// Close ends all calls.
+// Close closes the listener and all connections.
 func (s *Server) Close() { s.http.Close() }
 
-// patient bounds the time for a request's body, and for each part of an answer that its caller does not read.
-func patient(next http.Handler) http.Handler {
+// withTimeouts limits the time for reading a request's body, and for each write of a response whose caller does not
+// read.
+func withTimeouts(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		rc := http.NewResponseController(w)
-		rc.SetReadDeadline(time.Now().Add(readTime))
-		r.Body = &read{http.MaxBytesReader(w, r.Body, 2*largest), rc}
-		next.ServeHTTP(&bounded{w, rc}, r)
+		controller := http.NewResponseController(w)
+		controller.SetReadDeadline(time.Now().Add(readTimeout))
+		r.Body = &requestBody{http.MaxBytesReader(w, r.Body, 2*maxRequestBytes), controller}
+		next.ServeHTTP(&responseWriter{w, controller}, r)
 	})
 }
 
-// read takes the deadline away once the body has come: a watch is open for longer.
-type read struct {
+// requestBody clears the read deadline once the body has been read, because a Watch call stays open for longer.
+type requestBody struct {
 	io.ReadCloser
-	rc *http.ResponseController
+	controller *http.ResponseController
 }
 
-func (b *read) Read(p []byte) (int, error) {
+func (b *requestBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
-		b.rc.SetReadDeadline(time.Time{})
+		b.controller.SetReadDeadline(time.Time{})
 	}
 	return n, err
 }
 
-type bounded struct {
+// responseWriter sets a write deadline before each write.
+type responseWriter struct {
 	http.ResponseWriter
-	rc *http.ResponseController
+	controller *http.ResponseController
 }
 
-func (b *bounded) Write(p []byte) (int, error) {
-	b.rc.SetWriteDeadline(time.Now().Add(writeTime))
+func (b *responseWriter) Write(p []byte) (int, error) {
+	b.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return b.ResponseWriter.Write(p)
 }
 
-func (b *bounded) Flush()                      { b.rc.Flush() }
-func (b *bounded) Unwrap() http.ResponseWriter { return b.ResponseWriter }
+func (b *responseWriter) Flush()                      { b.controller.Flush() }
+func (b *responseWriter) Unwrap() http.ResponseWriter { return b.ResponseWriter }
 
 // Get returns the revision in force.
 func (s *Server) Get(context.Context, *connect.Request[pb.GetRequest]) (*connect.Response[pb.GetResponse], error) {
@@ -171,7 +173,7 @@
 		ReadOnly: readOnly}), nil
 }
 
-// Check says what Apply would say of a document.
+// Check returns the faults with which Apply would reject a document.
 func (s *Server) Check(
 	_ context.Context, r *connect.Request[pb.CheckRequest],
 ) (*connect.Response[pb.CheckResponse], error) {
@@ -182,20 +184,21 @@
 	return connect.NewResponse(out), nil
 }
 
-// Apply takes a document, whole or not at all. A document with faults is an invalid argument, with each fault as a
-// detail; one that was made from another revision is aborted; at an instance that follows it is a failed precondition;
-// of what may be in force or not the outcome is unknown; what cannot be taken now is unavailable.
+// Apply applies a document as a whole or not at all. Its error codes are invalid argument for a document with faults,
+// with each fault as a detail; aborted for a document made from a revision that is not in force; failed precondition at
+// an instance that is not an origin; unknown if the document may or may not be in force; and unavailable if no document
+// can be applied now.
 func (s *Server) Apply(
 	ctx context.Context, r *connect.Request[pb.ApplyRequest],
 ) (*connect.Response[pb.ApplyResponse], error) {
-	taken, err := s.apply(ctx, r.Msg)
+	revision, err := s.apply(ctx, r.Msg)
 	var faults settings.Faults
 	var stale settings.StaleError
-	var elsewhere NotOriginError
+	var notOrigin NotOriginError
 	switch {
 	case err == nil:
-		slog.Info("settings", "state", "taken", "revision", taken.Number)
-		return connect.NewResponse(&pb.ApplyResponse{Revision: taken}), nil
+		slog.Info("settings", "state", "taken", "revision", revision.Number)
+		return connect.NewResponse(&pb.ApplyResponse{Revision: revision}), nil
 	case errors.As(err, &faults):
 		out := connect.NewError(connect.CodeInvalidArgument, err)
 		for _, f := range faults {
@@ -206,7 +209,7 @@
 		return nil, out
 	case errors.As(err, &stale):
 		return nil, connect.NewError(connect.CodeAborted, err)
-	case errors.As(err, &elsewhere):
+	case errors.As(err, &notOrigin):
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
 	case errors.Is(err, ErrOutcomeUnknown):
 		return nil, connect.NewError(connect.CodeUnknown, err)
@@ -222,7 +225,8 @@
 	return s.options.Store.Apply(r.Settings, r.From, time.Now())
 }
 
-// Instances returns what every instance of the installation holds; without one that is a failed precondition.
+// Instances returns the status of every instance of the installation. Without an installation the error code is failed
+// precondition.
 func (s *Server) Instances(
 	ctx context.Context, _ *connect.Request[pb.InstancesRequest],
 ) (*connect.Response[pb.InstancesResponse], error) {
@@ -233,16 +237,16 @@
 	return connect.NewResponse(s.options.Installation.Instances(ctx)), nil
 }
 
-// Watch tells of every revision, once and in order.
+// Watch sends every revision once and in order.
 func (s *Server) Watch(
 	ctx context.Context, r *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse],
 ) error {
-	if s.watching.Add(1) > watchers {
-		s.watching.Add(-1)
-		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("%d watch already", watchers))
+	if s.watchers.Add(1) > maxWatchers {
+		s.watchers.Add(-1)
+		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("%d watch already", maxWatchers))
 	}
-	defer s.watching.Add(-1)
-	if err := out.Send(nil); err != nil { // the headers, so that the caller knows that it watches
+	defer s.watchers.Add(-1)
+	if err := out.Send(nil); err != nil { // sends the headers, so that the caller knows that the watch has begun
 		return err
 	}
 	for last := r.Msg.After; ; {
@@ -262,7 +266,7 @@
 	}
 }
 
-// Hosts returns the merged list.
+// Hosts returns the merged list of hosts, and the state of its sources.
 func (s *Server) Hosts(
 	context.Context, *connect.Request[pb.HostsRequest],
 ) (*connect.Response[pb.HostsResponse], error) {
@@ -271,24 +275,24 @@
 	now := s.options.Hosts.Now()
 	count := map[string]uint32{}
 	for _, h := range hosts {
-		one := &pb.Host{Name: h.ID, Sources: h.Sources, State: "up", Why: h.Reason, Zone: h.Zone, Kind: h.Kind,
+		host := &pb.Host{Name: h.ID, Sources: h.Sources, State: "up", Why: h.Reason, Zone: h.Zone, Kind: h.Kind,
 			Share: h.Weight}
 		if h.State != topazfall.Ready {
-			one.State = "draining"
+			host.State = "draining"
 		}
 		for _, a := range h.Addrs {
-			one.Addresses = append(one.Addresses, a.String())
+			host.Addresses = append(host.Addresses, a.String())
 		}
 		if len(h.Addrs) == 0 {
-			one.Addresses = []string{h.Addr}
+			host.Addresses = []string{h.Addr}
 		}
 		if h.Expires != 0 {
-			one.Remaining = durationpb.New(time.Duration(max(h.Expires-now, 0)) * time.Microsecond)
+			host.Remaining = durationpb.New(time.Duration(max(h.Expires-now, 0)) * time.Microsecond)
 		}
 		for _, name := range h.Sources {
 			count[name]++
 		}
-		out.Hosts = append(out.Hosts, one)
+		out.Hosts = append(out.Hosts, host)
 	}
 	out.Sources = append(out.Sources, &pb.Source{Name: "roster", Hosts: count["roster"]})
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,16 +22,16 @@
 	"topazfall/internal/settings"
 )
 
-type hosts struct{}
+type fakeHosts struct{}
 
-func (hosts) Now() int64 { return 1e6 }
-func (hosts) Hosts() ([]sources.Host, map[string]string) {
+func (fakeHosts) Now() int64 { return 1e6 }
+func (fakeHosts) Hosts() ([]sources.Host, map[string]string) {
 	entry := sources.Entry{Addr: "10.0.0.1:9000", Worker: topazfall.Worker{ID: "a", State: topazfall.Draining}}
 	return []sources.Host{{Entry: entry, Sources: []string{"roster", "srv:x"}, Reason: "drains", Expires: 3e6}},
 		map[string]string{"x": "timeout"}
 }
 
-func serve(t *testing.T) (controlpbconnect.ControlClient, *settings.Store, string) {
+func startServer(t *testing.T) (controlpbconnect.ControlClient, *settings.Store, string) {
 	dir := t.TempDir()
 	store, _, err := settings.Open(dir)
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 	path := filepath.Join(dir, "control.sock")
 	ln, err := Listen("unix:" + path)
 	require.NoError(t, err)
-	s := Serve(ln, Options{Store: store, Hosts: hosts{}})
+	s := Serve(ln, Options{Store: store, Hosts: fakeHosts{}})
 	t.Cleanup(s.Close)
 	c, err := client.New("unix:" + path)
 	require.NoError(t, err)
@@ -63,16 +63,16 @@
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o600), info.Mode().Perm())
-	second, err := Listen("unix:" + path) // a process that replaces this one
+	second, err := Listen("unix:" + path) // as a process that replaces this one does
 	require.NoError(t, err)
 	defer second.Close()
 	entries, err := os.ReadDir(filepath.Dir(path))
 	require.NoError(t, err)
-	require.Len(t, entries, 1, "nothing is left beside it")
+	require.Len(t, entries, 1, "the temporary folder is removed")
 }
 
-func TestCalls(t *testing.T) {
-	c, _, path := serve(t)
+func TestRequests(t *testing.T) {
+	c, _, path := startServer(t)
 	bad := &pb.Settings{Sources: &pb.Sources{Resolvers: []string{"x", "y"}}}
 	check, err := c.Check(t.Context(), connect.NewRequest(&pb.CheckRequest{Settings: bad}))
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 	require.Equal(t, 2*time.Second, list.Msg.Hosts[0].Remaining.AsDuration())
 	require.Equal(t, "timeout", list.Msg.Sources[1].Fault)
 
-	// A person with curl.
+	// JSON over HTTP POST, as with curl.
 	dial := func(context.Context, string, string) (net.Conn, error) { return net.Dial("unix", path) }
 	h := http.Client{Transport: &http.Transport{DialContext: dial}}
 	resp, err := h.Post("http://x/topazfall.control.v1.Control/Get", "application/json", strings.NewReader("{}"))
@@ -104,16 +104,16 @@
 	require.NoError(t, err)
 	require.Contains(t, string(text), `"number":"1"`)
 	resp, err = h.Post("http://x/topazfall.control.v1.Control/Apply", "application/json",
-		strings.NewReader(`{"settings":{"sources":{"hold":"`+strings.Repeat("9", largest)+`"}}}`))
+		strings.NewReader(`{"settings":{"sources":{"hold":"`+strings.Repeat("9", maxRequestBytes)+`"}}}`))
 	require.NoError(t, err)
 	resp.Body.Close()
-	require.NotEqual(t, 200, resp.StatusCode, "larger than a document may be")
+	require.NotEqual(t, 200, resp.StatusCode, "a request over the size limit is rejected")
 }
 
-// A watcher sees each revision once and in order, for longer than a request may take to come; one that reads nothing
-// holds nobody up, and there is a bound on them.
+// A watcher receives each revision once and in order, also when the call lasts longer than readTimeout. A watcher that
+// does not read delays nobody, and the number of watchers is limited.
 func TestWatch(t *testing.T) {
-	c, store, _ := serve(t)
+	c, store, _ := startServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	slow, err := c.Watch(ctx, connect.NewRequest(&pb.WatchRequest{}))
@@ -121,17 +121,17 @@
 	defer slow.Close()
 	w, err := c.Watch(ctx, connect.NewRequest(&pb.WatchRequest{}))
 	require.NoError(t, err)
-	began := time.Now()
+	start := time.Now()
 	for i := range uint64(20) {
 		require.NoError(t, apply(c, i, &pb.Settings{}))
 		require.True(t, w.Receive(), "%v", w.Err())
 		require.Equal(t, i+1, w.Msg().Revision.Number)
 	}
-	require.Less(t, time.Since(began), 10*time.Second)
-	time.Sleep(readTime + 500*time.Millisecond)
+	require.Less(t, time.Since(start), 10*time.Second)
+	time.Sleep(readTimeout + 500*time.Millisecond)
 	require.NoError(t, apply(c, 20, &pb.Settings{}))
 	require.True(t, w.Receive(), "%v", w.Err())
-	for range watchers {
+	for range maxWatchers {
 		one, err := c.Watch(ctx, connect.NewRequest(&pb.WatchRequest{After: 21}))
 		require.NoError(t, err)
 		defer one.Close()
--- a/internal/control/controlpb/controlpbconnect/control.connect.go
+++ b/internal/control/controlpb/controlpbconnect/control.connect.go
@@ -52,12 +52,12 @@
 type ControlClient interface {
 	Get(context.Context, *connect.Request[controlpb.GetRequest]) (*connect.Response[controlpb.GetResponse], error)
 	Check(context.Context, *connect.Request[controlpb.CheckRequest]) (*connect.Response[controlpb.CheckResponse], error)
-	// Apply takes a document, whole or not at all.
+	// Apply applies a document as a whole or not at all.
 	Apply(context.Context, *connect.Request[controlpb.ApplyRequest]) (*connect.Response[controlpb.ApplyResponse], error)
-	// Watch tells of every revision that is taken, once and in order.
+	// Watch sends every revision that is applied, once and in order.
 	Watch(context.Context, *connect.Request[controlpb.WatchRequest]) (*connect.ServerStreamForClient[controlpb.WatchResponse], error)
 	Hosts(context.Context, *connect.Request[controlpb.HostsRequest]) (*connect.Response[controlpb.HostsResponse], error)
-	// Instances asks every instance on the roster what it holds.
+	// Instances requests the status of every instance on the roster.
 	Instances(context.Context, *connect.Request[controlpb.InstancesRequest]) (*connect.Response[controlpb.InstancesResponse], error)
 }
 
@@ -155,12 +155,12 @@
 type ControlHandler interface {
 	Get(context.Context, *connect.Request[controlpb.GetRequest]) (*connect.Response[controlpb.GetResponse], error)
 	Check(context.Context, *connect.Request[controlpb.CheckRequest]) (*connect.Response[controlpb.CheckResponse], error)
-	// Apply takes a document, whole or not at all.
+	// Apply applies a document as a whole or not at all.
 	Apply(context.Context, *connect.Request[controlpb.ApplyRequest]) (*connect.Response[controlpb.ApplyResponse], error)
-	// Watch tells of every revision that is taken, once and in order.
+	// Watch sends every revision that is applied, once and in order.
 	Watch(context.Context, *connect.Request[controlpb.WatchRequest], *connect.ServerStream[controlpb.WatchResponse]) error
 	Hosts(context.Context, *connect.Request[controlpb.HostsRequest]) (*connect.Response[controlpb.HostsResponse], error)
-	// Instances asks every instance on the roster what it holds.
+	// Instances requests the status of every instance on the roster.
 	Instances(context.Context, *connect.Request[controlpb.InstancesRequest]) (*connect.Response[controlpb.InstancesResponse], error)
 }
 
