--- a/cmd/topazctl/main.go
+++ b/cmd/topazctl/main.go
@@ -26,7 +26,7 @@
 	exitPartial = 3
 )
 
-// partialError reports success at some instances and names those where there was none.
+// partialError is an error about some of the instances, which it names; there is no fault at the others.
 type partialError struct{ error }
 
 // operationError is an error of the requested operation. All errors but this and partialError are usage errors.
--- a/cmd/topazctl/settings.go
+++ b/cmd/topazctl/settings.go
@@ -83,14 +83,14 @@
 
 // runWithDocument is run for a command whose only argument is the path of a document.
 func (o *globalOptions) runWithDocument(
-	do func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, doc *pb.Settings) error,
+	call func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, doc *pb.Settings) error,
 ) func(*cobra.Command, []string) error {
 	return o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, args []string) error {
 		doc, err := readDocument(c, args[0])
 		if err != nil {
 			return err
 		}
-		return do(ctx, c, api, doc)
+		return call(ctx, c, api, doc)
 	})
 }
 
--- a/cmd/topazfall-agent/installation_test.go
+++ b/cmd/topazfall-agent/installation_test.go
@@ -70,7 +70,7 @@
 	probe            saveProbe
 	mu               sync.Mutex
 	clients          map[int]controlpbconnect.ControlClient // by process id
-	started          map[string]bool                        // by name: instances that were started with --bootstrap
+	started          map[string]bool                        // by name: later starts are without --bootstrap
 	highestSeen      map[string]uint64                      // by name: the highest revision seen; never decreases
 	applyTimes       []time.Duration                        // until each Apply was answered, including elections
 	propagationTimes []time.Duration                        // from the reply to an Apply until it was in force
@@ -91,17 +91,17 @@
 	for i := range followers {
 		s.followers = append(s.followers, fmt.Sprint("f", i))
 	}
-	list, err := discoveryserver.Start()
+	discovery, err := discoveryserver.Start()
 	require.NoError(t, err)
-	t.Cleanup(list.Close)
-	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	t.Cleanup(discovery.Close)
+	discovery.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	dir, err := os.MkdirTemp("", "rig") // short enough for the path of a Unix socket
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	go s.probe.run(t.Context(), filepath.Join(dir, "pace"))
 	s.Rig, err = rig.Start(rig.Options{Dir: dir, Names: s.all(), Split: configsync.SplitFrames, Seed: 11,
 		Args: s.arguments, Program: program.Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"},
-			Discovery: list.Address()}})
+			Discovery: discovery.Address()}})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		s.Rig.Close()
--- a/internal/agent/installation.go
+++ b/internal/agent/installation.go
@@ -179,8 +179,8 @@
 		return instance
 	}
 	status := a.Status
-	instance.Answered, instance.Revision, instance.Leader = true, status.Revision, status.Leader
-	instance.Sources, instance.Fault = status.Sources, status.Fault
+	instance.Answered, instance.Revision, instance.Leader, instance.Sources, instance.Fault =
+		true, status.Revision, status.Leader, status.Sources, status.Fault
 	instance.Voting = status.Voting
 	if status.SinceUs > 0 {
 		instance.Since = timestamppb.New(time.UnixMicro(status.SinceUs))
--- a/internal/configsync/applier.go
+++ b/internal/configsync/applier.go
@@ -34,62 +34,62 @@
 }
 
 // schedule makes a document the next one to apply.
-func (e *applier) schedule(d *configlog.Document) {
+func (a *applier) schedule(d *configlog.Document) {
 	entries := make(map[string][]byte, d.Len())
 	for _, key := range d.Keys() {
 		entries[key], _ = d.Get(key)
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.pending = &committedRevision{d.Revision(), entries}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pending = &committedRevision{d.Revision(), entries}
 	select {
-	case e.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run applies scheduled documents until the context ends. It retries one that fails.
-func (e *applier) run(ctx context.Context) {
+func (a *applier) run(ctx context.Context) {
 	retry := time.NewTicker(retryInterval)
 	defer retry.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.wake:
+		case <-a.wake:
 		case <-retry.C:
 		}
-		e.applyPending()
+		a.applyPending()
 	}
 }
 
 // applyPending applies the pending document, if there is one.
-func (e *applier) applyPending() {
-	e.mu.Lock()
-	pending := e.pending
-	e.mu.Unlock()
+func (a *applier) applyPending() {
+	a.mu.Lock()
+	pending := a.pending
+	a.mu.Unlock()
 	if pending == nil {
 		return
 	}
-	since, err := e.target.ApplyRevision(pending.revision, pending.entries)
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	since, err := a.target.ApplyRevision(pending.revision, pending.entries)
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if err != nil {
-		e.fault = fmt.Sprintf("revision %d is held and not in force: %v", pending.revision.Number, err)
-		e.metrics.drop(ReasonSettings, 1, "revision", pending.revision.Number, "error", err)
+		a.fault = fmt.Sprintf("revision %d is held and not in force: %v", pending.revision.Number, err)
+		a.metrics.drop(ReasonNotApplied, 1, "revision", pending.revision.Number, "error", err)
 		return
 	}
-	e.inForce, e.fault = pending.revision, ""
-	e.metrics.revision.Store(pending.revision.Number)
-	e.metrics.inForceSince.Store(since.UnixMicro())
-	if e.pending == pending {
-		e.pending = nil
+	a.inForce, a.fault = pending.revision, ""
+	a.metrics.revision.Store(pending.revision.Number)
+	a.metrics.inForceSince.Store(since.UnixMicro())
+	if a.pending == pending {
+		a.pending = nil
 	}
 }
 
 // state returns the revision in force, and why a newer one could not be applied ("" if all could).
-func (e *applier) state() (inForce configlog.Revision, fault string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.inForce, e.fault
+func (a *applier) state() (inForce configlog.Revision, fault string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.inForce, a.fault
 }
--- a/internal/configsync/input_test.go
+++ b/internal/configsync/input_test.go
@@ -85,22 +85,23 @@
 		text   []byte
 		reason DropReason
 	}{
-		{"no hello", valid, ReasonHello},
-		{"another installation", encodeHello(t, func(h *syncpb.Hello) { h.Installation = "other" }), ReasonStranger},
-		{"not on the roster", encodeHello(t, func(h *syncpb.Hello) { h.From = "x" }), ReasonStranger},
-		{"for another instance", encodeHello(t, func(h *syncpb.Hello) { h.To = "o0" }), ReasonStranger},
-		{"from itself", encodeHello(t, func(h *syncpb.Hello) { h.From = "f0" }), ReasonStranger},
-		{"another region", encodeHello(t, func(h *syncpb.Hello) { h.Region = "s" }), ReasonRegion},
-		{"a second hello", append(encodeHello(t, nil), secondHello...), ReasonHello},
-		{"too large", append(encodeHello(t, nil), 0xff, 0xff, 0xff, 0xff), ReasonSize},
-		{"50,000 entries", append(encodeHello(t, nil), frame(manyText)...), ReasonSize},
-		{"truncated", append(encodeHello(t, nil), valid[:len(valid)-1]...), ReasonCut},
-		{"not a frame", append(encodeHello(t, nil), frame([]byte("\xff\xff"))...), ReasonForm},
-		{"an unknown version", append(encodeHello(t, nil), unknownVersion...), ReasonVersion},
+		{"no hello", valid, ReasonUnexpectedFrame},
+		{"another installation", encodeHello(t, func(h *syncpb.Hello) { h.Installation = "other" }),
+			ReasonUnknownMember},
+		{"not on the roster", encodeHello(t, func(h *syncpb.Hello) { h.From = "x" }), ReasonUnknownMember},
+		{"for another instance", encodeHello(t, func(h *syncpb.Hello) { h.To = "o0" }), ReasonUnknownMember},
+		{"from itself", encodeHello(t, func(h *syncpb.Hello) { h.From = "f0" }), ReasonUnknownMember},
+		{"another region", encodeHello(t, func(h *syncpb.Hello) { h.Region = "s" }), ReasonWrongRegion},
+		{"a second hello", append(encodeHello(t, nil), secondHello...), ReasonUnexpectedFrame},
+		{"too large", append(encodeHello(t, nil), 0xff, 0xff, 0xff, 0xff), ReasonTooLarge},
+		{"50,000 entries", append(encodeHello(t, nil), frame(manyText)...), ReasonTooLarge},
+		{"truncated", append(encodeHello(t, nil), valid[:len(valid)-1]...), ReasonTruncated},
+		{"not a frame", append(encodeHello(t, nil), frame([]byte("\xff\xff"))...), ReasonMalformed},
+		{"an unknown version", append(encodeHello(t, nil), unknownVersion...), ReasonUnknownVersion},
 		{"a truncated message", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
-			Log: push(configlog.Change{entry("a")})[:20]}})...), ReasonForm},
+			Log: push(configlog.Change{entry("a")})[:20]}})...), ReasonMalformed},
 		{"a duplicate entry", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{Content: &syncpb.Frame_Log{
-			Log: push(configlog.Change{entry("a"), entry("a")})}})...), ReasonForm},
+			Log: push(configlog.Change{entry("a"), entry("a")})}})...), ReasonMalformed},
 		{"a wrong checksum from a member that is not a parent", append(encodeHello(t, nil), mustEncode(t, &syncpb.Frame{
 			Content: &syncpb.Frame_Log{Log: push(configlog.Change{entry("a")})}})...), ""},
 		{"an origin's message from a follower", append(encodeHello(t, nil),
@@ -168,7 +169,7 @@
 	for range maxIncomingConnections(i.roster, "f0", configlog.FanOut{}) + 5 {
 		dialMember(t, i, "f0")
 	}
-	require.Eventually(t, func() bool { return droppedCount(s, ReasonConnections) >= 5 }, testTimeout,
+	require.Eventually(t, func() bool { return droppedCount(s, ReasonConnectionLimit) >= 5 }, testTimeout,
 		5*time.Millisecond)
 	i.apply("o0", "x")
 	require.Less(t, i.waitForValue("x"), helloTimeout+4*time.Second)
@@ -206,7 +207,7 @@
 		o.send(make([]byte, 100))
 	}
 	require.LessOrEqual(t, len(o.queue), maxQueuedFrames)
-	require.EqualValues(t, 2*maxQueuedFrames, o.metrics.dropped[ReasonQueue])
+	require.EqualValues(t, 2*maxQueuedFrames, o.metrics.dropped[ReasonQueueFull])
 	for range 100 {
 		o.send(make([]byte, configlog.MaxMessage))
 	}
--- a/internal/configsync/metrics.go
+++ b/internal/configsync/metrics.go
@@ -19,18 +19,18 @@
 
 // The drop reasons.
 const (
-	ReasonHello       DropReason = "hello"       // not a hello as the first frame, or an unexpected later one
-	ReasonStranger    DropReason = "stranger"    // another installation, or a name that is not on the roster
-	ReasonRegion      DropReason = "region"      // a member claims another region than the roster gives it
-	ReasonSize        DropReason = "size"        // a frame is larger than the limit
-	ReasonForm        DropReason = "form"        // a frame or message is malformed or exceeds a limit
-	ReasonVersion     DropReason = "version"     // a frame has an unknown version
-	ReasonCut         DropReason = "cut"         // a frame is truncated
-	ReasonConnections DropReason = "connections" // the connection limit is reached
-	ReasonBusy        DropReason = "busy"        // messages arrive faster than they are handled
-	ReasonQueue       DropReason = "queue"       // the send queue of an instance is full; it pulls what it missed
-	ReasonUnreachable DropReason = "unreachable" // the instance that a message is for cannot be reached
-	ReasonSettings    DropReason = "settings"    // this program cannot apply a committed revision
+	ReasonUnexpectedFrame DropReason = "hello"       // not a hello as the first frame, or an unexpected later one
+	ReasonUnknownMember   DropReason = "stranger"    // another installation, or a name that is not on the roster
+	ReasonWrongRegion     DropReason = "region"      // a member claims another region than the roster gives it
+	ReasonTooLarge        DropReason = "size"        // a frame is larger than the limit
+	ReasonMalformed       DropReason = "form"        // a frame or message is malformed or exceeds a limit
+	ReasonUnknownVersion  DropReason = "version"     // a frame has an unknown version
+	ReasonTruncated       DropReason = "cut"         // a frame is truncated
+	ReasonConnectionLimit DropReason = "connections" // the connection limit is reached
+	ReasonOverloaded      DropReason = "busy"        // messages arrive faster than they are handled
+	ReasonQueueFull       DropReason = "queue"       // the send queue of an instance is full; it pulls what it missed
+	ReasonUnreachable     DropReason = "unreachable" // the instance that a message is for cannot be reached
+	ReasonNotApplied      DropReason = "settings"    // this program cannot apply a committed revision
 )
 
 // minLogInterval is the shortest time between two log lines about the same drop reason.
--- a/internal/configsync/metrics_test.go
+++ b/internal/configsync/metrics_test.go
@@ -14,18 +14,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newMetrics()
 		unlogged := func(reason DropReason) int64 { return c.unlogged[reason] } // dropped, but not logged yet
-		c.drop(ReasonForm, 1)
-		require.Zero(t, unlogged(ReasonForm))
+		c.drop(ReasonMalformed, 1)
+		require.Zero(t, unlogged(ReasonMalformed))
 		for range 1000 {
-			c.drop(ReasonForm, 2)
+			c.drop(ReasonMalformed, 2)
 		}
-		require.EqualValues(t, 2000, unlogged(ReasonForm))
-		c.drop(ReasonSize, 1)
-		require.Zero(t, unlogged(ReasonSize), "each reason has its own interval")
+		require.EqualValues(t, 2000, unlogged(ReasonMalformed))
+		c.drop(ReasonTooLarge, 1)
+		require.Zero(t, unlogged(ReasonTooLarge), "each reason has its own interval")
 		time.Sleep(minLogInterval)
-		c.drop(ReasonForm, 1)
-		require.Zero(t, unlogged(ReasonForm))
-		require.EqualValues(t, 2002, c.dropped[ReasonForm])
+		c.drop(ReasonMalformed, 1)
+		require.Zero(t, unlogged(ReasonMalformed))
+		require.EqualValues(t, 2002, c.dropped[ReasonMalformed])
 		var text bytes.Buffer
 		c.write(&text)
 		require.Contains(t, text.String(), "app_config_dropped_total{reason=\"form\"} 2002\n")
--- a/internal/configsync/receiver.go
+++ b/internal/configsync/receiver.go
@@ -93,7 +93,7 @@
 		}
 		if !r.register(c) {
 			c.Close()
-			r.metrics.drop(ReasonConnections, 1, "address", c.RemoteAddr())
+			r.metrics.drop(ReasonConnectionLimit, 1, "address", c.RemoteAddr())
 			continue
 		}
 		r.wg.Go(func() {
@@ -175,14 +175,14 @@
 // checkHello returns the name of the member that sent a Hello, or why the connection is rejected.
 func (r *receiver) checkHello(h *syncpb.Hello) (from string, reason DropReason) {
 	if h == nil {
-		return "", ReasonHello
+		return "", ReasonUnexpectedFrame
 	}
 	m, ok := r.members[h.From]
 	switch {
 	case h.Installation != r.roster.Installation, !ok, h.To != r.self.Name, h.From == r.self.Name:
-		return "", ReasonStranger
+		return "", ReasonUnknownMember
 	case h.Region != m.Region:
-		return "", ReasonRegion
+		return "", ReasonWrongRegion
 	}
 	return h.From, ""
 }
@@ -193,7 +193,7 @@
 	case *syncpb.Frame_Log:
 		body, err := configlog.ParseBody(content.Log)
 		if err != nil {
-			r.metrics.drop(ReasonForm, 1, "from", from, "error", err)
+			r.metrics.drop(ReasonMalformed, 1, "from", from, "error", err)
 			return true
 		}
 		r.replaceConnection(from, c)
@@ -202,7 +202,7 @@
 	case *syncpb.Frame_StatusRequest:
 		return r.sendStatus(c)
 	default:
-		r.metrics.drop(ReasonHello, 1, "from", from)
+		r.metrics.drop(ReasonUnexpectedFrame, 1, "from", from)
 		return true
 	}
 }
@@ -238,13 +238,13 @@
 func (r *receiver) countReadError(err error, from string) {
 	switch {
 	case errors.Is(err, ErrFrameTooLarge):
-		r.metrics.drop(ReasonSize, 1, "from", from, "error", err)
+		r.metrics.drop(ReasonTooLarge, 1, "from", from, "error", err)
 	case errors.Is(err, ErrFrameVersion):
-		r.metrics.drop(ReasonVersion, 1, "from", from, "error", err)
+		r.metrics.drop(ReasonUnknownVersion, 1, "from", from, "error", err)
 	case errors.Is(err, ErrFrameMalformed):
-		r.metrics.drop(ReasonForm, 1, "from", from, "error", err)
+		r.metrics.drop(ReasonMalformed, 1, "from", from, "error", err)
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		r.metrics.drop(ReasonCut, 1, "from", from)
+		r.metrics.drop(ReasonTruncated, 1, "from", from)
 	}
 }
 
--- a/internal/configsync/sender.go
+++ b/internal/configsync/sender.go
@@ -62,7 +62,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) >= maxQueuedFrames || s.queuedBytes+len(frame) > maxQueuedBytes {
-		s.drop(len(s.queue), ReasonQueue)
+		s.drop(len(s.queue), ReasonQueueFull)
 	}
 	s.queue, s.queuedBytes = append(s.queue, queuedFrame{frame, time.Now()}), s.queuedBytes+len(frame)
 	s.wakeUp()
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -89,7 +89,7 @@
 	select {
 	case s.events <- func(current *session) { current.applyEffects(current.node.Handle(current.now(), m)) }:
 	default:
-		s.metrics.drop(ReasonBusy, 1, "from", m.From)
+		s.metrics.drop(ReasonOverloaded, 1, "from", m.From)
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 	frame, err := encodeFrame(&syncpb.Frame{Content: &syncpb.Frame_Log{Log: configlog.AppendBody(nil, m.Body)}})
 	if err != nil {
-		s.metrics.drop(ReasonSize, 1, "to", m.To, "error", err)
+		s.metrics.drop(ReasonTooLarge, 1, "to", m.To, "error", err)
 		return
 	}
 	to.send(frame)
