--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report keeps what a measurement has found: a table for people, the same figures as JSON, and the bars that
-// must hold.
+// Package report holds the results of a measurement. It prints them as a table, writes them as JSON, and checks values
+// against their upper bounds.
 package report
 
 import (
@@ -16,7 +16,7 @@
 	"topazfall/internal/version"
 )
 
-// Report is one measurement.
+// Report is the result of one measurement.
 type Report struct {
 	Name    string           `json:"name"`
 	Version string           `json:"version"`
@@ -25,28 +25,29 @@
 	Rows    []map[string]any `json:"rows"`
 	Bounds  []Bound          `json:"bars"`
 	Notes   []string         `json:"notes,omitempty"` // what was left out, and why
-	Data    any              `json:"data,omitempty"`  // all that was measured, for other programs
+	Data    any              `json:"data,omitempty"`  // all measured data, for other programs
 }
 
-// Bound is a figure that must not lie above a bound.
+// Bound is a measured value and the maximum that it must not exceed.
 type Bound struct {
 	Name  string  `json:"what"`
 	Value float64 `json:"value"`
 	Max   float64 `json:"most"`
 	Unit  string  `json:"unit"`
-	// Unjudged says why a value above the bound proves nothing; it neither keeps nor misses it then.
+	// Inconclusive is the reason why a value above the maximum proves nothing: the bound then counts as not judged
+	// instead of missed. It is empty for a bound that is always judged.
 	Inconclusive string `json:"unjudged,omitempty"`
 }
 
-// IsMet tells whether the figure keeps its bound.
+// IsMet reports whether the value does not exceed the maximum.
 func (b Bound) IsMet() bool { return b.Value <= b.Max }
 
-// New returns an empty report.
+// New returns a report without rows.
 func New(name string, seed uint64, columns ...string) *Report {
 	return &Report{Name: name, Version: version.String(), Seed: seed, Columns: columns}
 }
 
-// AddRow adds a row, its values in the order of the columns.
+// AddRow adds a row; the values are in the order of the columns.
 func (r *Report) AddRow(values ...any) {
 	row := map[string]any{}
 	for i, v := range values {
@@ -55,12 +56,12 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// AddBound notes a figure that must be at most so much.
-func (r *Report) AddBound(what string, value, most float64, unit string) {
-	r.Bounds = append(r.Bounds, Bound{Name: what, Value: value, Max: most, Unit: unit})
+// AddBound adds a value that must not exceed limit.
+func (r *Report) AddBound(name string, value, limit float64, unit string) {
+	r.Bounds = append(r.Bounds, Bound{Name: name, Value: value, Max: limit, Unit: unit})
 }
 
-// Verdict says of a bar whether it is kept.
+// Verdict returns the text of the report's last column: kept, MISSED, or the reason why the bound is inconclusive.
 func (b Bound) Verdict() string {
 	switch {
 	case b.IsMet():
@@ -71,8 +72,8 @@
 	return "MISSED"
 }
 
-// Finish prints the tables, keeps them in a file if one is named, and returns an error that names the bars that were
-// missed, and those that could not be judged.
+// Finish prints the tables, writes the report as JSON to a file if one is named, and returns an error that names the
+// bounds that were missed and those that could not be judged.
 func (r *Report) Finish(w io.Writer, file string) error {
 	fmt.Fprintf(w, "topazlab %s, version %s, seed %d\n", r.Name, r.Version, r.Seed)
 	r.printRows(w)
@@ -137,16 +138,17 @@
 		}
 	}
 	if len(missed) > 0 {
-		return fmt.Errorf("%d of %d bars were missed: %s", len(missed), len(r.Bounds),
+		return fmt.Errorf("%d of %d bounds were missed: %s", len(missed), len(r.Bounds),
 			strings.Join(append(missed, unjudged...), "; "))
 	}
 	if len(unjudged) > 0 {
-		return fmt.Errorf("%d of %d bars were not judged: %s", len(unjudged), len(r.Bounds), strings.Join(unjudged, "; "))
+		return fmt.Errorf("%d of %d bounds were not judged: %s", len(unjudged), len(r.Bounds),
+			strings.Join(unjudged, "; "))
 	}
 	return nil
 }
 
-// number writes a figure with two decimals, or three digits where that would show less.
+// number formats a value with two decimals, or with three significant digits if it is below 0.1.
 func number(v float64) string {
 	if a := math.Abs(v); a > 0 && a < 0.1 {
 		return fmt.Sprintf("%.3g", v)
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A missed bar is an error, after all was printed and kept.
+// A missed bound is an error, but only after the report was printed and written to the file.
 func TestFinish(t *testing.T) {
 	r := New("test", 7, "case", "figure")
 	r.AddRow("one", 1.5)
@@ -19,7 +19,7 @@
 	var out strings.Builder
 	require.NoError(t, r.Finish(&out, file))
 	r.AddBound("missed", 1.01, 1, "ms")
-	require.ErrorContains(t, r.Finish(&out, file), "1 of 2 bars")
+	require.ErrorContains(t, r.Finish(&out, file), "1 of 2 bounds")
 	require.Contains(t, out.String(), "MISSED")
 	require.Contains(t, out.String(), "seed 7")
 	text, err := os.ReadFile(file)
@@ -30,16 +30,17 @@
 	require.False(t, back.Bounds[1].IsMet())
 }
 
-// What a busy machine has spoilt is neither kept nor missed, and an error all the same; one that is kept is kept.
-func TestUnjudged(t *testing.T) {
+// A bound that is exceeded on a busy machine is neither met nor missed, but still an error. One that is met counts as
+// met on a busy machine too.
+func TestInconclusiveBound(t *testing.T) {
 	r := New("test", 7, "case")
 	r.Bounds = []Bound{{Name: "slow", Value: 2, Max: 1, Inconclusive: "machine too busy"},
 		{Name: "fast", Value: 1, Max: 1, Inconclusive: "machine too busy"}}
 	var out strings.Builder
-	require.ErrorContains(t, r.Finish(&out, ""), "1 of 2 bars were not judged: slow (machine too busy)")
+	require.ErrorContains(t, r.Finish(&out, ""), "1 of 2 bounds were not judged: slow (machine too busy)")
 	require.Contains(t, out.String(), "kept")
 	require.NotContains(t, out.String(), "MISSED")
 	r.AddBound("wrong", 0.0012, 0, "s")
-	require.ErrorContains(t, r.Finish(&out, ""), "1 of 3 bars were missed: wrong; slow (machine too busy)")
+	require.ErrorContains(t, r.Finish(&out, ""), "1 of 3 bounds were missed: wrong; slow (machine too busy)")
 	require.Contains(t, out.String(), "0.0012")
 }
--- a/internal/lab/scale/assumptions.go
+++ b/internal/lab/scale/assumptions.go
@@ -1,32 +1,34 @@
 package scale
 
-// An assumption is a part of a load that the operators have not given, or that days may change.
+// assumption is a part of a load that the operators have not specified, or that may differ from day to day.
 type assumption struct {
-	what   string
-	change func(l *Load, by float64)
+	name  string
+	scale func(l *Load, factor float64)
 }
 
 var assumptions = []assumption{
-	{"changes of workers", func(l *Load, by float64) { l.Changes *= by }},
-	{"words of other dispatchers, as with a third of the dispatchers", func(l *Load, by float64) { l.GossipMessages *= by }},
-	{"whole lists", func(l *Load, by float64) { l.Snapshots *= by }},
-	{"changes of configuration", func(l *Load, by float64) { l.Revisions *= by }},
+	{"changes of workers", func(l *Load, factor float64) { l.Changes *= factor }},
+	{"words of other dispatchers, as with a third of the dispatchers",
+		func(l *Load, factor float64) { l.GossipMessages *= factor }},
+	{"whole lists", func(l *Load, factor float64) { l.Snapshots *= factor }},
+	{"changes of configuration", func(l *Load, factor float64) { l.Revisions *= factor }},
 }
 
-// wrongBy is how far an assumption may be wrong.
-const wrongBy = 3
+// assumptionErrorFactor is by how much an assumption may be wrong.
+const assumptionErrorFactor = 3
 
-// What is worked out for an ordinary day, beside the bars.
+// Prefixes of the names of the values for an ordinary day that are reported beside the bounds.
 const (
-	workedCPU   = "worked out: processor time for control, ordinary day, with 3 times the "
-	workedBytes = "worked out: bytes for control, ordinary day, with 3 times the "
+	derivedCPUPrefix   = "worked out: processor time for control, ordinary day, with 3 times the "
+	derivedBytesPrefix = "worked out: bytes for control, ordinary day, with 3 times the "
 )
 
-// AddSensitivity adds what an ordinary day takes if one assumption is wrong by 3 times, each by itself.
+// AddSensitivity adds what an ordinary day costs if one assumption is too low by a factor of 3, for each assumption
+// separately.
 func (b *Bench) AddSensitivity() error {
 	for _, a := range assumptions {
-		l := ordinary()
-		a.change(&l, wrongBy)
+		l := ordinaryDay()
+		a.scale(&l, assumptionErrorFactor)
 		cpu, err := b.CPU(l)
 		if err != nil {
 			return err
@@ -35,28 +37,30 @@
 		if err != nil {
 			return err
 		}
-		b.worked = append(b.worked, worked{workedCPU + a.what, "% of a core", cpu}, worked{workedBytes + a.what,
-			"B/s", bytes})
+		b.derived = append(b.derived, derivedValue{derivedCPUPrefix + a.name, "% of a core", cpu},
+			derivedValue{derivedBytesPrefix + a.name, "B/s", bytes})
 	}
-	return b.parts()
+	return b.addDayBreakdown()
 }
 
-// worked is a figure that follows from others.
-type worked struct {
-	what, unit string
+// derivedValue is a value that is computed from fitted metrics.
+type derivedValue struct {
+	name, unit string
 	value      float64
 }
 
-// parts adds what each part of an ordinary day takes.
-func (b *Bench) parts() error {
-	day := ordinary()
+// addDayBreakdown adds what each part of the load of an ordinary day costs. Each includes the cost of the discovery
+// watch while nothing changes.
+func (b *Bench) addDayBreakdown() error {
+	day := ordinaryDay()
 	for _, part := range []struct {
-		what string
+		name string
 		load Load
 	}{{"the watch while nothing changes", Load{}}, {"changes of workers", Load{Changes: day.Changes}},
-		{"words of other dispatchers", Load{GossipMessages: day.GossipMessages}}, {"whole lists", Load{Snapshots: day.Snapshots}},
+		{"words of other dispatchers", Load{GossipMessages: day.GossipMessages}},
+		{"whole lists", Load{Snapshots: day.Snapshots}},
 		{"changes of configuration", Load{Revisions: day.Revisions}},
-		{"live weights of all once a second", Load{WeightUpdates: reweighsAssumed}}} {
+		{"live weights of all once a second", Load{WeightUpdates: assumedWeightUpdates}}} {
 		cpu, err := b.CPU(part.load)
 		if err != nil {
 			return err
@@ -65,9 +69,9 @@
 		if err != nil {
 			return err
 		}
-		b.worked = append(b.worked, worked{"worked out: processor time of " + part.what + ", with the watch",
+		b.derived = append(b.derived, derivedValue{"worked out: processor time of " + part.name + ", with the watch",
 			"% of a core", cpu},
-			worked{"worked out: bytes of " + part.what + ", with the watch", "B/s", bytes})
+			derivedValue{"worked out: bytes of " + part.name + ", with the watch", "B/s", bytes})
 	}
 	return nil
 }
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -7,102 +7,107 @@
 	"topazfall/internal/decide/gossip"
 )
 
-// The operators' figures for control, of each dispatcher.
+// The operators' limits for control traffic and the work that it causes, for each dispatcher.
 const (
-	mostCPU      = 1.0    // % of a core
-	mostMemory   = 64.0   // MB
-	mostBytes    = 2000.0 // a second
-	mostInForce  = 4.0    // seconds from a change of configuration to all
-	mostStarting = 6.6    // seconds until urgent work starts
+	maxCPU                 = 1.0    // % of a core
+	maxMemory              = 64.0   // MB
+	maxBytes               = 2000.0 // bytes a second
+	maxDistributionSeconds = 4.0    // from a change of the configuration until it is in force at all instances
+	maxUrgentStartSeconds  = 6.6    // until urgent work starts
 )
 
-// Load is how often a second each dispatcher has to do with what it is controlled by.
+// Load is the rate, in events a second, at which a dispatcher handles each kind of control event: worker list changes,
+// gossip messages and changes of the configuration.
 type Load struct {
 	Name           string
-	Changes        float64 // of one worker
-	WeightUpdates  float64 // of the live weights of all
-	GossipMessages float64 // of other dispatchers
-	Snapshots      float64 // whole ones
-	Revisions      float64 // of the configuration, with the quotas of all teams
+	Changes        float64 // changes of one worker
+	WeightUpdates  float64 // changes of the live weights of all workers at once
+	GossipMessages float64 // from other dispatchers
+	Snapshots      float64 // whole worker lists
+	Revisions      float64 // changes of the configuration, which has the quotas of all teams
 }
 
-// What the operators' figures make of an ordinary day.
+// The rates of an ordinary day, by the operators' numbers.
 const (
-	day             = 86_400.0 // seconds
-	failures        = 64.0     // machines a day: each is taken off the list and comes back
-	restarts        = 790.0    // machines a day: each drains, goes, comes back and is warm
-	revisionsADay   = 5200.0
-	startsAtPeak    = 700.0 // tasks a second
-	wordsOfAStart   = 2.0   // that it was sent, and that it has ended
-	sharers         = 2.0   // other dispatchers that share a worker, as the module has three for each
-	listsADay       = 24.0  // assumed: one an hour, after a failed watch or a restart
-	peak            = 10.0  // assumed: how much busier the busiest minutes are than the day
-	reweighsAssumed = 1.0   // assumed where weights are live: all of them once a second
+	secondsPerDay        = 86_400.0
+	failuresPerDay       = 64.0  // machines a day: each is removed from the list and comes back
+	restartsPerDay       = 790.0 // machines a day: each drains, is removed, comes back and becomes warm
+	revisionsPerDay      = 5200.0
+	peakStarts           = 700.0 // jobs a second, in the whole installation
+	messagesPerStart     = 2.0   // the job was sent, the job has ended
+	sharingDispatchers   = 2.0   // other dispatchers that use a worker: the decision module assigns three to each
+	snapshotsPerDay      = 24.0  // assumed: one an hour, after a failed watch or a restart
+	peakFactor           = 10.0  // assumed: ratio of the rates in the busiest minutes to those of the day
+	assumedWeightUpdates = 1.0   // a second; assumed if weights are live
 )
 
-// ordinary is the load of an ordinary day, with the most words that there can be.
-func ordinary() Load {
-	return Load{Name: "ordinary day", Changes: (2*failures + 4*restarts) / day, Snapshots: listsADay / day,
-		Revisions:      revisionsADay / day,
-		GossipMessages: startsAtPeak * wordsOfAStart * sharers / sizeDispatchers}
+// ordinaryDay returns the load of an ordinary day, with the largest possible number of gossip messages.
+func ordinaryDay() Load {
+	return Load{Name: "ordinary day", Changes: (2*failuresPerDay + 4*restartsPerDay) / secondsPerDay,
+		Snapshots:      snapshotsPerDay / secondsPerDay,
+		Revisions:      revisionsPerDay / secondsPerDay,
+		GossipMessages: peakStarts * messagesPerStart * sharingDispatchers / sizeDispatchers}
 }
 
-// loads are those that the bars are worked out for.
-func loads() []Load {
-	busiest := ordinary()
+// capacityLoads returns the loads whose costs are checked against bounds.
+func capacityLoads() []Load {
+	busiest := ordinaryDay()
 	busiest.Name = "busiest minutes"
-	busiest.Changes, busiest.Snapshots, busiest.Revisions = peak*busiest.Changes, peak*busiest.Snapshots, peak*busiest.Revisions
-	live := ordinary()
-	live.Name, live.WeightUpdates = "ordinary day with live weights", reweighsAssumed
-	return []Load{ordinary(), busiest, live}
+	busiest.Changes, busiest.Snapshots, busiest.Revisions = peakFactor*busiest.Changes, peakFactor*busiest.Snapshots,
+		peakFactor*busiest.Revisions
+	live := ordinaryDay()
+	live.Name, live.WeightUpdates = "ordinary day with live weights", assumedWeightUpdates
+	return []Load{ordinaryDay(), busiest, live}
 }
 
-// cost is a part of what a load costs: how often a second, and the figure that says how much each time.
-type cost struct {
+// eventCost is the cost of one kind of event: its rate, and the metric that gives the cost of one event.
+type eventCost struct {
 	rate         float64
-	figure, axis string
-	at, unit     float64 // place on the axis, and factor to seconds or bytes
+	metric, axis string
+	x, factor    float64 // position on the axis, and factor that converts the metric's unit
 }
 
-// work sums up costs, by the fits over their axes.
-func (d *Data) work(costs []cost) (sum float64, err error) {
+// sumCosts returns the sum of the costs, each computed from the measured or fitted value of its metric for real
+// dispatchers.
+func (d *Data) sumCosts(costs []eventCost) (sum float64, err error) {
 	for _, c := range costs {
-		each, err := d.At(c.figure, c.axis, fromReal, c.at)
+		unitCost, err := d.At(c.metric, c.axis, sourceReal, c.x)
 		if err != nil {
 			return 0, err
 		}
-		sum += c.rate * max(each, 0) * c.unit
+		sum += c.rate * max(unitCost, 0) * c.factor
 	}
 	return sum, nil
 }
 
-// CPU is the processor time that a load takes at the size in two years, in % of a core.
+// CPU returns the processor time that a load takes at the size in two years, in % of a core.
 func (d *Data) CPU(l Load) (float64, error) {
-	const ms = 1e-3 * 100 // to % of a core
-	return d.work([]cost{{1, figureIdle, axisWorkers, sizeWorkers, 1}, {l.Changes, figureChange, axisWorkers,
-		sizeWorkers, ms},
-		{l.WeightUpdates, figureReweigh, axisWorkers, sizeWorkers, ms}, {l.GossipMessages, figureWordReal, axisWorkers,
-			sizeWorkers, ms},
-		{l.Snapshots, figureLoad, axisWorkers, sizeWorkers, ms}, {l.Revisions, figureReload, axisTeams, sizeTeams, ms}})
+	const msToPercent = 1e-3 * 100 // converts ms a second to % of a core
+	return d.sumCosts([]eventCost{{1, metricIdleCPU, axisWorkers, sizeWorkers, 1},
+		{l.Changes, metricChangeCPU, axisWorkers, sizeWorkers, msToPercent},
+		{l.WeightUpdates, metricReweightCPU, axisWorkers, sizeWorkers, msToPercent},
+		{l.GossipMessages, metricGossipCPU, axisWorkers, sizeWorkers, msToPercent},
+		{l.Snapshots, metricSnapshotCPU, axisWorkers, sizeWorkers, msToPercent},
+		{l.Revisions, metricQuotaChange, axisTeams, sizeTeams, msToPercent}})
 }
 
-// Bytes are those that a load takes a second, at the size in two years.
+// Bytes returns the bytes a second that a load takes at the size in two years.
 func (d *Data) Bytes(l Load) (float64, error) {
-	const kilo = 1e3
-	sum, err := d.work([]cost{{1, figureIdleBytes, axisWorkers, sizeWorkers, 1}, {l.Changes, figureChangeBytes,
-		axisWorkers, sizeWorkers, 1},
-		{l.WeightUpdates, figureReweighB, axisWorkers, sizeWorkers, 1}, {l.Snapshots, figureLoadBytes, axisWorkers,
-			sizeWorkers, kilo},
-		{l.Revisions, figureReloadBytes, axisTeams, sizeTeams, 1}})
+	const kilobyte = 1e3
+	sum, err := d.sumCosts([]eventCost{{1, metricIdleBytes, axisWorkers, sizeWorkers, 1},
+		{l.Changes, metricChangeBytes, axisWorkers, sizeWorkers, 1},
+		{l.WeightUpdates, metricReweightBytes, axisWorkers, sizeWorkers, 1},
+		{l.Snapshots, metricSnapshotBytes, axisWorkers, sizeWorkers, kilobyte},
+		{l.Revisions, metricConfigBytes, axisTeams, sizeTeams, 1}})
 	return sum + l.GossipMessages*(gossip.MessageSize+datagramOverhead), err
 }
 
-// margin is by how much the cost of a hollow dispatcher may differ from that of a real one, as a part of the latter.
-const margin = 0.35
+// maxCostDifference is the largest relative difference between the costs of a simulated dispatcher and a real one.
+const maxCostDifference = 0.35
 
-// AddCapacityBounds adds the bars that follow from all that was measured.
+// AddCapacityBounds adds the bounds on values that are computed from all measurements.
 func (b *Bench) AddCapacityBounds() error {
-	for _, l := range loads() {
+	for _, l := range capacityLoads() {
 		cpu, err := b.CPU(l)
 		if err != nil {
 			return err
@@ -111,35 +116,35 @@
 		if err != nil {
 			return err
 		}
-		b.AddBound(Bound{Name: "processor time for control, " + l.Name, Value: cpu, Max: mostCPU, Unit: "% of a core"})
-		b.AddBound(Bound{Name: "bytes for control, " + l.Name, Value: bytes, Max: mostBytes, Unit: "B/s"})
+		b.AddBound(Bound{Name: "processor time for control, " + l.Name, Value: cpu, Max: maxCPU, Unit: "% of a core"})
+		b.AddBound(Bound{Name: "bytes for control, " + l.Name, Value: bytes, Max: maxBytes, Unit: "B/s"})
 	}
-	memory, err := b.At(figureResident, axisWorkers, fromReal, sizeWorkers)
+	memory, err := b.At(metricResident, axisWorkers, sourceReal, sizeWorkers)
 	if err != nil {
 		return err
 	}
-	b.AddBound(Bound{Name: "resident memory of a dispatcher", Value: memory, Max: mostMemory, Unit: "MB"})
+	b.AddBound(Bound{Name: "resident memory of a dispatcher", Value: memory, Max: maxMemory, Unit: "MB"})
 	if err := b.AddSensitivity(); err != nil {
 		return err
 	}
-	return b.compareKinds()
+	return b.addKindComparison()
 }
 
-// compareKinds checks that hollow dispatchers cost what real ones do, where both ran.
-func (b *Bench) compareKinds() error {
-	for _, c := range []struct{ figure, axis string }{{figureChange, axisWorkers}, {figureReweigh, axisWorkers},
-		{figureWordReal, axisWorkers}, {figureChangeBytes, axisWorkers}} {
-		full, err := b.At(c.figure, c.axis, fromReal, sizeWorkers)
+// addKindComparison adds bounds on the difference between the costs of simulated and real dispatchers.
+func (b *Bench) addKindComparison() error {
+	for _, c := range []struct{ metric, axis string }{{metricChangeCPU, axisWorkers}, {metricReweightCPU, axisWorkers},
+		{metricGossipCPU, axisWorkers}, {metricChangeBytes, axisWorkers}} {
+		realCost, err := b.At(c.metric, c.axis, sourceReal, sizeWorkers)
 		if err != nil {
 			return err
 		}
-		hollow, err := b.At(c.figure, c.axis, fromHollow, sizeWorkers)
+		simulatedCost, err := b.At(c.metric, c.axis, sourceSimulated, sizeWorkers)
 		if err != nil {
 			return err
 		}
-		b.AddBound(Bound{Name: fmt.Sprintf("hollow dispatchers differ from real ones: %s", c.figure),
-			Value: math.Abs(hollow/full - 1),
-			Max:   margin, Unit: "part"})
+		b.AddBound(Bound{Name: fmt.Sprintf("hollow dispatchers differ from real ones: %s", c.metric),
+			Value: math.Abs(simulatedCost/realCost - 1),
+			Max:   maxCostDifference, Unit: "part"})
 	}
 	return nil
 }
--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -14,34 +14,35 @@
 	"topazfall/internal/lab/report"
 )
 
-// cheap is a bench whose every figure was measured and keeps the operators' figures; times are in ms.
-func cheap() *Bench {
+// benchWithinBounds returns a bench with points for every metric that meet all bounds. Times are in ms.
+func benchWithinBounds() *Bench {
 	b := NewBench(Options{Seed: 7}, &strings.Builder{})
-	b.Calibration = &Calibration{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{time.Millisecond}}
-	b.keepPace()
-	for _, k := range []string{fromReal, fromHollow} {
+	b.Calibration = &Calibration{cpuTimes: []time.Duration{time.Millisecond},
+		wallTimes: []time.Duration{time.Millisecond}}
+	b.recordCalibration()
+	for _, k := range []string{sourceReal, sourceSimulated} {
 		for _, workers := range []float64{200, 800, 1600, 3000, 5500} {
-			b.Add(figureIdle, axisWorkers, "% of a core", k, workers, 0.1)
-			b.Add(figureChange, axisWorkers, "ms", k, workers, workers/5500)
-			b.Add(figureReweigh, axisWorkers, "ms", k, workers, 2*workers/5500)
-			b.Add(figureWordReal, axisWorkers, "ms", k, workers, 0.001*workers/5500)
-			b.Add(figureLoad, axisWorkers, "ms", k, workers, workers/5500)
-			b.Add(figureResident, axisWorkers, "MB", k, workers, 60*workers/5500)
-			b.Add(figureIdleBytes, axisWorkers, "B/s", k, workers, 100)
-			b.Add(figureChangeBytes, axisWorkers, "B", k, workers, 100)
-			b.Add(figureReweighB, axisWorkers, "B", k, workers, 500)
-			b.Add(figureLoadBytes, axisWorkers, "kB", k, workers, 1)
+			b.Add(metricIdleCPU, axisWorkers, "% of a core", k, workers, 0.1)
+			b.Add(metricChangeCPU, axisWorkers, "ms", k, workers, workers/5500)
+			b.Add(metricReweightCPU, axisWorkers, "ms", k, workers, 2*workers/5500)
+			b.Add(metricGossipCPU, axisWorkers, "ms", k, workers, 0.001*workers/5500)
+			b.Add(metricSnapshotCPU, axisWorkers, "ms", k, workers, workers/5500)
+			b.Add(metricResident, axisWorkers, "MB", k, workers, 60*workers/5500)
+			b.Add(metricIdleBytes, axisWorkers, "B/s", k, workers, 100)
+			b.Add(metricChangeBytes, axisWorkers, "B", k, workers, 100)
+			b.Add(metricReweightBytes, axisWorkers, "B", k, workers, 500)
+			b.Add(metricSnapshotBytes, axisWorkers, "kB", k, workers, 1)
 		}
 	}
 	for _, teams := range []float64{6, 50, 120, 250, 490} {
-		b.Add(figureReload, axisTeams, "ms", fromReal, teams, 1)
-		b.Add(figureReloadBytes, axisTeams, "B", fromReal, teams, 100)
+		b.Add(metricQuotaChange, axisTeams, "ms", sourceReal, teams, 1)
+		b.Add(metricConfigBytes, axisTeams, "B", sourceReal, teams, 100)
 	}
 	return b
 }
 
-// finish judges a bench and returns what the command returns.
-func finish(t *testing.T, b *Bench) (string, error) {
+// judge adds the bounds to a bench and returns the printed report with the error of the command.
+func judge(t *testing.T, b *Bench) (string, error) {
 	require.NoError(t, b.Fit())
 	require.NoError(t, b.AddCapacityBounds())
 	var out strings.Builder
@@ -49,69 +50,69 @@
 	return out.String(), err
 }
 
-// What keeps all bars is no error; each miss that is planted is one, which names it.
-func TestPlantedMisses(t *testing.T) {
-	text, err := finish(t, cheap())
+// A report that meets all bounds is no error. Each metric that is too high is an error that names the bound.
+func TestMissedBoundsAreReported(t *testing.T) {
+	text, err := judge(t, benchWithinBounds())
 	require.NoError(t, err, text)
-	for figure, want := range map[string]string{
-		figureIdle:        "processor time for control, ordinary day",
-		figureIdleBytes:   "bytes for control, ordinary day",
-		figureResident:    "resident memory of a dispatcher",
-		figureReweighB:    "bytes for control, ordinary day with live weights",
-		figureReload:      "processor time for control, busiest minutes",
-		figureReloadBytes: "bytes for control, ordinary day",
+	for metric, want := range map[string]string{
+		metricIdleCPU:       "processor time for control, ordinary day",
+		metricIdleBytes:     "bytes for control, ordinary day",
+		metricResident:      "resident memory of a dispatcher",
+		metricReweightBytes: "bytes for control, ordinary day with live weights",
+		metricQuotaChange:   "processor time for control, busiest minutes",
+		metricConfigBytes:   "bytes for control, ordinary day",
 	} {
-		b := cheap()
+		b := benchWithinBounds()
 		for _, s := range b.Series {
-			if s.Metric == figure {
+			if s.Metric == metric {
 				for i := range s.Points {
 					s.Points[i].Y *= 1000
 				}
 			}
 		}
-		text, err := finish(t, b)
-		require.ErrorContains(t, err, want, figure)
+		text, err := judge(t, b)
+		require.ErrorContains(t, err, want, metric)
 		require.Contains(t, text, "MISSED")
 	}
 }
 
-// A hollow dispatcher that is much cheaper than a real one spoils the run.
-func TestHollowThatDiffers(t *testing.T) {
-	b := cheap()
+// Simulated dispatchers that are much cheaper than real ones make the run fail.
+func TestSimulatedCostsDiffer(t *testing.T) {
+	b := benchWithinBounds()
 	for _, s := range b.Series {
-		if s.Metric == figureChange && s.Source == fromHollow {
+		if s.Metric == metricChangeCPU && s.Source == sourceSimulated {
 			for i := range s.Points {
 				s.Points[i].Y /= 2
 			}
 		}
 	}
-	_, err := finish(t, b)
+	_, err := judge(t, b)
 	require.ErrorContains(t, err, "hollow dispatchers differ from real ones: processor time of a change")
 }
 
-// A figure in wall-clock time that is missed on a busy machine is not judged, and still no success; one that is
-// missed on a steady one is missed, and so is one that counts events whatever the machine does.
+// A bound in wall-clock time that is exceeded on a busy machine is not judged, but still an error. On a steady machine
+// it is missed, and so is a count of events on any machine.
 func TestBusyMachine(t *testing.T) {
 	slow := Bound{Name: "slow", Value: 5, Max: 4, Unit: "s", IsWallClock: true}
 	for _, c := range []struct {
 		wall time.Duration
 		want string
 	}{{time.Millisecond, "were missed: slow"}, {3 * time.Millisecond, "not judged: slow (machine too busy)"}} {
-		b := cheap()
-		b.Calibration = &Calibration{spent: []time.Duration{time.Millisecond}, wall: []time.Duration{c.wall}}
+		b := benchWithinBounds()
+		b.Calibration = &Calibration{cpuTimes: []time.Duration{time.Millisecond}, wallTimes: []time.Duration{c.wall}}
 		b.AddBound(slow)
-		_, err := finish(t, b)
+		_, err := judge(t, b)
 		require.ErrorContains(t, err, c.want)
 		b.AddBound(Bound{Name: "lost", Value: 1})
-		_, err = finish(t, b)
+		_, err = judge(t, b)
 		require.ErrorContains(t, err, "were missed: ")
 		require.Contains(t, strings.Split(strings.Split(err.Error(), ": ")[1], "(machine")[0], "lost")
 	}
 }
 
-// What was measured comes back from the file as it went there.
+// A report that is written to a file and read again has the same series and bounds.
 func TestRoundTrip(t *testing.T) {
-	b := cheap()
+	b := benchWithinBounds()
 	require.NoError(t, b.Fit())
 	require.NoError(t, b.AddCapacityBounds())
 	file := filepath.Join(t.TempDir(), "scale.json")
@@ -128,37 +129,37 @@
 	require.EqualValues(t, 7, back.Seed)
 }
 
-// A figure that was not measured is an error, and no zero.
+// A metric that was not measured is an error; it does not count as 0.
 func TestUnmeasured(t *testing.T) {
-	b := cheap()
+	b := benchWithinBounds()
 	b.Series = slices.DeleteFunc(b.Series, func(s *Series) bool {
-		return s.Metric == figureIdle && s.Source == fromReal
+		return s.Metric == metricIdleCPU && s.Source == sourceReal
 	})
 	require.NoError(t, b.Fit())
-	require.ErrorContains(t, b.AddCapacityBounds(), figureIdle+" over workers (real) is not measured")
+	require.ErrorContains(t, b.AddCapacityBounds(), metricIdleCPU+" over workers (real) is not measured")
 }
 
-// Where it was measured a figure is the median, elsewhere the fit.
+// At returns the median of the values measured at x, or else the fitted value.
 func TestAt(t *testing.T) {
 	var d Data
-	d.Add("f", "x", "ms", fromReal, 1, 1, 1.2, 9)
-	d.Add("f", "x", "ms", fromReal, 2, 2)
-	_, err := d.At("f", "x", fromReal, 3)
+	d.Add("f", "x", "ms", sourceReal, 1, 1, 1.2, 9)
+	d.Add("f", "x", "ms", sourceReal, 2, 2)
+	_, err := d.At("f", "x", sourceReal, 3)
 	require.ErrorContains(t, err, "has no fit")
 	for _, x := range []float64{4, 5, 6} {
-		d.Add("f", "x", "ms", fromReal, x, x)
+		d.Add("f", "x", "ms", sourceReal, x, x)
 	}
 	require.NoError(t, d.Fit())
-	at, err := d.At("f", "x", fromReal, 1)
+	at, err := d.At("f", "x", sourceReal, 1)
 	require.NoError(t, err)
 	require.Equal(t, 1.2, at)
-	_, err = d.At("f", "x", fromReal, 3)
+	_, err = d.At("f", "x", sourceReal, 3)
 	require.NoError(t, err)
 }
 
-// A chart is drawn for each figure and axis, with all its sources.
+// Each metric and axis gets one chart with all its sources.
 func TestCharts(t *testing.T) {
-	b, dir := cheap(), t.TempDir()
+	b, dir := benchWithinBounds(), t.TempDir()
 	require.NoError(t, b.Fit())
 	require.NoError(t, WriteCharts(dir, b.Series))
 	text, err := os.ReadFile(filepath.Join(dir, "resident-memory-over-workers.svg"))
@@ -168,23 +169,23 @@
 	require.Contains(t, string(text), "hollow, linear")
 }
 
-// No more hollow dispatchers are started than there is memory for.
-func TestMemoryBound(t *testing.T) {
+// The number of simulated dispatchers is limited by the memory budget.
+func TestMemoryBudget(t *testing.T) {
 	s := Setup{Workers: 5500, Real: 5, Simulated: 300}
-	require.Less(t, hollowWithin(4<<30, s), 60)
-	require.Positive(t, hollowWithin(4<<30, s))
-	require.Zero(t, hollowWithin(0, s))
+	require.Less(t, maxSimulatedWithin(4<<30, s), 60)
+	require.Positive(t, maxSimulatedWithin(4<<30, s))
+	require.Zero(t, maxSimulatedWithin(0, s))
 	s.Workers = 200
-	require.Equal(t, 300, hollowWithin(8<<30, s))
-	room, err := memoryRoom()
+	require.Equal(t, 300, maxSimulatedWithin(8<<30, s))
+	budget, err := memoryBudget()
 	require.NoError(t, err)
-	require.Positive(t, room)
+	require.Positive(t, budget)
 }
 
-// What earlier runs kept is worked out anew to the same bars; bars that follow from no slope stay, and so do their
-// misses.
-func TestRework(t *testing.T) {
-	b := cheap()
+// Recomputing from the files of earlier runs gives the same bounds. Bounds that do not follow from a fit are kept, also
+// if they were missed.
+func TestRecompute(t *testing.T) {
+	b := benchWithinBounds()
 	require.NoError(t, b.Fit())
 	require.NoError(t, b.AddCapacityBounds())
 	b.AddBound(Bound{Name: "lost", Value: 1})
@@ -196,7 +197,7 @@
 	require.Equal(t, b.Report().Rows, again.Rows)
 
 	later := NewBench(Options{Seed: 7}, &strings.Builder{})
-	later.Add(figureIdle, axisWorkers, "% of a core", fromReal, 5500, 100)
+	later.Add(metricIdleCPU, axisWorkers, "% of a core", sourceReal, 5500, 100)
 	require.NoError(t, later.Report().Finish(&strings.Builder{}, part))
 	again, err = Recompute([]string{whole, part}, "")
 	require.NoError(t, err)
@@ -205,17 +206,17 @@
 	require.Error(t, err)
 }
 
-// Each assumption that is wrong by 3 times shows in what an ordinary day takes.
+// Each assumption that is too low by a factor of 3 raises the bytes of an ordinary day.
 func TestSensitivity(t *testing.T) {
-	b := cheap()
+	b := benchWithinBounds()
 	require.NoError(t, b.Fit())
-	day, err := b.Bytes(ordinary())
+	day, err := b.Bytes(ordinaryDay())
 	require.NoError(t, err)
 	require.NoError(t, b.AddSensitivity())
 	shown := 0
-	for _, w := range b.worked {
-		if strings.HasPrefix(w.what, workedBytes) {
-			require.Greater(t, w.value, day, w.what)
+	for _, w := range b.derived {
+		if strings.HasPrefix(w.name, derivedBytesPrefix) {
+			require.Greater(t, w.value, day, w.name)
 			shown++
 		}
 	}
--- a/internal/lab/scale/chart.go
+++ b/internal/lab/scale/chart.go
@@ -12,43 +12,45 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a chart.
+// Size of a chart, and the number of segments of a drawn curve.
 const (
 	chartWidth  = 16 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
 	curveSteps  = 100
 )
 
-// lineColours are those of the sources in a chart, in order.
-var lineColours = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255},
+// lineColors are the colors of the sources in a chart, in order.
+var lineColors = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255},
 	color.RGBA{R: 44, G: 160, B: 44, A: 255}}
 
-// WriteCharts draws each figure over its axis, with the fit of each source, as an SVG file in a folder.
+// WriteCharts draws one SVG file per metric and axis into a folder, with the points and the fit of each source.
 func WriteCharts(dir string, all []*Series) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	drawn := map[string]bool{}
 	for _, s := range all {
-		name := fileName(s.Metric + " over " + s.Axis)
+		name := chartFileName(s.Metric + " over " + s.Axis)
 		if drawn[name] {
 			continue
 		}
 		drawn[name] = true
-		var together []*Series
+		var group []*Series
 		for _, o := range all {
 			if o.Metric == s.Metric && o.Axis == s.Axis {
-				together = append(together, o)
+				group = append(group, o)
 			}
 		}
-		if err := draw(filepath.Join(dir, name+".svg"), together); err != nil {
+		if err := drawChart(filepath.Join(dir, name+".svg"), group); err != nil {
 			return fmt.Errorf("chart of %s: %w", s.Metric, err)
 		}
 	}
 	return nil
 }
 
-func fileName(text string) string {
+// chartFileName lower-cases a text, replaces everything but letters a to z and digits by hyphens, and removes those at
+// either end.
+func chartFileName(text string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
 			return r
@@ -57,24 +59,25 @@
 	}, strings.ToLower(text)), "-")
 }
 
-func draw(file string, together []*Series) error {
+// drawChart draws the series of one metric and axis.
+func drawChart(file string, group []*Series) error {
 	p := plot.New()
-	p.Title.Text = together[0].Metric
-	p.X.Label.Text, p.Y.Label.Text = together[0].Axis, together[0].Unit
-	for i, s := range together {
+	p.Title.Text = group[0].Metric
+	p.X.Label.Text, p.Y.Label.Text = group[0].Axis, group[0].Unit
+	for i, s := range group {
 		points := make(plotter.XYs, len(s.Points))
-		for k, at := range s.Points {
-			points[k].X, points[k].Y = at.X, at.Y
+		for k, point := range s.Points {
+			points[k].X, points[k].Y = point.X, point.Y
 		}
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
 			return err
 		}
-		dots.Color = lineColours[i%len(lineColours)]
+		dots.Color = lineColors[i%len(lineColors)]
 		p.Add(dots)
 		label := s.Source
 		if s.Fit != nil {
-			curve, err := plotter.NewLine(curveOf(s))
+			curve, err := plotter.NewLine(fitCurve(s))
 			if err != nil {
 				return err
 			}
@@ -88,7 +91,8 @@
 	return p.Save(chartWidth, chartHeight, file)
 }
 
-func curveOf(s *Series) plotter.XYs {
+// fitCurve returns the fitted values over the measured range.
+func fitCurve(s *Series) plotter.XYs {
 	x, _ := s.ranges()
 	line := make(plotter.XYs, curveSteps+1)
 	for i := range line {
--- a/internal/lab/scale/configuration.go
+++ b/internal/lab/scale/configuration.go
@@ -15,39 +15,39 @@
 	"topazfall/internal/lab/program"
 )
 
-// Distributor brings revisions of the configuration to all instances. Each way of doing that is one, so that they are
-// measured alike, in one run: the one before, and what takes its place.
+// Distributor brings revisions of the configuration to all instances. There is one for each way to do so, and all are
+// measured in the same manner in one run, so that an old way can be compared with its replacement.
 type Distributor interface {
 	Name() string
-	// Start starts so many agents, with files below dir.
+	// Start starts the given number of agents, with their files below dir.
 	Start(ctx context.Context, b *Bench, dir string, instances int) error
-	// Bring hands revision number n to whoever takes it, and returns when there is nothing left to do for the caller.
-	Distribute(ctx context.Context, n uint64) error
-	// InTurn tells whether instances are reached one after the other, so that the time grows with their number.
+	// Distribute hands over a revision and returns when the caller has nothing left to do for it.
+	Distribute(ctx context.Context, revision uint64) error
+	// IsSequential reports whether instances are reached one after the other, so that the time grows with their number.
 	IsSequential() bool
-	// Sizes are the numbers of instances that it is measured with; realCount is one of them.
+	// Sizes returns the numbers of instances to measure with; realDispatchers is one of them.
 	Sizes(quick bool) []int
-	// Holds is the revision in force at an instance.
+	// Revision returns the number of the revision in force at an instance.
 	Revision(ctx context.Context, instance int) (uint64, error)
-	// Process is that of an instance, to freeze it.
+	// Process returns the process of an instance, so that it can be frozen.
 	Process(instance int) *program.Process
 	Close()
 }
 
-// Configuration measures carriers.
+// Configuration measures distributors.
 type Configuration struct{ Distributors []Distributor }
 
 const (
-	inForce       = 4 * time.Second        // within which a change must be in force everywhere
-	applyLimit    = 10 * time.Second       // of topazctl, by its default
-	askEvery      = 10 * time.Millisecond  // how often an instance is asked what it holds
-	askLimit      = 200 * time.Millisecond // for its answer
-	axisInstances = "instances"
+	distributionLimit    = 4 * time.Second        // within which a change must be in force everywhere
+	applyTimeout         = 10 * time.Second       // the default of topazctl
+	revisionPollInterval = 10 * time.Millisecond  // between two requests for the revision of an instance
+	revisionTimeout      = 200 * time.Millisecond // of such a request to an instance that may be unreachable
+	axisInstances        = "instances"
 
-	// Figures, each with the carrier's name after it.
-	figureInForce   = "time until a change is in force everywhere: "
-	figureOneFrozen = "time until a change is in force at all others while one is frozen: "
-	figureWoken     = "time until a woken instance has what it missed: "
+	// Metrics, each with the distributor's name after it.
+	metricDistribution          = "time until a change is in force everywhere: "
+	metricDistributionOneFrozen = "time until a change is in force at all others while one is frozen: "
+	metricThawCatchUp           = "time until a woken instance has what it missed: "
 )
 
 // Name implements Measurement.
@@ -60,208 +60,215 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	saving, stop := context.WithCancel(ctx)
+	savesCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var saves []float64
-	ended := make(chan error, 1)
+	var saveTimes []float64
+	savesDone := make(chan error, 1)
 	go func() {
 		var err error
-		saves, err = timeSaves(saving, dir)
-		ended <- err
+		saveTimes, err = timeSaves(savesCtx, dir)
+		savesDone <- err
 	}()
-	fault := c.carryAll(ctx, b)
+	measureErr := c.measureAll(ctx, b)
 	stop()
-	if err := errors.Join(fault, <-ended); err != nil {
+	if err := errors.Join(measureErr, <-savesDone); err != nil {
 		return err
 	}
-	b.Add(figureSave, axisTimings, "ms", fromRun, 1, saves...)
-	b.AddNote("%s: median %.1f ms, longest %.1f ms of %d", figureSave,
-		quantile(saves, 0.5), quantile(saves, 1), len(saves))
+	b.Add(metricSave, axisTimings, "ms", sourceRun, 1, saveTimes...)
+	b.AddNote("%s: median %.1f ms, longest %.1f ms of %d", metricSave,
+		quantile(saveTimes, 0.5), quantile(saveTimes, 1), len(saveTimes))
 	return nil
 }
 
-// carryAll measures each carrier at each of its sizes.
-func (c Configuration) carryAll(ctx context.Context, b *Bench) error {
-	for _, carrier := range c.Distributors {
-		for _, instances := range carrier.Sizes(b.Quick) {
-			if err := c.carry(ctx, b, carrier, instances); err != nil {
-				return fmt.Errorf("%s, %d instances: %w", carrier.Name(), instances, err)
+// measureAll measures each distributor at each of its sizes.
+func (c Configuration) measureAll(ctx context.Context, b *Bench) error {
+	for _, distributor := range c.Distributors {
+		for _, instances := range distributor.Sizes(b.Quick) {
+			if err := c.measureDistributor(ctx, b, distributor, instances); err != nil {
+				return fmt.Errorf("%s, %d instances: %w", distributor.Name(), instances, err)
 			}
 		}
 	}
 	return nil
 }
 
-func (c Configuration) carry(ctx context.Context, b *Bench, carrier Distributor, instances int) error {
+// measureDistributor measures one distributor with the given number of instances. With fewer than realDispatchers it
+// measures only the time that changes take.
+func (c Configuration) measureDistributor(ctx context.Context, b *Bench, distributor Distributor, instances int) error {
 	dir, err := os.MkdirTemp("", "topazlab-scale")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	defer carrier.Close()
-	if err := carrier.Start(ctx, b, dir, instances); err != nil {
+	defer distributor.Close()
+	if err := distributor.Start(ctx, b, dir, instances); err != nil {
 		return err
 	}
-	revision, slowest, err := c.changes(ctx, b, carrier, figureInForce, 0, span{0, instances})
-	if err != nil || instances < realCount {
+	revision, slowest, err := c.measureChanges(ctx, b, distributor, metricDistribution, 0, instanceRange{0, instances})
+	if err != nil || instances < realDispatchers {
 		return err
 	}
-	b.AddBound(Bound{Name: fmt.Sprintf("%s: slowest change at %d instances", carrier.Name(), instances),
-		Value: slowest, Max: mostInForce,
+	b.AddBound(Bound{Name: fmt.Sprintf("%s: slowest change at %d instances", distributor.Name(), instances),
+		Value: slowest, Max: maxDistributionSeconds,
 		Unit: "s", IsWallClock: true})
-	if carrier.IsSequential() {
-		if revision, err = c.allInTurn(ctx, b, carrier, revision, instances); err != nil {
+	if distributor.IsSequential() {
+		if revision, err = c.measureSequentialRounds(ctx, b, distributor, revision, instances); err != nil {
 			return err
 		}
 	}
-	if revision, err = c.cost(ctx, b, carrier, revision, instances); err != nil {
+	if revision, err = c.measureCost(ctx, b, distributor, revision, instances); err != nil {
 		return err
 	}
-	return c.frozen(ctx, b, carrier, revision, instances)
+	return c.measureOneFrozen(ctx, b, distributor, revision, instances)
 }
 
-// span is the instances that are asked: from the first one's index on, up to the number of all.
-type span struct{ first, instances int }
+// instanceRange is the instances from index first up to, but not including, index instances.
+type instanceRange struct{ first, instances int }
 
-// changes brings some changes, one after the other, and measures the time until each is in force at all instances
-// from the first one named on. It returns the last revision and the longest time, in seconds.
-func (Configuration) changes(ctx context.Context, b *Bench, carrier Distributor, figure string, revision uint64,
-	asked span) (uint64, float64, error) {
+// measureChanges distributes some changes, one after the other, and measures the time until each is in force at all
+// target instances. It returns the last revision and the longest time in seconds.
+func (Configuration) measureChanges(ctx context.Context, b *Bench, distributor Distributor, metric string,
+	revision uint64, targets instanceRange) (uint64, float64, error) {
 	slowest := 0.0
 	for range pick(b, 5, 20) {
 		revision++
-		began := time.Now()
-		if err := carrier.Distribute(ctx, revision); err != nil {
+		start := time.Now()
+		if err := distributor.Distribute(ctx, revision); err != nil {
 			return revision, 0, err
 		}
-		if err := awaitRevision(ctx, carrier, revision, asked.first, asked.instances); err != nil {
+		if err := awaitRevision(ctx, distributor, revision, targets.first, targets.instances); err != nil {
 			return revision, 0, err
 		}
-		took := time.Since(began).Seconds()
-		b.Add(figure+carrier.Name(), axisInstances, "ms", fromReal, float64(asked.instances), took*1e3)
-		slowest = max(slowest, took)
+		elapsed := time.Since(start).Seconds()
+		b.Add(metric+distributor.Name(), axisInstances, "ms", sourceReal, float64(targets.instances), elapsed*1e3)
+		slowest = max(slowest, elapsed)
 	}
 	return revision, slowest, nil
 }
 
-// allInTurn measures the time until a change is in force at as many instances as there are to be dispatchers: by so
-// many rounds over those that run that as many calls are made, one after the other.
-func (Configuration) allInTurn(ctx context.Context, b *Bench, carrier Distributor, revision uint64,
+// measureSequentialRounds measures the time until a change is in force at sizeDispatchers instances, where only a few
+// run: it distributes changes to these until it has made as many calls, one after the other.
+func (Configuration) measureSequentialRounds(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
 	instances int) (uint64, error) {
-	began := time.Now()
+	start := time.Now()
 	for range sizeDispatchers / instances {
 		revision++
-		if err := carrier.Distribute(ctx, revision); err != nil {
+		if err := distributor.Distribute(ctx, revision); err != nil {
 			return revision, err
 		}
 	}
 	b.AddBound(Bound{Name: fmt.Sprintf("%s: time for %d instances on one machine, in rounds over %d, none frozen",
-		carrier.Name(),
-		sizeDispatchers, instances), Value: time.Since(began).Seconds(), Max: mostInForce, Unit: "s", IsWallClock: true})
-	return revision, awaitRevision(ctx, carrier, revision, 0, instances)
+		distributor.Name(), sizeDispatchers, instances),
+		Value: time.Since(start).Seconds(), Max: maxDistributionSeconds, Unit: "s", IsWallClock: true})
+	return revision, awaitRevision(ctx, distributor, revision, 0, instances)
 }
 
-// awaitRevision waits until all instances from the first one named on hold a revision.
-func awaitRevision(ctx context.Context, carrier Distributor, revision uint64, first, instances int) error {
-	ctx, cancel := context.WithTimeout(ctx, loading)
+// awaitRevision waits until all instances from index first on hold at least the given revision.
+func awaitRevision(ctx context.Context, distributor Distributor, revision uint64, first, instances int) error {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	for i := first; i < instances; i++ {
 		for {
-			held, err := carrier.Revision(ctx, i)
-			if err == nil && held >= revision {
+			current, err := distributor.Revision(ctx, i)
+			if err == nil && current >= revision {
 				break
 			}
-			if err := sleep(ctx, askEvery); err != nil {
-				return fmt.Errorf("instance %d holds revision %d, not %d: %w", i, held, revision, err)
+			if err := sleep(ctx, revisionPollInterval); err != nil {
+				return fmt.Errorf("instance %d is at revision %d, not %d: %w", i, current, revision, err)
 			}
 		}
 	}
 	return nil
 }
 
-// frozen freezes the first instance and measures what the others get meanwhile; where none lacks the change, further
-// ones follow, and then the time until the first has what it missed after it is woken.
-func (c Configuration) frozen(ctx context.Context, b *Bench, carrier Distributor, revision uint64, instances int) error {
-	if err := carrier.Process(0).Freeze(); err != nil {
+// measureOneFrozen freezes the first instance and counts the others that lack a change after the limit. If none does,
+// it measures further changes at the others, and then how long the first instance takes to catch up after it was
+// thawed.
+func (c Configuration) measureOneFrozen(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
+	instances int) error {
+	if err := distributor.Process(0).Freeze(); err != nil {
 		return err
 	}
-	defer carrier.Process(0).Thaw()
+	defer distributor.Process(0).Thaw()
 	revision++
-	lacking, err := lackingAfterLimit(ctx, carrier, revision, instances)
+	missing, err := missingAfterLimit(ctx, distributor, revision, instances)
 	if err != nil {
 		return err
 	}
-	b.AddBound(Bound{Name: fmt.Sprintf("%s: reachable instances, of %d, without the change after 4 s while one is frozen",
-		carrier.Name(), instances-1), Value: float64(lacking)})
-	if lacking > 0 {
+	b.AddBound(Bound{Name: fmt.Sprintf(
+		"%s: reachable instances, of %d, without the change after 4 s while one is frozen",
+		distributor.Name(), instances-1), Value: float64(missing)})
+	if missing > 0 {
 		return nil
 	}
-	revision, slowest, err := c.changes(ctx, b, carrier, figureOneFrozen, revision, span{1, instances})
+	revision, slowest, err := c.measureChanges(ctx, b, distributor, metricDistributionOneFrozen, revision,
+		instanceRange{1, instances})
 	if err != nil {
 		return err
 	}
 	b.AddBound(Bound{Name: fmt.Sprintf("%s: slowest change at the others of %d instances while one is frozen",
-		carrier.Name(), instances), Value: slowest, Max: mostInForce, Unit: "s", IsWallClock: true})
-	if err := carrier.Process(0).Thaw(); err != nil {
+		distributor.Name(), instances), Value: slowest, Max: maxDistributionSeconds, Unit: "s", IsWallClock: true})
+	if err := distributor.Process(0).Thaw(); err != nil {
 		return err
 	}
-	began := time.Now()
-	if err := awaitRevision(ctx, carrier, revision, 0, 1); err != nil {
+	start := time.Now()
+	if err := awaitRevision(ctx, distributor, revision, 0, 1); err != nil {
 		return err
 	}
-	took := time.Since(began).Seconds() * 1e3
-	b.Add(figureWoken+carrier.Name(), axisInstances, "ms", fromReal, float64(instances), took)
+	elapsed := time.Since(start).Seconds() * 1e3
+	b.Add(metricThawCatchUp+distributor.Name(), axisInstances, "ms", sourceReal, float64(instances), elapsed)
 	return nil
 }
 
-// lackingAfterLimit brings a change and counts the instances, all but the first, that lack it when it should be in
-// force.
-func lackingAfterLimit(ctx context.Context, carrier Distributor, revision uint64, instances int) (lacking int, err error) {
-	began := time.Now()
-	bringing, cancel := context.WithCancel(ctx)
-	brought := make(chan error, 1)
-	go func() { brought <- carrier.Distribute(bringing, revision) }()
-	defer func() { // who brings it must have ended when the carrier is closed
+// missingAfterLimit distributes a change and counts the instances, other than the first, that lack it when it must be
+// in force.
+func missingAfterLimit(ctx context.Context, distributor Distributor, revision uint64,
+	instances int) (missing int, err error) {
+	start := time.Now()
+	distributeCtx, cancel := context.WithCancel(ctx)
+	distributed := make(chan error, 1)
+	go func() { distributed <- distributor.Distribute(distributeCtx, revision) }()
+	defer func() { // Distribute must have returned before the distributor is closed
 		cancel()
-		<-brought
+		<-distributed
 	}()
-	if err := sleep(ctx, inForce-time.Since(began)); err != nil {
+	if err := sleep(ctx, distributionLimit-time.Since(start)); err != nil {
 		return 0, err
 	}
 	for i := 1; i < instances; i++ {
-		asking, cancel := context.WithTimeout(ctx, askLimit)
-		if held, err := carrier.Revision(asking, i); err != nil || held < revision {
-			lacking++
+		revisionCtx, cancel := context.WithTimeout(ctx, revisionTimeout)
+		if current, err := distributor.Revision(revisionCtx, i); err != nil || current < revision {
+			missing++
 		}
 		cancel()
 	}
-	return lacking, nil
+	return missing, nil
 }
 
-// SerialApply is what there is without a carrier: a call of the control API at one agent after the other, as an
-// operator makes it with topazctl.
+// SerialApply distributes changes as an operator does with topazctl: it calls the control API of one agent after the
+// other.
 type SerialApply struct {
-	list   *discoveryserver.Server
-	agents []*program.Agent
+	discovery *discoveryserver.Server
+	agents    []*program.Agent
 }
 
-// Name implements Carrier.
+// Name implements Distributor.
 func (s *SerialApply) Name() string { return "one Apply after the other" }
 
-// IsSequential implements Carrier.
+// IsSequential implements Distributor.
 func (s *SerialApply) IsSequential() bool { return true }
 
-// Sizes implements Carrier.
-func (s *SerialApply) Sizes(bool) []int { return []int{1, 2, 3, 4, realCount} }
+// Sizes implements Distributor.
+func (s *SerialApply) Sizes(bool) []int { return []int{1, 2, 3, 4, realDispatchers} }
 
-// Start implements Carrier.
+// Start implements Distributor.
 func (s *SerialApply) Start(_ context.Context, b *Bench, dir string, instances int) (err error) {
-	if s.list, err = discoveryserver.Start(); err != nil {
+	if s.discovery, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	s.list.Update()
+	s.discovery.Update()
 	for i := range instances {
-		a, err := program.StartAgent(b.Agent, dir, fmt.Sprintf("agent-%d", i), s.list.Address())
+		a, err := program.StartAgent(b.Agent, dir, fmt.Sprintf("agent-%d", i), s.discovery.Address())
 		if err != nil {
 			return err
 		}
@@ -270,47 +277,48 @@
 	return nil
 }
 
-// Distribute implements Carrier.
-func (s *SerialApply) Distribute(ctx context.Context, n uint64) (faults error) {
+// Distribute implements Distributor.
+func (s *SerialApply) Distribute(ctx context.Context, revision uint64) (errs error) {
 	for i, a := range s.agents {
-		if err := s.apply(ctx, a, n); err != nil {
-			faults = errors.Join(faults, fmt.Errorf("agent %d: %w", i, err))
+		if err := s.apply(ctx, a, revision); err != nil {
+			errs = errors.Join(errs, fmt.Errorf("agent %d: %w", i, err))
 		}
 	}
-	return faults
+	return errs
 }
 
-func (s *SerialApply) apply(ctx context.Context, a *program.Agent, n uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, applyLimit)
+func (s *SerialApply) apply(ctx context.Context, a *program.Agent, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	now, err := a.API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
+	current, err := a.API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 	if err != nil {
 		return err
 	}
-	_, err = a.API.Apply(ctx, connect.NewRequest(&pb.ApplyRequest{From: now.Msg.Revision.GetNumber(),
-		Settings: &pb.Settings{Sources: &pb.Sources{Hold: durationpb.New(time.Duration(n) * time.Millisecond)}}}))
+	_, err = a.API.Apply(ctx, connect.NewRequest(&pb.ApplyRequest{From: current.Msg.Revision.GetNumber(),
+		Settings: &pb.Settings{
+			Sources: &pb.Sources{Hold: durationpb.New(time.Duration(revision) * time.Millisecond)}}}))
 	return err
 }
 
-// Revision implements Carrier.
+// Revision implements Distributor.
 func (s *SerialApply) Revision(ctx context.Context, instance int) (uint64, error) {
-	now, err := s.agents[instance].API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
+	current, err := s.agents[instance].API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 	if err != nil {
 		return 0, err
 	}
-	return now.Msg.Revision.GetNumber(), nil
+	return current.Msg.Revision.GetNumber(), nil
 }
 
-// Process implements Carrier.
+// Process implements Distributor.
 func (s *SerialApply) Process(instance int) *program.Process { return s.agents[instance].Process }
 
-// Close implements Carrier.
+// Close implements Distributor.
 func (s *SerialApply) Close() {
 	for _, a := range s.agents {
 		a.Kill()
 	}
-	if s.list != nil {
-		s.list.Close()
+	if s.discovery != nil {
+		s.discovery.Close()
 	}
-	s.agents, s.list = nil, nil
+	s.agents, s.discovery = nil, nil
 }
--- a/internal/lab/scale/dispatchers.go
+++ b/internal/lab/scale/dispatchers.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	smallFleet = 200  // workers, where hundreds of dispatchers run
-	someFleet  = 1600 // workers, where both kinds run for other axes
+	smallFleetSize  = 200  // workers, for measurements with hundreds of dispatchers
+	mediumFleetSize = 1600 // workers, for measurements with both kinds of dispatchers over other axes
 )
 
-// Dispatchers measures hollow dispatchers, with real ones among them, over their number.
+// Dispatchers measures simulated dispatchers, with real ones among them, over the number of dispatchers.
 type Dispatchers struct{}
 
 // Name implements Measurement.
@@ -27,27 +27,28 @@
 }
 
 func measureDispatchers(ctx context.Context, b *Bench, n int) error {
-	in, err := b.start(ctx, Setup{Workers: smallFleet, Dispatchers: n, Real: realCount, Simulated: n - realCount,
+	in, err := b.startInstallation(ctx, Setup{Workers: smallFleetSize, Dispatchers: n, Real: realDispatchers,
+		Simulated:  n - realDispatchers,
 		PerProcess: 5, Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	length := pick(b, time.Second, 4*time.Second)
-	quiet, err := in.MeasureWindow(ctx, length, 0, nil)
+	idle, err := in.MeasureWindow(ctx, length, 0, nil)
 	if err != nil {
 		return err
 	}
-	b.addQuiet(quiet, axisDispatchers, float64(n))
-	restarts, err := in.MeasureWindow(ctx, length, changeRate, in.restartAll(ctx))
+	b.addIdleMetrics(idle, axisDispatchers, float64(n))
+	restarts, err := in.MeasureWindow(ctx, length, changeRate, in.restartAndAwait(ctx))
 	if err != nil {
 		return err
 	}
-	b.addEvents(figureChange, figureChangeBytes, axisDispatchers, float64(n), quiet, restarts)
+	b.addEventCosts(metricChangeCPU, metricChangeBytes, axisDispatchers, float64(n), idle, restarts)
 	b.Add("bytes that discovery sends all dispatchers, at 10 changes a second", axisDispatchers, "kB/s", "all",
 		float64(n),
-		(restarts.Traffic[realKind].FromDiscovery*float64(len(in.real))+
-			restarts.Traffic[hollowKind].FromDiscovery*float64(in.setup.Simulated))/1e3)
+		(restarts.Traffic[realKind].FromDiscovery*float64(len(in.realProcesses))+
+			restarts.Traffic[simulatedKind].FromDiscovery*float64(in.setup.Simulated))/1e3)
 	return nil
 }
 
@@ -55,8 +56,8 @@
 type ChangeRates struct{}
 
 const (
-	figureChangesCPU   = "processor time while workers change"
-	figureChangesBytes = "bytes while workers change"
+	metricChangeRateCPU   = "processor time while workers change"
+	metricChangeRateBytes = "bytes while workers change"
 )
 
 // Name implements Measurement.
@@ -64,7 +65,8 @@
 
 // Measure implements Measurement.
 func (ChangeRates) Measure(ctx context.Context, b *Bench) error {
-	in, err := b.start(ctx, Setup{Workers: someFleet, Dispatchers: sizeDispatchers, Real: realCount,
+	in, err := b.startInstallation(ctx, Setup{Workers: mediumFleetSize, Dispatchers: sizeDispatchers,
+		Real:       realDispatchers,
 		Simulated:  pick(b, 12, 40),
 		PerProcess: pick(b, 6, 10), Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
@@ -79,11 +81,11 @@
 		}
 		x := float64(w.Events) / w.Length.Seconds()
 		for _, u := range w.Usages {
-			b.Add(figureChangesCPU, axisChanges, "% of a core", string(u.Kind), x,
+			b.Add(metricChangeRateCPU, axisChanges, "% of a core", string(u.Kind), x,
 				u.CPU.Seconds()/w.Length.Seconds()*100)
 		}
-		for _, k := range []kind{realKind, hollowKind} {
-			b.Add(figureChangesBytes, axisChanges, "B/s", string(k), x, w.Traffic[k].Sum())
+		for _, k := range []dispatcherKind{realKind, simulatedKind} {
+			b.Add(metricChangeRateBytes, axisChanges, "B/s", string(k), x, w.Traffic[k].Sum())
 		}
 	}
 	return nil
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -9,31 +9,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planted are points of a known growth with noise in proportion to the value.
-func planted(model Model, intercept, slope, noise float64, seed uint64) (points []Point) {
-	chance := rand.New(rand.NewPCG(seed, 2))
+// syntheticPoints returns points of a known growth with noise in proportion to the value.
+func syntheticPoints(model Model, intercept, slope, noise float64, seed uint64) (points []Point) {
+	random := rand.New(rand.NewPCG(seed, 2))
 	for _, x := range []float64{200, 800, 1600, 3000, 5500} {
 		for range 6 {
 			y := intercept + slope*model.transform(x)
-			points = append(points, Point{x, y * (1 + noise*chance.NormFloat64())})
+			points = append(points, Point{x, y * (1 + noise*random.NormFloat64())})
 		}
 	}
 	return points
 }
 
-// Lines, n log n curves and parabolas are told apart, with the slope that was planted within the interval: of so many
-// fits about one in twenty may miss.
-func TestModelsAreToldApart(t *testing.T) {
+// Linear, n log n and quadratic growth are told apart, and the true slope lies within the confidence interval. About
+// one fit in twenty may miss.
+func TestModelSelection(t *testing.T) {
 	for _, model := range []Model{Linear, NLogN, Quadratic} {
 		const fits = 100
-		found, alone, within := 0, 0, 0
+		found, othersRejected, within := 0, 0, 0
 		for seed := range uint64(fits) {
-			f, err := Regress(planted(model, 5, 0.04, 0.02, seed))
+			f, err := Regress(syntheticPoints(model, 5, 0.04, 0.02, seed))
 			require.NoError(t, err)
 			if f.Model == model {
 				found++
 				if len(strings.Split(f.Rejected, ", ")) == 2 {
-					alone++
+					othersRejected++
 				}
 				if f.Low <= 0.04 && 0.04 <= f.High {
 					within++
@@ -41,16 +41,16 @@
 			}
 		}
 		require.GreaterOrEqual(t, found, 98, model)
-		require.GreaterOrEqual(t, alone, 90, model)
+		require.GreaterOrEqual(t, othersRejected, 90, model)
 		require.GreaterOrEqual(t, within, 88, model)
 	}
 }
 
-// Where the noise hides the curve, neither is rejected.
-func TestNoiseRejectsNothing(t *testing.T) {
+// If the noise hides the curve, the linear model is rejected in few cases only.
+func TestNoisyLineIsNotRejected(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(100) {
-		f, err := Regress(planted(Linear, 5, 0.04, 0.4, seed))
+		f, err := Regress(syntheticPoints(Linear, 5, 0.04, 0.4, seed))
 		require.NoError(t, err)
 		if strings.Contains(f.Rejected, string(Linear)) {
 			rejected++
@@ -59,15 +59,16 @@
 	require.LessOrEqual(t, rejected, 5)
 }
 
+// A flat series is found flat in most cases, and a growing one never.
 func TestFlat(t *testing.T) {
 	flat, growing := 0, 0
 	for seed := range uint64(100) {
-		f, err := Regress(planted(Linear, 30, 0, 0.05, seed))
+		f, err := Regress(syntheticPoints(Linear, 30, 0, 0.05, seed))
 		require.NoError(t, err)
 		if f.IsFlat() {
 			flat++
 		}
-		if f, err = Regress(planted(Linear, 30, 0.01, 0.05, seed)); err == nil && !f.IsFlat() {
+		if f, err = Regress(syntheticPoints(Linear, 30, 0.01, 0.05, seed)); err == nil && !f.IsFlat() {
 			growing++
 		}
 	}
@@ -75,7 +76,7 @@
 	require.Equal(t, 100, growing)
 }
 
-// Exact data gives the exact line; and what cannot be fitted is an error.
+// Exact data gives the exact line. Points that cannot be fitted are an error.
 func TestRegress(t *testing.T) {
 	f, err := Regress([]Point{{1, 3}, {2, 5}, {3, 7}, {10, 21}, {12, 25}})
 	require.NoError(t, err)
@@ -84,9 +85,9 @@
 	require.InDelta(t, 1, f.Intercept, 1e-9)
 	require.InDelta(t, 41, f.At(20), 1e-6)
 	_, err = Regress([]Point{{1, 1}, {1, 2}, {2, 3}, {3, 3}, {4, 4}})
-	require.ErrorIs(t, err, errFew)
+	require.ErrorIs(t, err, errTooFewPoints)
 	_, err = Regress([]Point{{1, 1}, {2, math.NaN()}, {3, 4}, {4, 4}, {5, 5}})
-	require.ErrorContains(t, err, "no number")
+	require.ErrorContains(t, err, "not finite")
 	f, err = Regress([]Point{{1, 0}, {2, 0}, {3, 0}, {4, 0}, {5, 0}})
 	require.NoError(t, err)
 	require.True(t, f.IsFlat())
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -15,79 +15,80 @@
 	"topazfall/internal/lab/program"
 )
 
-// Setup says what an installation consists of.
+// Setup describes an installation.
 type Setup struct {
 	Workers     int
-	Dispatchers int // that share the fleet, by the settings; those that do not run are as quiet as hollow ones
+	Dispatchers int // number that the settings say share the fleet; not all of them have to run
 	Real        int // processes of the program
-	Simulated   int // hollow dispatchers
-	PerProcess  int // of these in one process
+	Simulated   int // simulated dispatchers
+	PerProcess  int // simulated dispatchers in one process
 	Teams       int
 	LiveWeights bool
-	Draining    bool // all workers, so that they cost what a list costs and get nothing
+	Draining    bool // all workers drain, so that they cost what a list costs and get no requests
 }
 
-// Programs are what an installation is started from.
+// Programs are the programs that an installation is started from.
 type Programs struct {
 	Dispatcher       string   // path of the program
-	SimulatedCommand []string // command that leads to ServeHollow
+	SimulatedCommand []string // command that calls ServeSimulated
 }
 
 const (
-	regions = 4
-	zones   = 3                // of a region
-	cores   = 4                // of a worker, which is its weight
-	rackOf  = 16               // workers of a rack
-	loading = 60 * time.Second // within which all must have loaded the list
-	settle  = 1 * time.Second  // after which what loading left behind counts as over
-	polling = 20 * time.Millisecond
+	regions        = 4
+	zonesPerRegion = 3                // in each region
+	workerCores    = 4                // of a worker; they are its weight
+	workersPerRack = 16               // consecutive ones on the list
+	loadTimeout    = 60 * time.Second // within which all dispatchers must have loaded the list
+	settleTime     = 1 * time.Second  // after which the work that loading left behind counts as finished
+	pollInterval   = 20 * time.Millisecond
 )
 
-// Installation is real and hollow dispatchers that share one discovery, all on this machine.
+// Installation is a set of real and simulated dispatchers that share one discovery server, all on this machine.
 type Installation struct {
-	setup   Setup
-	dir     string
-	list    *discoveryserver.Server
-	doors   map[kind][]*discoveryserver.Endpoint // by region
-	real    []*program.Process
-	hollow  []*hollowProcess
-	words   *wordSource
-	entries []discoveryserver.Entry
-	chance  *rand.Rand
+	setup              Setup
+	dir                string
+	discovery          *discoveryserver.Server
+	endpoints          map[dispatcherKind][]*discoveryserver.Endpoint // by region
+	realProcesses      []*program.Process
+	simulatedProcesses []*simulatedProcess
+	gossip             *gossipSource
+	entries            []discoveryserver.Entry
+	random             *rand.Rand
 }
 
-// kind tells real dispatchers from hollow ones.
-type kind string
+// dispatcherKind distinguishes real dispatchers from simulated ones. Its values are the sources of series in reports.
+type dispatcherKind string
 
 const (
-	realKind   kind = "real"
-	hollowKind kind = "hollow"
+	realKind      dispatcherKind = "real"
+	simulatedKind dispatcherKind = "hollow"
 )
 
-// Fleet is a list of so many workers, spread over regions, zones and racks as they come.
+// Fleet returns a list of workers that are spread evenly over regions and zones; consecutive ones share a rack.
 func Fleet(workers int, now time.Time) []discoveryserver.Entry {
 	list := make([]discoveryserver.Entry, workers)
 	for i := range list {
-		region, zone := i%regions, i/regions%zones
+		region, zone := i%regions, i/regions%zonesPerRegion
 		list[i] = discoveryserver.Entry{Host: fmt.Sprintf("worker-%05d.region-%d", i, region),
 			Dial: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Site: fmt.Sprintf("region-%d%c",
 				region, 'a'+rune(zone)),
-			Class: "small", Block: i / rackOf, Health: "up", Share: cores, StartedMillis: now.Add(-time.Hour).UnixMilli()}
+			Class: "small", Block: i / workersPerRack, Health: "up", Share: workerCores,
+			StartedMillis: now.Add(-time.Hour).UnixMilli()}
 	}
 	return list
 }
 
-// sites are the zones of a Fleet.
-func sites() (names []string) {
+// zoneNames returns the zones of a Fleet.
+func zoneNames() (names []string) {
 	for region := range regions {
-		for zone := range zones {
+		for zone := range zonesPerRegion {
 			names = append(names, fmt.Sprintf("region-%d%c", region, 'a'+rune(zone)))
 		}
 	}
 	return names
 }
 
-// Teams are so many teams with quotas, in the form of the configuration.
+// Teams returns n teams with quotas, in the form of the configuration.
 func Teams(n int) (list []any) {
 	for i := range n {
 		list = append(list, map[string]any{"name": fmt.Sprintf("team-%03d", i), "share": 1 / float64(n),
@@ -96,10 +97,10 @@
 	return list
 }
 
-// settingsFor changes the settings object of the program for a dispatcher of the installation.
-func (s Setup) settingsFor(settings map[string]any, number int) {
+// configure changes the program's settings object for dispatcher number of the installation.
+func (s Setup) configure(settings map[string]any, number int) {
 	settings["me"], settings["replicas_of_me"] = number, s.Dispatchers
-	settings["areas"], settings["my_zone"] = sites(), sites()[number%regions*zones]
+	settings["areas"], settings["my_zone"] = zoneNames(), zoneNames()[number%regions*zonesPerRegion]
 	settings["realms"] = Teams(s.Teams)
 	settings["allowed"].(map[string]any)["peer_messages"] = true
 	if settings["weight_kind"] = "nominal"; s.LiveWeights {
@@ -107,11 +108,11 @@
 	}
 }
 
-// Start starts an installation and waits until everybody has loaded the list.
+// Start starts an installation and waits until all dispatchers have loaded the list.
 func Start(ctx context.Context, programs Programs, setup Setup, seed uint64) (in *Installation, err error) {
-	in = &Installation{setup: setup, chance: rand.New(rand.NewPCG(seed, uint64(setup.Workers))),
-		entries: Fleet(setup.Workers, time.Now()),
-		doors:   map[kind][]*discoveryserver.Endpoint{}}
+	in = &Installation{setup: setup, random: rand.New(rand.NewPCG(seed, uint64(setup.Workers))),
+		entries:   Fleet(setup.Workers, time.Now()),
+		endpoints: map[dispatcherKind][]*discoveryserver.Endpoint{}}
 	defer func() {
 		if err != nil {
 			in.Close()
@@ -120,7 +121,7 @@
 	if in.dir, err = os.MkdirTemp("", "topazlab-scale"); err != nil {
 		return nil, err
 	}
-	if in.list, err = discoveryserver.Start(); err != nil {
+	if in.discovery, err = discoveryserver.Start(); err != nil {
 		return nil, err
 	}
 	if setup.Draining {
@@ -128,17 +129,17 @@
 			in.entries[i].Health = "draining"
 		}
 	}
-	in.list.Update(in.entries...)
-	for _, k := range []kind{realKind, hollowKind} {
+	in.discovery.Update(in.entries...)
+	for _, kind := range []dispatcherKind{realKind, simulatedKind} {
 		for range regions {
-			door, err := in.list.AddEndpoint()
+			endpoint, err := in.discovery.AddEndpoint()
 			if err != nil {
 				return nil, err
 			}
-			in.doors[k] = append(in.doors[k], door)
+			in.endpoints[kind] = append(in.endpoints[kind], endpoint)
 		}
 	}
-	if in.words, err = newWordSource(); err != nil {
+	if in.gossip, err = newGossipSource(); err != nil {
 		return nil, err
 	}
 	for i := range setup.Real {
@@ -147,162 +148,166 @@
 		}
 	}
 	for first := setup.Real; first < setup.Real+setup.Simulated; first += setup.PerProcess {
-		if err := in.startHollow(programs.SimulatedCommand, first, min(setup.PerProcess,
+		if err := in.startSimulated(programs.SimulatedCommand, first, min(setup.PerProcess,
 			setup.Real+setup.Simulated-first)); err != nil {
 			return nil, err
 		}
 	}
-	if err := in.AwaitWorkers(ctx, setup.Workers, loading); err != nil {
+	if err := in.AwaitWorkers(ctx, setup.Workers, loadTimeout); err != nil {
 		return nil, err
 	}
-	return in, sleep(ctx, settle)
+	return in, sleep(ctx, settleTime)
 }
 
-// wordAddress is where a dispatcher listens for datagrams: an address of its own, that depends on this process as
-// well.
-func wordAddress(number int) string {
+// gossipAddress returns the address at which a dispatcher listens for gossip messages. It differs for each dispatcher
+// and also depends on the id of this process.
+func gossipAddress(number int) string {
 	return fmt.Sprintf("127.%d.%d.%d:7946", 128+os.Getpid()%120, number/250, number%250+1)
 }
 
+// startReal starts a process of the program as dispatcher number.
 func (in *Installation) startReal(path string, number int) error {
-	listen := wordAddress(number)
+	listen := gossipAddress(number)
 	p, err := program.Start(program.Options{ProgramPath: path, Dir: in.dir, Name: fmt.Sprintf("n%d", number),
-		Discovery: in.doors[realKind][number%regions].Address(), EditConfig: func(config map[string]any) {
-			in.setup.settingsFor(config["settings"].(map[string]any), number)
-			config["peer_listen"], config["peers"], config["peers_all"] = listen, []string{in.words.address()},
-				in.words.address()
+		Discovery: in.endpoints[realKind][number%regions].Address(), EditConfig: func(config map[string]any) {
+			in.setup.configure(config["settings"].(map[string]any), number)
+			config["peer_listen"], config["peers"], config["peers_all"] = listen, []string{in.gossip.address()},
+				in.gossip.address()
 		}})
 	if err != nil {
 		return err
 	}
-	in.real = append(in.real, p)
-	in.words.to = append(in.words.to, netip.MustParseAddrPort(listen))
+	in.realProcesses = append(in.realProcesses, p)
+	in.gossip.targets = append(in.gossip.targets, netip.MustParseAddrPort(listen))
 	return nil
 }
 
-func (in *Installation) startHollow(command []string, first, count int) error {
+// startSimulated starts a process with count simulated dispatchers, the first of which has the number first.
+func (in *Installation) startSimulated(command []string, first, count int) error {
 	settings := program.Settings(program.Options{})
-	in.setup.settingsFor(settings, first)
+	in.setup.configure(settings, first)
 	text, err := jsoniter.Marshal(settings)
 	if err != nil {
 		return err
 	}
-	spec := SimulatedSpec{Settings: text, GossipSource: in.words.address()}
+	spec := SimulatedSpec{Settings: text, GossipSource: in.gossip.address()}
 	for number := first; number < first+count; number++ {
-		listen := wordAddress(number)
+		listen := gossipAddress(number)
 		spec.Dispatchers = append(spec.Dispatchers, SimulatedDispatcherSpec{Number: number, Listen: listen,
-			Discovery: in.doors[hollowKind][number%regions].Address()})
-		in.words.to = append(in.words.to, netip.MustParseAddrPort(listen))
+			Discovery: in.endpoints[simulatedKind][number%regions].Address()})
+		in.gossip.targets = append(in.gossip.targets, netip.MustParseAddrPort(listen))
 	}
-	p, err := startHollowProcess(command, spec)
+	p, err := startSimulatedProcess(command, spec)
 	if err != nil {
 		return err
 	}
-	in.hollow = append(in.hollow, p)
+	in.simulatedProcesses = append(in.simulatedProcesses, p)
 	return nil
 }
 
 // Close ends all processes.
 func (in *Installation) Close() {
-	for _, p := range in.real {
+	for _, p := range in.realProcesses {
 		p.Kill()
 	}
-	for _, p := range in.hollow {
+	for _, p := range in.simulatedProcesses {
 		p.stop()
 	}
-	for _, doors := range in.doors {
-		for _, door := range doors {
-			door.Close()
+	for _, endpoints := range in.endpoints {
+		for _, endpoint := range endpoints {
+			endpoint.Close()
 		}
 	}
-	if in.list != nil {
-		in.list.Close()
+	if in.discovery != nil {
+		in.discovery.Close()
 	}
-	if in.words != nil {
-		in.words.close()
+	if in.gossip != nil {
+		in.gossip.close()
 	}
 	os.RemoveAll(in.dir)
 }
 
-// AwaitWorkers waits until all dispatchers know so many workers.
+// AwaitWorkers waits until all dispatchers know exactly the given number of workers.
 func (in *Installation) AwaitWorkers(ctx context.Context, workers int, limit time.Duration) error {
 	for end := time.Now().Add(limit); ; {
-		least, most, err := in.known()
+		minKnown, maxKnown, err := in.knownWorkers()
 		if err != nil {
 			return err
 		}
-		if least == workers && most == workers {
+		if minKnown == workers && maxKnown == workers {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("after %s dispatchers know %d to %d workers, not %d", limit, least, most, workers)
+			return fmt.Errorf("after %s dispatchers know %d to %d workers, not %d", limit, minKnown, maxKnown, workers)
 		}
-		if err := sleep(ctx, polling); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// known is how many workers the dispatchers know, at least and at most.
-func (in *Installation) known() (least, most int, err error) {
-	least = 1 << 62
-	for _, p := range in.real {
-		figures, err := p.Metrics()
+// knownWorkers returns the smallest and the largest number of workers that a dispatcher knows.
+func (in *Installation) knownWorkers() (minKnown, maxKnown int, err error) {
+	minKnown = 1 << 62
+	for _, p := range in.realProcesses {
+		values, err := p.Metrics()
 		if err != nil {
 			return 0, 0, err
 		}
-		n, ok := figures["app_discovered"]
+		n, ok := values["app_discovered"]
 		if !ok {
-			return 0, 0, errors.New("the program does not tell how many workers it knows")
+			return 0, 0, errors.New("the program's metrics lack the number of discovered workers")
 		}
-		least, most = min(least, int(n)), max(most, int(n))
+		minKnown, maxKnown = min(minKnown, int(n)), max(maxKnown, int(n))
 	}
-	for _, p := range in.hollow {
+	for _, p := range in.simulatedProcesses {
 		s, err := p.status()
 		if err != nil {
 			return 0, 0, err
 		}
-		least, most = min(least, int(s.MinWorkers)), max(most, int(s.MaxWorkers))
+		minKnown, maxKnown = min(minKnown, int(s.MinWorkers)), max(maxKnown, int(s.MaxWorkers))
 	}
-	return least, most, nil
+	return minKnown, maxKnown, nil
 }
 
-// RestartWorker changes one worker that chance names, as when it is restarted: one that is up drains, one that drains comes
-// back.
+// RestartWorker changes a random worker as a restart does: a worker that is up drains, one that drains comes up again
+// with a new start time.
 func (in *Installation) RestartWorker() {
-	e := &in.entries[in.chance.IntN(len(in.entries))]
+	e := &in.entries[in.random.IntN(len(in.entries))]
 	if e.Health == "up" {
 		e.Health = "draining"
 	} else {
 		e.Health, e.StartedMillis = "up", time.Now().UnixMilli()
 	}
-	in.list.Update(*e)
+	in.discovery.Update(*e)
 }
 
-// ReweightWorker gives one worker that chance names a new weight, and leaves its state.
+// ReweightWorker gives a random worker a new weight and does not change its state.
 func (in *Installation) ReweightWorker() {
-	e := &in.entries[in.chance.IntN(len(in.entries))]
-	e.Share = in.weight()
-	in.list.Update(*e)
+	e := &in.entries[in.random.IntN(len(in.entries))]
+	e.Share = in.randomWeight()
+	in.discovery.Update(*e)
 }
 
-// weight is a live weight of a worker.
-func (in *Installation) weight() float64 { return cores / (1 + float64(in.chance.IntN(2*cores))/cores) }
+// randomWeight returns a random live weight of a worker.
+func (in *Installation) randomWeight() float64 {
+	return workerCores / (1 + float64(in.random.IntN(2*workerCores))/workerCores)
+}
 
-// ReweightAll gives all workers new live weights, as one change.
+// ReweightAll gives all workers new live weights, in one change.
 func (in *Installation) ReweightAll() {
 	for i := range in.entries {
-		in.entries[i].Share = in.weight()
+		in.entries[i].Share = in.randomWeight()
 	}
-	in.list.Update(in.entries...)
+	in.discovery.Update(in.entries...)
 }
 
-// SendGossip sends every dispatcher a word about a worker that chance names.
+// SendGossip sends every dispatcher a gossip message about a random worker.
 func (in *Installation) SendGossip() error {
-	return in.words.say(in.entries[in.chance.IntN(len(in.entries))].Host)
+	return in.gossip.send(in.entries[in.random.IntN(len(in.entries))].Host)
 }
 
-// sleep waits, or returns the context's error.
+// sleep waits for d, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/scale/installation_test.go
+++ b/internal/lab/scale/installation_test.go
@@ -13,17 +13,17 @@
 	"topazfall/internal/instance"
 )
 
-// playing names what this test's own binary is when it is started again.
-const playing = "TOPAZFALL_SCALE_PLAYS"
+// roleEnv is the environment variable that makes this test's binary run as another program.
+const roleEnv = "TOPAZFALL_SCALE_PLAYS"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(playing) {
+	switch os.Getenv(roleEnv) {
 	case "dispatcher":
 		instance.Run(nil)
 	case "hollow":
 		ServeSimulated(os.Stdin, os.Stdout)
 	case "agent":
-		if playAgent() != nil {
+		if runAgent() != nil {
 			os.Exit(1)
 		}
 	default:
@@ -31,29 +31,31 @@
 	}
 }
 
-// programs are this test's own binary in both parts.
+// programs returns this test's own binary as both programs.
 func programs() Programs {
-	return Programs{Dispatcher: os.Args[0], SimulatedCommand: []string{"/usr/bin/env", playing + "=hollow", os.Args[0]}}
+	return Programs{Dispatcher: os.Args[0],
+		SimulatedCommand: []string{"/usr/bin/env", roleEnv + "=hollow", os.Args[0]}}
 }
 
-// Hollow dispatchers and real ones take every change once; what they used is counted for each of them.
-func TestHollowAccounts(t *testing.T) {
-	t.Setenv(playing, "dispatcher") // for the program; hollow processes have their own
+// Real and simulated dispatchers receive every change once, and the usage of each process is counted.
+func TestSimulatedDispatchersCountChanges(t *testing.T) {
+	t.Setenv(roleEnv, "dispatcher") // for the program; simulated processes set their own
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	in, err := Start(ctx, programs(), Setup{Workers: 40, Dispatchers: 8, Real: 2, Simulated: 6, PerProcess: 3,
 		Teams: 6}, 1)
 	require.NoError(t, err)
 	defer in.Close()
-	require.Len(t, in.real, 2)
-	require.Len(t, in.hollow, 2)
+	require.Len(t, in.realProcesses, 2)
+	require.Len(t, in.simulatedProcesses, 2)
 
 	changed := 0
-	w, err := in.MeasureWindow(ctx, time.Second, 20, func() error { // each another worker: discovery tells a change once
+	// Each call changes another worker: discovery may report two changes of one worker as one.
+	w, err := in.MeasureWindow(ctx, time.Second, 20, func() error {
 		e := in.entries[changed]
 		changed++
 		e.Health = "draining"
-		in.list.Update(e)
+		in.discovery.Update(e)
 		return in.SendGossip()
 	})
 	require.NoError(t, err)
@@ -63,50 +65,49 @@
 		require.Positive(t, u.CPU, u.Kind)
 		require.Positive(t, u.Resident, u.Kind)
 	}
-	for _, h := range in.hollow { // the list once, and each change
+	for _, p := range in.simulatedProcesses { // one list, and each change
 		want := SimulatedStatus{MinWorkers: 40, MaxWorkers: 40, Entries: 3 * (40 + 20),
 			GossipMessages: 3 * 20}
-		require.EventuallyWithT(t, func(c *assert.CollectT) { // a busy machine may take some after the window
-			s, err := h.status()
+		require.EventuallyWithT(t, func(c *assert.CollectT) { // on a busy machine some may arrive after the window
+			s, err := p.status()
 			assert.NoError(c, err)
 			assert.Equal(c, want, s)
-		}, 20*time.Second, polling)
+		}, 20*time.Second, pollInterval)
 	}
-	require.NoError(t, sleep(ctx, settle))
-	for _, h := range in.hollow { // and nothing comes twice
-		s, err := h.status()
+	require.NoError(t, sleep(ctx, settleTime))
+	for _, p := range in.simulatedProcesses { // nothing arrives twice
+		s, err := p.status()
 		require.NoError(t, err)
 		require.EqualValues(t, 3*(40+20), s.Entries)
 	}
-	// The text of an entry has 110 to 150 bytes; answers have a head, and come once a second at least.
-	// The text of an entry has 110 to 150 bytes; answers have a head, and come once a second at least.
+	// An entry takes 110 to 150 bytes. Responses have a head and come at least once a second.
 	for k, sent := range in.traffic() {
-		const entries, answers = 40 + 20, 1 + 20 + 60
-		require.Greater(t, sent.BytesOut/int64(in.count(k)), int64(entries*110), k)
-		require.Less(t, sent.BytesOut/int64(in.count(k)), int64(entries*150+answers*200), k)
+		const entries, responses = 40 + 20, 1 + 20 + 60
+		require.Greater(t, sent.BytesOut/int64(in.dispatcherCount(k)), int64(entries*110), k)
+		require.Less(t, sent.BytesOut/int64(in.dispatcherCount(k)), int64(entries*150+responses*200), k)
 	}
-	for _, r := range in.real {
+	for _, r := range in.realProcesses {
 		f, err := r.Metrics()
 		require.NoError(t, err)
 		require.EqualValues(t, 40, f["app_discovered"])
 	}
 }
 
-// A hollow process ends with an error for what it cannot be, and whole when its input ends.
-func TestServeHollowRefuses(t *testing.T) {
+// A process of simulated dispatchers ends with an error if its specification is invalid.
+func TestServeSimulatedRejectsInvalidSpecs(t *testing.T) {
 	for _, text := range []string{"", "{", `{"dispatchers":[]}` + "\n",
 		`{"settings":{},"dispatchers":[{"number":0}]}` + "\n"} {
 		require.Error(t, ServeSimulated(strings.NewReader(text), os.Stderr), text)
 	}
 }
 
-// What an event costs is what a window took beyond a quiet one of the same process.
-func TestPerEvent(t *testing.T) {
-	quiet := Window{Length: 2 * time.Second, Usages: []Usage{{Kind: realKind, CPU: 2 * time.Millisecond},
-		{Kind: hollowKind, CPU: 4 * time.Millisecond}}}
+// The cost of an event is what a window took beyond an idle window of the same process.
+func TestCostPerEvent(t *testing.T) {
+	idle := Window{Length: 2 * time.Second, Usages: []Usage{{Kind: realKind, CPU: 2 * time.Millisecond},
+		{Kind: simulatedKind, CPU: 4 * time.Millisecond}}}
 	busy := Window{Length: 4 * time.Second, Events: 10, Usages: []Usage{{Kind: realKind,
-		CPU: 14 * time.Millisecond}, {Kind: hollowKind, CPU: 8 * time.Millisecond}}}
-	require.InDeltaSlice(t, []float64{1e-3}, perEvent(quiet, busy, realKind), 1e-9)
-	require.InDeltaSlice(t, []float64{0}, perEvent(quiet, busy, hollowKind), 1e-9)
-	require.Empty(t, perEvent(quiet, Window{}, realKind))
+		CPU: 14 * time.Millisecond}, {Kind: simulatedKind, CPU: 8 * time.Millisecond}}}
+	require.InDeltaSlice(t, []float64{1e-3}, costPerEvent(idle, busy, realKind), 1e-9)
+	require.InDeltaSlice(t, []float64{0}, costPerEvent(idle, busy, simulatedKind), 1e-9)
+	require.Empty(t, costPerEvent(idle, Window{}, realKind))
 }
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -6,17 +6,19 @@
 	"strings"
 )
 
-// Memory that a dispatcher is taken to need, generously: the run bounds itself by it before it starts one.
+// Generous estimates of the memory, in bytes, that a dispatcher needs. A run uses them to limit the number of simulated
+// dispatchers before it starts any.
 const (
-	baseMemory      = 6 << 20  // of a hollow dispatcher
-	workerMemory    = 14 << 10 // of each worker on the list of one, with what a collection of garbage leaves
-	realBaseMemory  = 24 << 20 // of a process of the program, beside its workers
-	reservedMemory  = 1 << 30  // for the run itself, and for others on the machine
-	mostOfTheMemory = 0.5      // part of the machine's that a run may have
+	simulatedBaseMemory = 6 << 20  // of a simulated dispatcher without workers
+	memoryPerWorker     = 14 << 10 // of each worker on a dispatcher's list, with uncollected garbage
+	realBaseMemory      = 24 << 20 // of a process of the program without workers
+	reservedMemory      = 1 << 30  // for the run itself and for other processes on the machine
+	maxMemoryFraction   = 0.5      // part of the machine's memory that a run may use
 )
 
-// memoryRoom is how many bytes a run may use: half of the machine's memory, and no more than is available.
-func memoryRoom() (float64, error) {
+// memoryBudget returns how many bytes a run may use: half of the machine's memory, but no more than is available, less
+// the reserve.
+func memoryBudget() (float64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
@@ -27,14 +29,14 @@
 		fmt.Sscanf(line, "MemAvailable: %f kB", &available)
 	}
 	if total == 0 || available == 0 {
-		return 0, fmt.Errorf("/proc/meminfo does not tell the machine's memory")
+		return 0, fmt.Errorf("/proc/meminfo lacks MemTotal or MemAvailable")
 	}
-	return min(total*mostOfTheMemory, available)*1024 - reservedMemory, nil
+	return min(total*maxMemoryFraction, available)*1024 - reservedMemory, nil
 }
 
-// hollowWithin is how many of a setup's hollow dispatchers fit.
-func hollowWithin(room float64, s Setup) int {
-	list := float64(s.Workers) * workerMemory
-	room -= float64(s.Real) * (realBaseMemory + list)
-	return min(s.Simulated, max(int(room/(baseMemory+list)), 0))
+// maxSimulatedWithin returns how many of a setup's simulated dispatchers fit into a memory budget, after its real ones.
+func maxSimulatedWithin(budget float64, s Setup) int {
+	list := float64(s.Workers) * memoryPerWorker
+	budget -= float64(s.Real) * (realBaseMemory + list)
+	return min(s.Simulated, max(int(budget/(simulatedBaseMemory+list)), 0))
 }
--- a/internal/lab/scale/model.go
+++ b/internal/lab/scale/model.go
@@ -8,18 +8,18 @@
 	"topazfall/internal/lab/configmodel"
 )
 
-// fromModel marks figures of decisions in virtual time, with an assumed network: nothing of them is measured.
-const fromModel = "model in virtual time"
+// sourceModel marks metrics from a simulation in virtual time, with an assumed network. Nothing of them is measured.
+const sourceModel = "model in virtual time"
 
-// Figures of the model. Scenarios are named as configmodel names them.
+// Scenarios of the model, named as in configmodel, and metrics.
 const (
-	scenarioDay      = "a day in 864 s"
-	scenarioQuiet    = "quiet, 5,200 a day"
-	figureModelForce = "p99.9 until a change is in force, a day's failures in 864 s"
-	figureModelBytes = "bytes a second of a dispatcher on the links, 5,200 changes a day"
+	scenarioDay             = "a day in 864 s"
+	scenarioQuiet           = "quiet, 5,200 a day"
+	metricModelDistribution = "p99.9 until a change is in force, a day's failures in 864 s"
+	metricModelBytes        = "bytes a second of a dispatcher on the links, 5,200 changes a day"
 )
 
-// ConfigurationModel plays the decisions of one roster at the size that no machine here can hold as processes.
+// ConfigurationModel simulates the decisions of one roster at a size that no machine here can hold as processes.
 type ConfigurationModel struct{}
 
 // Name implements Measurement.
@@ -27,27 +27,28 @@
 
 // Measure implements Measurement.
 func (ConfigurationModel) Measure(ctx context.Context, b *Bench) error {
-	day, err := play(b, scenarioDay)
+	day, err := playScenario(b, scenarioDay)
 	if err != nil {
 		return err
 	}
 	const toSeconds, toPercent = 1e-6, 100
-	b.Add(figureModelForce, axisDispatchers, "s", fromModel, sizeDispatchers, float64(day.P999)*toSeconds)
-	b.AddBound(Bound{Name: "model, 300 dispatchers: " + figureModelForce, Value: float64(day.P999) * toSeconds,
-		Max: mostInForce, Unit: "s"})
+	b.Add(metricModelDistribution, axisDispatchers, "s", sourceModel, sizeDispatchers, float64(day.P999)*toSeconds)
+	b.AddBound(Bound{Name: "model, 300 dispatchers: " + metricModelDistribution, Value: float64(day.P999) * toSeconds,
+		Max: maxDistributionSeconds, Unit: "s"})
 	b.AddBound(Bound{Name: "model, 300 dispatchers: reachable dispatchers and changes later than 4 s",
 		Value: (1 - day.Within4s) * toPercent, Max: 0.1, Unit: "%"})
-	quiet, err := play(b, scenarioQuiet)
+	quiet, err := playScenario(b, scenarioQuiet)
 	if err != nil {
 		return err
 	}
-	b.Add(figureModelBytes, axisDispatchers, "B/s", fromModel, sizeDispatchers, quiet.MeanBytes)
-	b.AddBound(Bound{Name: "model, 300 dispatchers: " + figureModelBytes, Value: quiet.MeanBytes, Max: mostBytes,
+	b.Add(metricModelBytes, axisDispatchers, "B/s", sourceModel, sizeDispatchers, quiet.MeanBytes)
+	b.AddBound(Bound{Name: "model, 300 dispatchers: " + metricModelBytes, Value: quiet.MeanBytes, Max: maxBytes,
 		Unit: "B/s"})
 	return ctx.Err()
 }
 
-func play(b *Bench, name string) (configmodel.Result, error) {
+// playScenario runs the scenario of this name in the model with sizeDispatchers dispatchers.
+func playScenario(b *Bench, name string) (configmodel.Result, error) {
 	all := configmodel.Scenarios()
 	i := slices.IndexFunc(all, func(s configmodel.Scenario) bool { return s.Name == name })
 	if i < 0 {
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -15,20 +15,21 @@
 	"topazfall/internal/lab/program"
 )
 
-// DecisionModule measures the decision module alone: processor time for each event over workers and over teams.
+// DecisionModule measures the decision module alone: the processor time of each event over the number of workers and of
+// teams.
 type DecisionModule struct{}
 
 // Name implements Measurement.
 func (DecisionModule) Name() string { return "decision module alone" }
 
-// Figures of the module.
+// Metrics of the module, and the axes of all measurements.
 const (
-	figureWhole   = "module: a whole list"
-	figurePatch   = "module: a patch of one worker"
-	figurePatches = "module: a patch of all workers"
-	figureWord    = "module: a word of another dispatcher"
-	figureRequest = "module: a request, with its events"
-	figureHeap    = "module: memory"
+	metricModuleSnapshot = "module: a whole list"
+	metricModulePatch    = "module: a patch of one worker"
+	metricModulePatchAll = "module: a patch of all workers"
+	metricModuleGossip   = "module: a word of another dispatcher"
+	metricModuleRequest  = "module: a request, with its events"
+	metricModuleHeap     = "module: memory"
 
 	axisWorkers     = "workers"
 	axisTeams       = "teams"
@@ -37,7 +38,7 @@
 	axisRegions     = "regions cut"
 )
 
-// Sizes in two years, as the operators have given them, and the number of dispatchers that is assumed with them.
+// Sizes in two years: the operators gave the numbers of workers and teams; the number of dispatchers is assumed.
 const (
 	sizeWorkers     = 5500
 	sizeTeams       = 490
@@ -45,42 +46,43 @@
 )
 
 const (
-	repeats      = 5                     // measured values at each place of an axis
-	slice        = 20 * time.Millisecond // processor time of one value, at least
-	requestTicks = 200_000               // microseconds that a request runs
+	valuesPerPoint = 5                     // measured values at each position of an axis
+	minSampleTime  = 20 * time.Millisecond // least processor time that a value is measured over
+	requestMicros  = 200_000               // time that a request runs, in microseconds
 )
 
 // Measure implements Measurement.
 func (m DecisionModule) Measure(ctx context.Context, b *Bench) error {
 	for _, workers := range pick(b, []int{200, 800, 1600, 3000, sizeWorkers}, []int{200, 500, 1000, 2000, 3500,
 		sizeWorkers}) {
-		if err := m.atSize(ctx, b, axisWorkers, workers, sizeTeams, float64(workers)); err != nil {
+		if err := m.measureSize(ctx, b, axisWorkers, workers, sizeTeams, float64(workers)); err != nil {
 			return err
 		}
 	}
 	for _, teams := range []int{6, 50, 120, 250, sizeTeams} {
-		if err := m.atSize(ctx, b, axisTeams, 1000, teams, float64(teams)); err != nil {
+		if err := m.measureSize(ctx, b, axisTeams, 1000, teams, float64(teams)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// player plays a decision module.
-type player struct {
+// moduleDriver feeds events into a decision module, with a clock of its own.
+type moduleDriver struct {
 	module  *topazfall.Balancer
 	now     int64
 	actions []topazfall.Action
 	fleet   []topazfall.Worker
 	teams   int
 	request uint64
-	chance  *rand.Rand
+	random  *rand.Rand
 }
 
-func newPlayer(setup Setup, seed uint64) (*player, error) {
-	object := program.Settings(program.Options{})
-	setup.settingsFor(object, setup.Dispatchers/2)
-	text, err := jsoniter.Marshal(object)
+// newModuleDriver returns a driver of a new decision module for one dispatcher of the setup.
+func newModuleDriver(setup Setup, seed uint64) (*moduleDriver, error) {
+	settingsObject := program.Settings(program.Options{})
+	setup.configure(settingsObject, setup.Dispatchers/2)
+	text, err := jsoniter.Marshal(settingsObject)
 	if err != nil {
 		return nil, err
 	}
@@ -92,113 +94,125 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &player{module: module, now: time.Now().UnixMicro(), teams: setup.Teams,
-		chance: rand.New(rand.NewPCG(seed, 3))}
+	d := &moduleDriver{module: module, now: time.Now().UnixMicro(), teams: setup.Teams,
+		random: rand.New(rand.NewPCG(seed, 3))}
 	for _, e := range Fleet(setup.Workers, time.Now()) {
-		p.fleet = append(p.fleet, workerOf(e))
+		d.fleet = append(d.fleet, workerFromEntry(e))
 	}
-	return p, nil
+	return d, nil
 }
 
-func workerOf(e discoveryserver.Entry) topazfall.Worker {
+// workerFromEntry converts a list entry to a worker as the decision module knows it.
+func workerFromEntry(e discoveryserver.Entry) topazfall.Worker {
 	return topazfall.Worker{ID: e.Host, Zone: e.Site, Kind: e.Class, Cell: e.Block, Weight: e.Share,
 		StartedAt: e.StartedMillis * 1000}
 }
 
-func (p *player) on(e topazfall.Event) {
-	p.now += 1000
-	p.actions = p.module.Handle(p.now, &e, p.actions[:0])
+// handle advances the clock by 1 ms and passes an event to the module.
+func (d *moduleDriver) handle(e topazfall.Event) {
+	d.now += 1000
+	d.actions = d.module.Handle(d.now, &e, d.actions[:0])
 }
 
-func (p *player) reweigh(w *topazfall.Worker) {
-	w.Weight = cores / (1 + float64(p.chance.IntN(2*cores))/cores)
+// reweight gives a worker a random live weight.
+func (d *moduleDriver) reweight(w *topazfall.Worker) {
+	w.Weight = workerCores / (1 + float64(d.random.IntN(2*workerCores))/workerCores)
 }
 
-func (p *player) whole() {
-	p.reweighAll()
-	p.on(topazfall.Event{Kind: topazfall.ListSnapshot, List: p.fleet})
+// sendSnapshot passes the whole list, with new weights.
+func (d *moduleDriver) sendSnapshot() {
+	d.reweightAll()
+	d.handle(topazfall.Event{Kind: topazfall.ListSnapshot, List: d.fleet})
 }
 
-func (p *player) patchAll() {
-	p.reweighAll()
-	p.on(topazfall.Event{Kind: topazfall.ListPatch, List: p.fleet})
+// sendPatchAll passes new weights of all workers in one patch.
+func (d *moduleDriver) sendPatchAll() {
+	d.reweightAll()
+	d.handle(topazfall.Event{Kind: topazfall.ListPatch, List: d.fleet})
 }
 
-func (p *player) reweighAll() {
-	for i := range p.fleet {
-		p.reweigh(&p.fleet[i])
+func (d *moduleDriver) reweightAll() {
+	for i := range d.fleet {
+		d.reweight(&d.fleet[i])
 	}
 }
 
-func (p *player) patch() {
-	i := p.chance.IntN(len(p.fleet))
-	p.reweigh(&p.fleet[i])
-	p.on(topazfall.Event{Kind: topazfall.ListPatch, List: p.fleet[i : i+1]})
+// sendPatch passes a new weight of one random worker.
+func (d *moduleDriver) sendPatch() {
+	i := d.random.IntN(len(d.fleet))
+	d.reweight(&d.fleet[i])
+	d.handle(topazfall.Event{Kind: topazfall.ListPatch, List: d.fleet[i : i+1]})
 }
 
-func (p *player) word() {
-	op := []gossip.Op{gossip.Sent, gossip.Ended}[p.request%2]
-	p.request++
-	word := gossip.Message{Op: op, At: p.now, Host: gossip.HostHash(p.fleet[p.chance.IntN(len(p.fleet))].ID),
-		Work: requestTicks}
-	p.on(topazfall.Event{Kind: topazfall.PeerMessage, From: 0, Data: word.Append(nil)})
+// sendGossip passes a gossip message about a random worker: alternately that a request was sent to it and that one has
+// ended there.
+func (d *moduleDriver) sendGossip() {
+	op := []gossip.Op{gossip.Sent, gossip.Ended}[d.request%2]
+	d.request++
+	message := gossip.Message{Op: op, At: d.now, Host: gossip.HostHash(d.fleet[d.random.IntN(len(d.fleet))].ID),
+		Work: requestMicros}
+	d.handle(topazfall.Event{Kind: topazfall.PeerMessage, From: 0, Data: message.Append(nil)})
 }
 
-// serve plays a request from its arrival to its answer.
-func (p *player) serve() {
-	p.request++
-	p.on(topazfall.Event{Kind: topazfall.Arrival, Request: p.request, Tenant: int(p.request) % p.teams,
-		Due:  p.now + 5_000_000,
-		Hint: requestTicks})
-	for _, a := range p.actions {
-		if a.Kind == topazfall.Send && a.Request == p.request {
-			p.now += requestTicks
-			p.on(topazfall.Event{Kind: topazfall.AttemptDone, Request: p.request, Worker: a.Worker,
+// serveRequest passes the events of one request, from its arrival to its answer.
+func (d *moduleDriver) serveRequest() {
+	d.request++
+	d.handle(topazfall.Event{Kind: topazfall.Arrival, Request: d.request, Tenant: int(d.request) % d.teams,
+		Due:  d.now + 5_000_000,
+		Hint: requestMicros})
+	for _, a := range d.actions {
+		if a.Kind == topazfall.Send && a.Request == d.request {
+			d.now += requestMicros
+			d.handle(topazfall.Event{Kind: topazfall.AttemptDone, Request: d.request, Worker: a.Worker,
 				Outcome: topazfall.Completed,
-				Elapsed: requestTicks, Final: true, Load: topazfall.NoLoad})
+				Elapsed: requestMicros, Final: true, Load: topazfall.NoLoad})
 			return
 		}
 	}
 }
 
-func (DecisionModule) atSize(ctx context.Context, b *Bench, axis string, workers, teams int, x float64) error {
+// measureSize measures the module with the given numbers of workers and teams, and adds the values at x.
+func (DecisionModule) measureSize(ctx context.Context, b *Bench, axis string, workers, teams int, x float64) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	p, err := newPlayer(Setup{Workers: workers, Dispatchers: sizeDispatchers, Teams: teams, LiveWeights: true}, b.Seed)
+	driver, err := newModuleDriver(Setup{Workers: workers, Dispatchers: sizeDispatchers, Teams: teams,
+		LiveWeights: true}, b.Seed)
 	if err != nil {
 		return err
 	}
-	fleet := heap()
-	p.on(topazfall.Event{Kind: topazfall.ListSnapshot, List: p.fleet})
-	b.Add(figureHeap, axis, "MB", fromModule, x, (heap()-fleet)/1e6)
+	heapBefore := heapBytes()
+	driver.handle(topazfall.Event{Kind: topazfall.ListSnapshot, List: driver.fleet})
+	b.Add(metricModuleHeap, axis, "MB", sourceModule, x, (heapBytes()-heapBefore)/1e6)
 	const us = 1e6
-	for range repeats {
-		b.Add(figurePatch, axis, "us", fromModule, x, perCall(p.patch)*us)
-		b.Add(figureRequest, axis, "us", fromModule, x, perCall(p.serve)*us)
-		b.Add(figureWord, axis, "us", fromModule, x, perCall(p.word)*us)
+	for range valuesPerPoint {
+		b.Add(metricModulePatch, axis, "us", sourceModule, x, cpuPerCall(driver.sendPatch)*us)
+		b.Add(metricModuleRequest, axis, "us", sourceModule, x, cpuPerCall(driver.serveRequest)*us)
+		b.Add(metricModuleGossip, axis, "us", sourceModule, x, cpuPerCall(driver.sendGossip)*us)
 		if axis == axisWorkers {
-			b.Add(figureWhole, axis, "us", fromModule, x, perCall(p.whole)*us)
-			b.Add(figurePatches, axis, "us", fromModule, x, perCall(p.patchAll)*us)
+			b.Add(metricModuleSnapshot, axis, "us", sourceModule, x, cpuPerCall(driver.sendSnapshot)*us)
+			b.Add(metricModulePatchAll, axis, "us", sourceModule, x, cpuPerCall(driver.sendPatchAll)*us)
 		}
 	}
 	return nil
 }
 
-// perCall is the processor time of one call in seconds, of this process with the collection of its garbage.
-func perCall(call func()) float64 {
+// cpuPerCall returns the processor time of one call in seconds. It counts the time of the whole process, including
+// garbage collection.
+func cpuPerCall(call func()) float64 {
 	runtime.GC()
-	began, calls := processTime(), 0
-	for batch := 1; processTime()-began < slice; batch *= 2 {
+	start, calls := processTime(), 0
+	for batch := 1; processTime()-start < minSampleTime; batch *= 2 {
 		for range batch {
 			call()
 		}
 		calls += batch
 	}
-	return (processTime() - began).Seconds() / float64(calls)
+	return (processTime() - start).Seconds() / float64(calls)
 }
 
-func heap() float64 {
+// heapBytes returns the live heap in bytes, after garbage collection.
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/lab/scale/quotas.go
+++ b/internal/lab/scale/quotas.go
@@ -9,13 +9,14 @@
 	"topazfall/internal/lab/program"
 )
 
-// Quotas measures the change of the teams' quotas over their number, as it is made today: a file and a signal.
+// Quotas measures changes of the teams' quotas over the number of teams, as operators make them today: by a file and a
+// signal.
 type Quotas struct{}
 
 const (
-	figureReload      = "processor time of a change of quotas"
-	figureReloadTime  = "time until a change of quotas is in force at one dispatcher"
-	figureReloadBytes = "bytes of the configuration"
+	metricQuotaChange     = "processor time of a change of quotas"
+	metricQuotaChangeTime = "time until a change of quotas is in force at one dispatcher"
+	metricConfigBytes     = "bytes of the configuration"
 )
 
 // Name implements Measurement.
@@ -23,30 +24,32 @@
 
 // Measure implements Measurement.
 func (q Quotas) Measure(ctx context.Context, b *Bench) error {
-	in, err := b.start(ctx, Setup{Workers: smallFleet, Dispatchers: sizeDispatchers, Real: realCount, Teams: 6,
+	in, err := b.startInstallation(ctx, Setup{Workers: smallFleetSize, Dispatchers: sizeDispatchers,
+		Real: realDispatchers, Teams: 6,
 		PerProcess: 1})
 	if err != nil {
 		return err
 	}
 	defer in.Close()
 	length := pick(b, time.Second, 4*time.Second)
-	quiet, err := in.MeasureWindow(ctx, 2*length, 0, nil)
+	idle, err := in.MeasureWindow(ctx, 2*length, 0, nil)
 	if err != nil {
 		return err
 	}
 	for _, teams := range []int{6, 50, 120, 250, sizeTeams} {
-		if err := q.change(ctx, b, in, quiet, teams, length); err != nil {
+		if err := q.measureTeams(ctx, b, in, idle, teams, length); err != nil {
 			return fmt.Errorf("%d teams: %w", teams, err)
 		}
 	}
 	return nil
 }
 
-// quotaRate is how often a second the quotas change in the window that is measured.
-const quotaRate = 4
+// quotaChangeRate is the number of quota changes a second in the window that is measured.
+const quotaChangeRate = 4
 
-// change changes the quotas of so many teams: in a window for the processor time, and one by one for the time.
-func (q Quotas) change(ctx context.Context, b *Bench, in *Installation, quiet Window, teams int,
+// measureTeams changes the quotas of the given number of teams: at each dispatcher in turn for the time that a change
+// takes, then at all of them in a window for the processor time.
+func (q Quotas) measureTeams(ctx context.Context, b *Bench, in *Installation, idle Window, teams int,
 	length time.Duration) error {
 	x, n := float64(teams), 0
 	configure := func(p *program.Process) (int, error) {
@@ -57,20 +60,20 @@
 			config["settings"].(map[string]any)["realms"] = list
 		})
 	}
-	for _, p := range in.real {
+	for _, p := range in.realProcesses {
 		size, err := configure(p)
 		if err != nil {
 			return err
 		}
-		took, err := reloaded(ctx, p)
+		elapsed, err := reloadAndWait(ctx, p)
 		if err != nil {
 			return err
 		}
-		b.Add(figureReloadTime, axisTeams, "ms", fromReal, x, took.Seconds()*1e3)
-		b.Add(figureReloadBytes, axisTeams, "B", fromReal, x, float64(size))
+		b.Add(metricQuotaChangeTime, axisTeams, "ms", sourceReal, x, elapsed.Seconds()*1e3)
+		b.Add(metricConfigBytes, axisTeams, "B", sourceReal, x, float64(size))
 	}
-	w, err := in.MeasureWindow(ctx, length, quotaRate, func() error {
-		for _, p := range in.real {
+	w, err := in.MeasureWindow(ctx, length, quotaChangeRate, func() error {
+		for _, p := range in.realProcesses {
 			if _, err := configure(p); err != nil {
 				return err
 			}
@@ -83,37 +86,37 @@
 	if err != nil {
 		return err
 	}
-	b.addEvents(figureReload, "", axisTeams, x, quiet, w)
+	b.addEventCosts(metricQuotaChange, "", axisTeams, x, idle, w)
 	for _, u := range w.Usages {
-		b.Add(figureResident, axisTeams, "MB", string(u.Kind), x, u.Resident/1e6)
+		b.Add(metricResident, axisTeams, "MB", string(u.Kind), x, u.Resident/1e6)
 	}
 	return nil
 }
 
-// reloaded tells a process to take its configuration, and returns when it has.
-func reloaded(ctx context.Context, p *program.Process) (time.Duration, error) {
-	taken := func() (float64, error) {
+// reloadAndWait makes a process reload its configuration and returns the time until the new one is in force.
+func reloadAndWait(ctx context.Context, p *program.Process) (time.Duration, error) {
+	appliedCount := func() (float64, error) {
 		f, err := p.Metrics()
 		return f["app_sighup_applied_total"], err
 	}
-	before, err := taken()
+	before, err := appliedCount()
 	if err != nil {
 		return 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := p.Reload(); err != nil {
 		return 0, err
 	}
 	for {
-		now, err := taken()
+		now, err := appliedCount()
 		if err != nil {
 			return 0, err
 		}
 		if now > before {
-			return time.Since(began), nil
+			return time.Since(start), nil
 		}
-		if time.Since(began) > loading {
-			return 0, errors.New("the configuration is not taken")
+		if time.Since(start) > loadTimeout {
+			return 0, errors.New("the configuration was not applied in time")
 		}
 		if err := sleep(ctx, time.Millisecond); err != nil {
 			return 0, err
--- a/internal/lab/scale/rework.go
+++ b/internal/lab/scale/recompute.go
@@ -12,35 +12,36 @@
 	"topazfall/internal/lab/report"
 )
 
-// kept is what the file of a run holds.
-type kept struct {
+// savedRun is the JSON file of a run.
+type savedRun struct {
 	report.Report
 	Data []*Series `json:"data"`
 }
 
-// Recompute works the operators' figures out anew from the files of earlier runs: what was measured is theirs, and so
-// are the bars that follow from no slope. A series that several hold is the last one's.
+// Recompute reads the files of earlier runs and computes the derived values and bounds again. The measured series are
+// those of the files, and so are the bounds that do not follow from a fit. If several files hold the same series, the
+// last one is used.
 func Recompute(files []string, charts string) (*report.Report, error) {
 	b := NewBench(Options{}, io.Discard)
-	var bars []report.Bound
+	var bounds []report.Bound
 	for _, file := range files {
-		var k kept
+		var run savedRun
 		text, err := os.ReadFile(file)
 		if err == nil {
-			err = jsoniter.Unmarshal(text, &k)
+			err = jsoniter.Unmarshal(text, &run)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
-		b.Seed = k.Seed
-		b.replace(k.Data)
-		bars = append(bars, k.Bounds...)
-		for _, note := range k.Notes {
+		b.Seed = run.Seed
+		b.replace(run.Data)
+		bounds = append(bounds, run.Bounds...)
+		for _, note := range run.Notes {
 			b.AddNote("%s: %s", file, note)
 		}
 	}
-	if loop := b.Find(figureLoop, axisTimings, fromRun); loop != nil {
-		b.Calibration.spent = []time.Duration{time.Duration(loop.Points[0].Y * float64(time.Microsecond))}
+	if loop := b.Find(metricLoop, axisTimings, sourceRun); loop != nil {
+		b.Calibration.cpuTimes = []time.Duration{time.Duration(loop.Points[0].Y * float64(time.Microsecond))}
 	}
 	if err := b.Fit(); err != nil {
 		return nil, err
@@ -55,16 +56,16 @@
 	}
 	r := b.Report()
 	r.Name = "scale, worked out anew from earlier runs"
-	r.Notes = b.Notes // the machine's pace is that of the runs
-	for _, bar := range bars {
-		if !slices.ContainsFunc(r.Bounds, func(o report.Bound) bool { return o.Name == bar.Name }) {
-			r.Bounds = append(r.Bounds, bar)
+	r.Notes = b.Notes // without the calibration note of this process: the timings are those of the runs
+	for _, bound := range bounds {
+		if !slices.ContainsFunc(r.Bounds, func(o report.Bound) bool { return o.Name == bound.Name }) {
+			r.Bounds = append(r.Bounds, bound)
 		}
 	}
 	return r, nil
 }
 
-// replace puts series in the place of those that were there.
+// replace adds series, in place of those with the same metric, axis and source.
 func (d *Data) replace(all []*Series) {
 	for _, s := range all {
 		d.Series = slices.DeleteFunc(d.Series, func(o *Series) bool {
--- a/internal/lab/scale/regions.go
+++ b/internal/lab/scale/regions.go
@@ -8,14 +8,15 @@
 	"topazfall/internal/lab/discoveryserver"
 )
 
-// RegionCuts measures what a cut of regions from discovery costs, and how soon what changed meanwhile is known after it.
+// RegionCuts measures what it costs when regions are cut off from discovery, and how long dispatchers take to catch up
+// after the cut.
 type RegionCuts struct{}
 
 const (
-	figureCutCPU   = "processor time while regions are cut"
-	figureCatchUp  = "time from the heal to all knowing"
-	figureHealSent = "bytes of catching up"
-	cutWorkers     = 25 // new workers during the cut, by which its end is known
+	metricCutCPU       = "processor time while regions are cut"
+	metricCatchUpTime  = "time from the heal to all knowing"
+	metricCatchUpBytes = "bytes of catching up"
+	cutWorkers         = 25 // workers added during the cut, which show when dispatchers have caught up
 )
 
 // Name implements Measurement.
@@ -24,15 +25,17 @@
 // Measure implements Measurement.
 func (r RegionCuts) Measure(ctx context.Context, b *Bench) error {
 	for cut := range regions + 1 {
-		if err := r.cut(ctx, b, cut); err != nil {
+		if err := r.measureCut(ctx, b, cut); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (RegionCuts) cut(ctx context.Context, b *Bench, regionsCut int) error {
-	in, err := b.start(ctx, Setup{Workers: someFleet, Dispatchers: sizeDispatchers, Real: realCount,
+// measureCut measures one cut of the given number of regions.
+func (RegionCuts) measureCut(ctx context.Context, b *Bench, regionsCut int) error {
+	in, err := b.startInstallation(ctx, Setup{Workers: mediumFleetSize, Dispatchers: sizeDispatchers,
+		Real:       realDispatchers,
 		Simulated:  pick(b, 12, 40),
 		PerProcess: pick(b, 6, 10), Teams: sizeTeams, LiveWeights: true})
 	if err != nil {
@@ -40,45 +43,46 @@
 	}
 	defer in.Close()
 	for region := range regionsCut {
-		in.doors[realKind][region].Partition()
-		in.doors[hollowKind][region].Partition()
+		in.endpoints[realKind][region].Partition()
+		in.endpoints[simulatedKind][region].Partition()
 	}
-	more := Fleet(someFleet+cutWorkers, time.Now())[someFleet:]
+	added := Fleet(mediumFleetSize+cutWorkers, time.Now())[mediumFleetSize:]
 	w, err := in.MeasureWindow(ctx, pick(b, time.Second, 12*time.Second), 0, nil)
 	if err != nil {
 		return err
 	}
 	x := float64(regionsCut)
 	for _, u := range w.Usages {
-		b.Add(figureCutCPU, axisRegions, "% of a core", string(u.Kind), x, u.CPU.Seconds()/w.Length.Seconds()*100)
+		b.Add(metricCutCPU, axisRegions, "% of a core", string(u.Kind), x, u.CPU.Seconds()/w.Length.Seconds()*100)
 	}
-	return in.heal(ctx, b, x, regionsCut, more)
+	return in.measureHeal(ctx, b, x, regionsCut, added)
 }
 
-// heal lists further workers one by one, ends the cut, and measures the time until all know them.
-func (in *Installation) heal(ctx context.Context, b *Bench, x float64, regionsCut int,
-	more []discoveryserver.Entry) error {
-	for _, e := range more {
-		in.list.Update(e)
+// measureHeal adds further workers to the list, ends the cut, and measures the time and the bytes until all dispatchers
+// know them. x is the number of regions cut.
+func (in *Installation) measureHeal(ctx context.Context, b *Bench, x float64, regionsCut int,
+	added []discoveryserver.Entry) error {
+	for _, e := range added {
+		in.discovery.Update(e)
 	}
-	if regionsCut < regions { // the others know at once, and their bytes are not those of catching up
-		if err := sleep(ctx, settle); err != nil {
+	if regionsCut < regions { // wait for the regions that are not cut, so that their bytes are not counted
+		if err := sleep(ctx, settleTime); err != nil {
 			return err
 		}
 	}
-	before, began := in.traffic(), time.Now()
+	before, start := in.traffic(), time.Now()
 	for region := range regionsCut {
-		in.doors[realKind][region].Heal()
-		in.doors[hollowKind][region].Heal()
+		in.endpoints[realKind][region].Heal()
+		in.endpoints[simulatedKind][region].Heal()
 	}
-	if err := in.AwaitWorkers(ctx, len(in.entries)+len(more), loading); err != nil {
+	if err := in.AwaitWorkers(ctx, len(in.entries)+len(added), loadTimeout); err != nil {
 		return fmt.Errorf("%d regions cut: %w", regionsCut, err)
 	}
-	b.Add(figureCatchUp, axisRegions, "s", "all", x, time.Since(began).Seconds())
+	b.Add(metricCatchUpTime, axisRegions, "s", "all", x, time.Since(start).Seconds())
 	after, sent := in.traffic(), 0.0
 	for k := range after {
 		sent += float64(after[k].BytesOut-before[k].BytesOut) / 1e3
 	}
-	b.Add(figureHealSent, axisRegions, "kB", "all", x, sent)
+	b.Add(metricCatchUpBytes, axisRegions, "kB", "all", x, sent)
 	return nil
 }
--- a/internal/lab/scale/roster.go
+++ b/internal/lab/scale/roster.go
@@ -22,47 +22,48 @@
 )
 
 const (
-	// originCount is how many instances of a roster agree on each revision, where there are more than that.
-	originCount = 3
-	// levelled is how many instances make two levels below the origins: three are fed by these, and feed the others.
-	levelled = originCount + 6
-	// figureLeaderSilent is an agent's own figure: negative until it has heard of a leader.
-	figureLeaderSilent = "app_config_leader_silent_seconds"
+	// maxOrigins is the number of origins of a roster with more instances than that: they agree on each revision.
+	maxOrigins = 3
+	// twoLevelSize is a number of instances with two levels below the origins: the origins feed three followers, and
+	// these feed the other three.
+	twoLevelSize = maxOrigins + 6
+	// metricLeaderSilence is one of an agent's own metrics. It is negative until the agent has heard from a leader.
+	metricLeaderSilence = "app_config_leader_silent_seconds"
 )
 
-// SharedRoster is agents on one roster: an Apply at one origin is passed on by the instances themselves
-// (decide/configlog, configsync). Followers are counted first, the origins are the last ones.
+// SharedRoster runs agents on one roster: an Apply at one origin is passed on by the instances themselves
+// (decide/configlog, configsync). In the order of the instances followers come first and origins last.
 type SharedRoster struct {
-	list    *discoveryserver.Server
-	rig     *rig.Rig
-	names   []string
-	origins []string
-	clients []controlpbconnect.ControlClient
+	discovery *discoveryserver.Server
+	rig       *rig.Rig
+	names     []string
+	origins   []string
+	clients   []controlpbconnect.ControlClient
 }
 
-// Name implements Carrier.
+// Name implements Distributor.
 func (s *SharedRoster) Name() string { return "one Apply at an origin of a roster" }
 
-// IsSequential implements Carrier.
+// IsSequential implements Distributor.
 func (s *SharedRoster) IsSequential() bool { return false }
 
-// Sizes implements Carrier. A quick run has no time for more than what the other carrier is compared at.
+// Sizes implements Distributor. A quick run has time only for the size at which distributors are compared.
 func (s *SharedRoster) Sizes(quick bool) []int {
 	if quick {
-		return []int{realCount}
+		return []int{realDispatchers}
 	}
-	return []int{1, 2, 3, 4, realCount, levelled}
+	return []int{1, 2, 3, 4, realDispatchers, twoLevelSize}
 }
 
-// Start implements Carrier. Up to three instances have one origin.
+// Start implements Distributor. A roster of up to three instances has one origin, a larger one has three.
 func (s *SharedRoster) Start(ctx context.Context, b *Bench, dir string, instances int) (err error) {
-	if s.list, err = discoveryserver.Start(); err != nil {
+	if s.discovery, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	s.list.Update()
+	s.discovery.Update()
 	origins := 1
-	if instances > originCount {
-		origins = originCount
+	if instances > maxOrigins {
+		origins = maxOrigins
 	}
 	for i := range instances - origins {
 		s.names = append(s.names, fmt.Sprintf("follower-%d", i))
@@ -72,7 +73,7 @@
 	}
 	s.names = append(s.names, s.origins...)
 	s.rig, err = rig.Start(rig.Options{Dir: dir, Names: s.names, Args: s.arguments, Split: configsync.SplitFrames,
-		Seed: b.Seed, Program: program.Options{ProgramPath: b.Agent, Discovery: s.list.Address()}})
+		Seed: b.Seed, Program: program.Options{ProgramPath: b.Agent, Discovery: s.discovery.Address()}})
 	if err != nil {
 		return err
 	}
@@ -86,19 +87,20 @@
 	return s.awaitLeader(ctx)
 }
 
-// arguments writes a member's roster, on which the others are where its links to them are.
+// arguments writes the roster of a member and returns the member's command line arguments. Its roster has the addresses
+// of its own links to the other members.
 func (s *SharedRoster) arguments(m rig.Member) ([]string, error) {
 	roster := configsync.Roster{Installation: "scale"}
 	for i, name := range s.names {
-		one := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "region-0",
-			Zone: fmt.Sprint("zone-", i%zones)}
+		entry := configsync.Member{Name: name, Address: m.PeerLinks[name], Region: "region-0",
+			Zone: fmt.Sprint("zone-", i%zonesPerRegion)}
 		if name == m.Name {
-			one.Address = m.PeerListen
+			entry.Address = m.PeerListen
 		}
 		if slices.Contains(s.origins, name) {
-			one.Role = "origin"
+			entry.Role = "origin"
 		}
-		roster.Members = append(roster.Members, one)
+		roster.Members = append(roster.Members, entry)
 	}
 	text, err := json.Marshal(roster)
 	if err != nil {
@@ -108,79 +110,82 @@
 	return []string{"--state", m.StateDir, "--roster", path, "--bootstrap"}, os.WriteFile(path, text, 0o600)
 }
 
-// awaitLeader waits until all instances have heard of a leader, so that the first change waits for no election.
+// awaitLeader waits until all instances have heard from a leader, so that the first change does not wait for an
+// election.
 func (s *SharedRoster) awaitLeader(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, loading)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	for _, name := range s.names {
 		for {
-			figures, err := s.rig.Process(name).Metrics()
-			if silent, ok := figures[figureLeaderSilent]; err == nil && ok && silent >= 0 {
+			values, err := s.rig.Process(name).Metrics()
+			if silent, ok := values[metricLeaderSilence]; err == nil && ok && silent >= 0 {
 				break
 			}
-			if err := sleep(ctx, askEvery); err != nil {
-				return fmt.Errorf("%s has heard of no leader: %w", name, err)
+			if err := sleep(ctx, revisionPollInterval); err != nil {
+				return fmt.Errorf("%s has not heard from a leader: %w", name, err)
 			}
 		}
 	}
 	return nil
 }
 
-// Distribute implements Carrier. An origin that cannot take the change now is followed by the next, as an operator would go
-// on: the time that this takes counts.
-func (s *SharedRoster) Distribute(ctx context.Context, n uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, loading)
+// Distribute implements Distributor. If an origin cannot apply the change now, the next one is tried, as an operator
+// would do; the time that this takes counts.
+func (s *SharedRoster) Distribute(ctx context.Context, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	for first := len(s.names) - len(s.origins); ; {
-		var last error
+		var lastErr error
 		for i := first; i < len(s.names); i++ {
-			if last = s.apply(ctx, i, n); last == nil {
+			if lastErr = s.apply(ctx, i, revision); lastErr == nil {
 				return nil
 			}
 		}
-		if err := sleep(ctx, askEvery); err != nil {
-			return fmt.Errorf("revision %d: %w", n, last)
+		if err := sleep(ctx, revisionPollInterval); err != nil {
+			return fmt.Errorf("revision %d: %w", revision, lastErr)
 		}
 	}
 }
 
-// apply makes revision n at an origin, unless it is there already: a call that was given up may have made it.
-func (s *SharedRoster) apply(ctx context.Context, origin int, n uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, applyLimit)
+// apply creates a revision at an origin, unless it exists already: an earlier call that failed or timed out may have
+// created it.
+func (s *SharedRoster) apply(ctx context.Context, origin int, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	held, err := s.Revision(ctx, origin)
-	if err != nil || held >= n {
+	current, err := s.Revision(ctx, origin)
+	if err != nil || current >= revision {
 		return err
 	}
-	if held != n-1 {
-		return fmt.Errorf("%s holds revision %d and cannot make revision %d", s.names[origin], held, n)
+	if current != revision-1 {
+		return fmt.Errorf("%s is at revision %d and cannot create revision %d", s.names[origin], current, revision)
 	}
-	_, err = s.clients[origin].Apply(ctx, connect.NewRequest(&pb.ApplyRequest{From: held,
-		Settings: &pb.Settings{Sources: &pb.Sources{Hold: durationpb.New(time.Duration(n) * time.Millisecond)}}}))
+	_, err = s.clients[origin].Apply(ctx, connect.NewRequest(&pb.ApplyRequest{From: current,
+		Settings: &pb.Settings{
+			Sources: &pb.Sources{Hold: durationpb.New(time.Duration(revision) * time.Millisecond)}}}))
 	return err
 }
 
-// Revision implements Carrier.
+// Revision implements Distributor.
 func (s *SharedRoster) Revision(ctx context.Context, instance int) (uint64, error) {
-	now, err := s.clients[instance].Get(ctx, connect.NewRequest(&pb.GetRequest{}))
+	current, err := s.clients[instance].Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 	if err != nil {
 		return 0, err
 	}
-	return now.Msg.Revision.GetNumber(), nil
+	return current.Msg.Revision.GetNumber(), nil
 }
 
-// Process implements Carrier.
+// Process implements Distributor.
 func (s *SharedRoster) Process(instance int) *program.Process {
 	return s.rig.Process(s.names[instance])
 }
 
-// Close implements Carrier.
+// Close implements Distributor.
 func (s *SharedRoster) Close() {
 	if s.rig != nil {
 		s.rig.Close()
 	}
-	if s.list != nil {
-		s.list.Close()
+	if s.discovery != nil {
+		s.discovery.Close()
 	}
 	*s = SharedRoster{}
 }
--- a/internal/lab/scale/saves.go
+++ b/internal/lab/scale/saves.go
@@ -8,21 +8,21 @@
 	"topazfall/internal/snapshot"
 )
 
-// figureSave is how long the machine takes to save a small file as the agents do while carriers are measured: each
-// change waits for some saves in turn, and others use the disk too.
-const figureSave = "time of a save of a small file, while changes are carried"
+// metricSave is how long the machine takes to save a small file in the way that agents do, while distributors are
+// measured: each change waits for some saves one after the other, and other processes use the disk too.
+const metricSave = "time of a save of a small file, while changes are carried"
 
-const saveEvery = 100 * time.Millisecond
+const saveInterval = 100 * time.Millisecond
 
-// timeSaves saves a small file in dir again and again until the context ends, and returns how long each took.
-func timeSaves(ctx context.Context, dir string) (took []float64, err error) {
+// timeSaves saves a small file in dir repeatedly until the context ends, and returns the times in milliseconds.
+func timeSaves(ctx context.Context, dir string) (elapsed []float64, err error) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		if err := snapshot.Write(filepath.Join(dir, "save"), "pace", nil); err != nil {
-			return took, err
+			return elapsed, err
 		}
-		took = append(took, time.Since(began).Seconds()*1e3)
-		sleep(ctx, saveEvery) // its error is the context's, which the loop looks at
+		elapsed = append(elapsed, time.Since(start).Seconds()*1e3)
+		sleep(ctx, saveInterval) // its error is the context's, which the loop condition checks
 	}
-	return took, nil
+	return elapsed, nil
 }
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,7 +1,8 @@
-// Package scale measures how the program's costs grow with the size of an installation: slopes over workers,
-// dispatchers, teams, changes a second and regions cut, with an interval each, and what they make of the size that
-// the operators expect in two years. Real dispatchers run beside hollow ones, which are the same code without
-// clients, many in a process.
+// Package scale measures how the program's costs grow with the size of an installation. It fits the growth over the
+// number of workers, dispatchers and teams, over changes a second and over the number of regions that are cut off from
+// discovery, with a confidence interval for each slope. From the fits it computes the costs at the size that the
+// operators expect in two years. Real dispatchers run next to simulated ones ("hollow" in reports and on the command
+// line), which run the same code without clients, many in one process.
 package scale
 
 import (
@@ -15,22 +16,23 @@
 	"topazfall/internal/lab/report"
 )
 
-// Measurements are those of a run, in order.
+// Measurements returns the measurements of a run, in order.
 func Measurements() []Measurement {
-	return []Measurement{DecisionModule{}, Workers{}, Dispatchers{}, ChangeRates{}, Quotas{}, RegionCuts{}, WorkerLosses{}, UrgentStarts{},
+	return []Measurement{DecisionModule{}, Workers{}, Dispatchers{}, ChangeRates{}, Quotas{}, RegionCuts{},
+		WorkerLosses{}, UrgentStarts{},
 		Configuration{Distributors: []Distributor{&SerialApply{}, &SharedRoster{}}}, ConfigurationModel{}}
 }
 
-// Bounds in time of a run, beyond which it ends with an error: a few times what it takes on a busy machine.
+// Time limits of a run, after which it ends with an error: a few times what a run takes on a busy machine.
 const (
-	mostQuick = 10 * time.Minute
-	mostWhole = 40 * time.Minute
+	maxQuickRun = 10 * time.Minute
+	maxFullRun  = 40 * time.Minute
 )
 
-// Run measures everything, and tells its progress to w.
+// Run makes all measurements, or those whose names contain o.Only, and writes its progress to w.
 func Run(ctx context.Context, o Options, w io.Writer) (*report.Report, error) {
 	b := NewBench(o, w)
-	ctx, cancel := context.WithTimeout(ctx, pick(b, mostQuick, mostWhole))
+	ctx, cancel := context.WithTimeout(ctx, pick(b, maxQuickRun, maxFullRun))
 	defer cancel()
 	all := slices.DeleteFunc(Measurements(), func(m Measurement) bool { return !strings.Contains(m.Name(), o.Only) })
 	if len(all) == 0 {
@@ -52,12 +54,12 @@
 	return b.Report(), nil
 }
 
-// sizes are the places of the axes for which figures are worked out.
-var sizes = map[string]float64{axisWorkers: sizeWorkers, axisTeams: sizeTeams, axisDispatchers: sizeDispatchers,
-	axisInstances: realCount, axisRegions: 1, axisChanges: 1, axisLost: zoneSize,
-	axisRequests: startsAtPeak * realCount / sizeDispatchers}
+// targetSizes is the position on each axis at which the report gives the fitted value.
+var targetSizes = map[string]float64{axisWorkers: sizeWorkers, axisTeams: sizeTeams, axisDispatchers: sizeDispatchers,
+	axisInstances: realDispatchers, axisRegions: 1, axisChanges: 1, axisLost: zoneSize,
+	axisRequests: peakStarts * realDispatchers / sizeDispatchers}
 
-// Report is what was measured, as a table with its bars.
+// Report returns the table of all series and derived values, with the bounds.
 func (b *Bench) Report() *report.Report {
 	r := report.New("scale", b.Seed, "figure", "of", "axis", "from", "to", "unit", "points", "fit", "rejected",
 		"slope", "low",
@@ -65,34 +67,35 @@
 	for _, s := range b.Series {
 		x, _ := s.ranges()
 		if s.Fit == nil {
-			is, _ := s.at(x[1])
+			value, _ := s.valueAt(x[1])
 			r.AddRow(s.Metric, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), "none", "", "", "", "", "",
-				x[1], is, "")
+				x[1], value, "")
 			continue
 		}
-		f, at := s.Fit, sizes[s.Axis]
-		is, _ := s.at(at)
+		f, at := s.Fit, targetSizes[s.Axis]
+		value, _ := s.valueAt(at)
 		r.AddRow(s.Metric, s.Source, s.Axis, x[0], x[1], s.Unit, len(s.Points), f.name(), f.Rejected, f.Slope, f.Low,
 			f.High,
-			f.Spread, at, is, b.loops(s.Unit, is))
+			f.Spread, at, value, b.timeInLoops(s.Unit, value))
 	}
-	for _, w := range b.worked {
-		r.AddRow(w.what, "", "", "", "", w.unit, "", "", "", "", "", "", "", "", w.value, "")
+	for _, derived := range b.derived {
+		r.AddRow(derived.name, "", "", "", "", derived.unit, "", "", "", "", "", "", "", "", derived.value, "")
 	}
-	for _, bar := range b.Bounds {
-		kept := report.Bound{Name: bar.Name, Value: bar.Value, Max: bar.Max, Unit: bar.Unit}
-		if bar.IsWallClock && b.Calibration.IsBusy() {
-			kept.Inconclusive = "machine too busy"
+	for _, from := range b.Bounds {
+		bound := report.Bound{Name: from.Name, Value: from.Value, Max: from.Max, Unit: from.Unit}
+		if from.IsWallClock && b.Calibration.IsBusy() {
+			bound.Inconclusive = "machine too busy"
 		}
-		r.Bounds = append(r.Bounds, kept)
+		r.Bounds = append(r.Bounds, bound)
 	}
 	r.Notes, r.Data = b.Notes, b.Series
-	r.Notes = append(r.Notes, b.paceNote())
+	r.Notes = append(r.Notes, b.calibrationNote())
 	return r
 }
 
-// loops is a time as a ratio to the fixed loop's, where the unit is one of time.
-func (b *Bench) loops(unit string, value float64) any {
+// timeInLoops returns a time as a multiple of the processor time of the calibration loop, or "" if the unit is not one
+// of time.
+func (b *Bench) timeInLoops(unit string, value float64) any {
 	seconds, ok := map[string]float64{"us": 1e-6, "ms": 1e-3, "s": 1}[unit]
 	if !ok || b.Calibration.LoopTime() == 0 {
 		return ""
--- a/internal/lab/scale/series.go
+++ b/internal/lab/scale/series.go
@@ -6,24 +6,26 @@
 	"slices"
 )
 
-// Series is one figure along one axis.
+// Series holds the measured points of one metric along one axis, and their fit.
 type Series struct {
-	Metric string  `json:"figure"`
-	Axis   string  `json:"axis"`
-	Unit   string  `json:"unit"`
-	Source string  `json:"source"` // real, hollow, or module for the decision module alone
+	Metric string `json:"figure"`
+	Axis   string `json:"axis"`
+	Unit   string `json:"unit"`
+	// Source is what was measured: real or simulated ("hollow") dispatchers, the decision module alone ("module"), or
+	// all of them, the run itself or the model.
+	Source string  `json:"source"`
 	Points []Point `json:"points"`
-	Fit    *Fit    `json:"fit"` // nil where the points carry none
+	Fit    *Fit    `json:"fit"` // nil if there are too few points for a fit
 }
 
-// The sources of series.
+// Sources of series.
 const (
-	fromModule = "module"
-	fromReal   = string(realKind)
-	fromHollow = string(hollowKind)
+	sourceModule    = "module"
+	sourceReal      = string(realKind)
+	sourceSimulated = string(simulatedKind)
 )
 
-// ranges of the axis and of the values, over all points.
+// ranges returns the smallest and largest x and y of all points.
 func (s *Series) ranges() (x, y [2]float64) {
 	byX := func(a, b Point) int { return cmp.Compare(a.X, b.X) }
 	byY := func(a, b Point) int { return cmp.Compare(a.Y, b.Y) }
@@ -32,14 +34,14 @@
 	return x, y
 }
 
-// Data are the series of a run, in the order in which they were measured.
+// Data holds the series of a run, in the order in which they were measured.
 type Data struct{ Series []*Series }
 
-// Add adds points to a series, which begins with its first.
-func (d *Data) Add(figure, axis, unit, source string, x float64, ys ...float64) {
-	s := d.Find(figure, axis, source)
+// Add adds points to a series, which it creates if there is none yet.
+func (d *Data) Add(metric, axis, unit, source string, x float64, ys ...float64) {
+	s := d.Find(metric, axis, source)
 	if s == nil {
-		s = &Series{Metric: figure, Axis: axis, Unit: unit, Source: source}
+		s = &Series{Metric: metric, Axis: axis, Unit: unit, Source: source}
 		d.Series = append(d.Series, s)
 	}
 	for _, y := range ys {
@@ -47,21 +49,21 @@
 	}
 }
 
-// Find returns the series, or nil.
-func (d *Data) Find(figure, axis, source string) *Series {
+// Find returns the series, or nil if there is none.
+func (d *Data) Find(metric, axis, source string) *Series {
 	for _, s := range d.Series {
-		if s.Metric == figure && s.Axis == axis && s.Source == source {
+		if s.Metric == metric && s.Axis == axis && s.Source == source {
 			return s
 		}
 	}
 	return nil
 }
 
-// Fit fits all series whose points carry it.
+// Fit fits all series that have enough points.
 func (d *Data) Fit() error {
 	for _, s := range d.Series {
 		f, err := Regress(s.Points)
-		if err == errFew {
+		if err == errTooFewPoints {
 			continue
 		}
 		if err != nil {
@@ -72,29 +74,31 @@
 	return nil
 }
 
-// At is a figure at a place of its axis: the median of what was measured there, or the fit where nothing was.
-func (d *Data) At(figure, axis, source string, x float64) (float64, error) {
-	s := d.Find(figure, axis, source)
+// At returns the value of a metric at x: the median of the values measured there, or else the fitted value.
+func (d *Data) At(metric, axis, source string, x float64) (float64, error) {
+	s := d.Find(metric, axis, source)
 	if s == nil {
-		return 0, fmt.Errorf("%s over %s (%s) is not measured", figure, axis, source)
+		return 0, fmt.Errorf("%s over %s (%s) is not measured", metric, axis, source)
 	}
-	value, ok := s.at(x)
+	value, ok := s.valueAt(x)
 	if !ok {
-		return 0, fmt.Errorf("%s over %s (%s) is not measured at %v, and has no fit", figure, axis, source, x)
+		return 0, fmt.Errorf("%s over %s (%s) is not measured at %v, and has no fit", metric, axis, source, x)
 	}
 	return value, nil
 }
 
-func (s *Series) at(x float64) (value float64, ok bool) {
-	var there []float64
+// valueAt returns the median of the values measured at x, or else the fitted value. It returns false if there is
+// neither.
+func (s *Series) valueAt(x float64) (value float64, ok bool) {
+	var measured []float64
 	for _, p := range s.Points {
 		if p.X == x {
-			there = append(there, p.Y)
+			measured = append(measured, p.Y)
 		}
 	}
 	switch {
-	case len(there) > 0:
-		return quantile(there, 0.5), true
+	case len(measured) > 0:
+		return quantile(measured, 0.5), true
 	case s.Fit != nil:
 		return s.Fit.At(x), true
 	}
--- a/internal/lab/scale/urgent.go
+++ b/internal/lab/scale/urgent.go
@@ -9,16 +9,17 @@
 	"topazfall/internal/lab/host"
 )
 
-// UrgentStarts measures how soon work begins at a worker, at real dispatchers that hold the whole list while it changes.
+// UrgentStarts measures how soon jobs start at a worker, with real dispatchers that hold a list of full size while it
+// changes.
 type UrgentStarts struct{}
 
 const (
-	figureStart  = "time from a client's call to the start at a worker, 99.9th percentile"
+	metricStart  = "time from a client's call to the start at a worker, 99.9th percentile"
 	axisRequests = "requests a second"
 
-	servingWorkers = regions * zones
-	workTime       = 200 * time.Millisecond
-	urgentWait     = 10 * time.Second // of a client
+	servingWorkers = regions * zonesPerRegion
+	jobTime        = 200 * time.Millisecond
+	urgentTimeout  = 10 * time.Second // how long a client waits
 )
 
 // Name implements Measurement.
@@ -31,43 +32,44 @@
 		return err
 	}
 	defer s.close()
-	// The first rate is the part that the real dispatchers have of the starts at the peak.
-	for _, rate := range []float64{startsAtPeak * realCount / sizeDispatchers, 30, 60, 120} {
-		answers, err := s.play(ctx, rate, pick(b, 3*time.Second, 10*time.Second))
+	// The first rate is the real dispatchers' share of the starts at the peak.
+	for _, rate := range []float64{peakStarts * realDispatchers / sizeDispatchers, 30, 60, 120} {
+		results, err := s.sendRequests(ctx, rate, pick(b, 3*time.Second, 10*time.Second))
 		if err != nil {
 			return err
 		}
 		var starts []float64
-		for _, a := range answers {
-			if a.begun {
-				starts = append(starts, a.start.Seconds())
+		for _, result := range results {
+			if result.started {
+				starts = append(starts, result.startLatency.Seconds())
 			}
 		}
-		b.Add(figureStart, axisRequests, "ms", fromReal, rate, quantile(starts, 0.999)*1e3)
+		b.Add(metricStart, axisRequests, "ms", sourceReal, rate, quantile(starts, 0.999)*1e3)
 		b.AddBound(Bound{Name: fmt.Sprintf("urgent work without a start, of %d requests at %.0f a second",
-			len(answers), rate),
-			Value: float64(len(answers) - len(starts))})
-		b.AddBound(Bound{Name: fmt.Sprintf("time until urgent work starts, p99.9 of %d at %.0f a second", len(starts), rate),
-			Value: quantile(starts, 0.999), Max: mostStarting, Unit: "s", IsWallClock: true})
+			len(results), rate),
+			Value: float64(len(results) - len(starts))})
+		b.AddBound(Bound{Name: fmt.Sprintf("time until urgent work starts, p99.9 of %d at %.0f a second",
+			len(starts), rate),
+			Value: quantile(starts, 0.999), Max: maxUrgentStartSeconds, Unit: "s", IsWallClock: true})
 	}
 	return nil
 }
 
-// callBack brings a worker's call-back to the dispatcher that its id names.
+// callBack passes a worker's callback to the dispatcher that the request id in the body names.
 func (in *Installation) callBack(body []byte) error {
-	for i, p := range in.real {
-		if strings.Contains(string(body), prefixOf(i)) {
+	for i, p := range in.realProcesses {
+		if strings.Contains(string(body), idPrefix(i)) {
 			return p.SendCallback(body)
 		}
 	}
-	return fmt.Errorf("no dispatcher has this id: %s", body)
+	return fmt.Errorf("no dispatcher for the request id of the callback %s", body)
 }
 
-// prefixOf begins the ids of the requests to a dispatcher.
-func prefixOf(dispatcher int) string { return fmt.Sprintf("u%d-", dispatcher) }
+// idPrefix returns the beginning of the ids of requests to a dispatcher.
+func idPrefix(dispatcher int) string { return fmt.Sprintf("u%d-", dispatcher) }
 
-// startOf is when a request first came to a worker.
-func startOf(workers []*host.Host, id string) (first time.Time, ok bool) {
+// firstStart returns when a request first arrived at a worker. It returns false if it arrived at none.
+func firstStart(workers []*host.Host, id string) (first time.Time, ok bool) {
 	for _, w := range workers {
 		for _, s := range w.Arrivals(id) {
 			if !ok || s.At.Before(first) {
