--- a/internal/lab/scale/dispatchers.go
+++ b/internal/lab/scale/dispatchers.go
@@ -26,6 +26,7 @@
 	return nil
 }
 
+// measureDispatchers measures n dispatchers with a small fleet.
 func measureDispatchers(ctx context.Context, b *Bench, n int) error {
 	in, err := b.startInstallation(ctx, Setup{Workers: smallFleetSize, Dispatchers: n, Real: realDispatchers,
 		Simulated:  n - realDispatchers,
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -18,7 +18,7 @@
 // Setup describes an installation.
 type Setup struct {
 	Workers     int
-	Dispatchers int // number that the settings say share the fleet; not all of them have to run
+	Dispatchers int // sharing the fleet, by the settings; those that do not run are as silent as simulated ones
 	Real        int // processes of the program
 	Simulated   int // simulated dispatchers
 	PerProcess  int // simulated dispatchers in one process
--- a/internal/lab/scale/workers.go
+++ b/internal/lab/scale/workers.go
@@ -47,6 +47,7 @@
 	return nil
 }
 
+// measureSize measures dispatchers with the given number of workers.
 func (Workers) measureSize(ctx context.Context, b *Bench, workers int) error {
 	in, err := b.startInstallation(ctx, Setup{Workers: workers, Dispatchers: sizeDispatchers, Real: realDispatchers,
 		Simulated:  pick(b, 12, 40),
