--- a/cmd/topazlab/addresses.go
+++ b/cmd/topazlab/addresses.go
@@ -6,32 +6,34 @@
 	"topazfall/internal/lab/measure"
 )
 
-func addressesCommand() *cobra.Command {
+// newAddressesCommand returns the command that measures failing addresses.
+func newAddressesCommand() *cobra.Command {
 	var o measure.AddressOptions
-	var file string
-	c := &cobra.Command{
+	var jsonPath string
+	cmd := &cobra.Command{
 		Use: "addresses",
-		Short: "Runs the program against hosts whose addresses fail, and counts runs, answers and the time to a " +
+		Short: "Runs a dispatcher against hosts whose addresses fail, and measures runs, answers and the time to a " +
 			"working address",
-		Long: "addresses starts the program and stand-in hosts that listen on 127.0.0.1, ::1 and a socket file,\n" +
-			"and makes them fail in one way after the other. Every id's runs and final answers are counted. The\n" +
-			"figures that have a bar are checked, and the exit code is 1 if one falls short.",
+		Long: "addresses starts a dispatcher and stand-in hosts that listen on 127.0.0.1, ::1 and a socket file,\n" +
+			"and makes them fail in one way after the other. The runs and final answers of every id are counted.\n" +
+			"Measurements that have a bound are checked, and the exit code is 1 if one misses its bound.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.ProgramPath, "topazfall"); err != nil {
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := defaultToSibling(&o.ProgramPath, "topazfall"); err != nil {
 				return err
 			}
-			r, err := measure.Addresses(c.Context(), o, c.ErrOrStderr())
+			r, err := measure.Addresses(cmd.Context(), o, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return r.Finish(c.OutOrStdout(), file)
+			return r.Finish(cmd.OutOrStdout(), jsonPath)
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
-	c.Flags().IntVar(&o.Messages, "n", 10_000, "messages over all cases")
-	c.Flags().IntVar(&o.Rate, "rate", 400, "messages a second")
-	c.Flags().StringVar(&o.ProgramPath, "program", "", "the dispatcher to run (default: topazfall beside this program)")
-	return c
+	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements to this file as JSON")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random numbers")
+	cmd.Flags().IntVar(&o.Messages, "n", 10_000, "messages over all cases")
+	cmd.Flags().IntVar(&o.Rate, "rate", 400, "messages a second")
+	cmd.Flags().StringVar(&o.ProgramPath, "program", "",
+		"the dispatcher's binary (default: topazfall in the folder of this program)")
+	return cmd
 }
--- a/cmd/topazlab/agent.go
+++ b/cmd/topazlab/agent.go
@@ -8,53 +8,57 @@
 	"topazfall/internal/lab/measure"
 )
 
-func dnsCommand() *cobra.Command {
+// newDNSCommand returns the command that measures DNS as a source of hosts.
+func newDNSCommand() *cobra.Command {
 	var o measure.DNSOptions
-	var file string
-	c := &cobra.Command{
+	var jsonPath string
+	cmd := &cobra.Command{
 		Use:   "dns",
-		Short: "Runs agents against a resolver that changes, falls silent and contradicts the roster",
+		Short: "Runs agents against a resolver that changes, stops answering and contradicts the roster",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.AgentPath, "topazfall-agent"); err != nil {
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := defaultToSibling(&o.AgentPath, "topazfall-agent"); err != nil {
 				return err
 			}
-			r, err := measure.DNS(c.Context(), o, c.ErrOrStderr())
+			r, err := measure.DNS(cmd.Context(), o, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return r.Finish(c.OutOrStdout(), file)
+			return r.Finish(cmd.OutOrStdout(), jsonPath)
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
-	c.Flags().DurationVar(&o.OutageLength, "outage", time.Minute, "how long all resolvers are silent")
-	c.Flags().IntVar(&o.DrainMessages, "drains", 10_000, "messages sent while the roster drains their host")
-	c.Flags().StringVar(&o.AgentPath, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
-	return c
+	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements to this file as JSON")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random numbers")
+	cmd.Flags().DurationVar(&o.OutageLength, "outage", time.Minute, "how long the resolver does not answer")
+	cmd.Flags().IntVar(&o.DrainMessages, "drains", 10_000, "messages sent while the roster drains their host")
+	cmd.Flags().StringVar(&o.AgentPath, "agent", "",
+		"the agent's binary (default: topazfall-agent in the folder of this program)")
+	return cmd
 }
 
-func settingsCommand() *cobra.Command {
+// newSettingsCommand returns the command that measures an agent's settings.
+func newSettingsCommand() *cobra.Command {
 	var o measure.SettingsOptions
-	var file string
-	c := &cobra.Command{
+	var jsonPath string
+	cmd := &cobra.Command{
 		Use:   "settings",
-		Short: "Applies settings from many writers at once, and kills the agent in the middle",
+		Short: "Applies settings from many writers at once, and kills the agent while it saves them",
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.AgentPath, "topazfall-agent"); err != nil {
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := defaultToSibling(&o.AgentPath, "topazfall-agent"); err != nil {
 				return err
 			}
-			r, err := measure.Settings(c.Context(), o, c.ErrOrStderr())
+			r, err := measure.Settings(cmd.Context(), o, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return r.Finish(c.OutOrStdout(), file)
+			return r.Finish(cmd.OutOrStdout(), jsonPath)
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
-	c.Flags().IntVar(&o.Kills, "kills", 200, "kills in the middle of taking a revision")
-	c.Flags().StringVar(&o.AgentPath, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
-	return c
+	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements to this file as JSON")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random numbers")
+	cmd.Flags().IntVar(&o.Kills, "kills", 200, "kills while a revision is applied")
+	cmd.Flags().StringVar(&o.AgentPath, "agent", "",
+		"the agent's binary (default: topazfall-agent in the folder of this program)")
+	return cmd
 }
--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -1,4 +1,5 @@
-// Command topazlab is the laboratory: it measures the program, and parts of it, against stand-ins of the project's own.
+// Command topazlab is the laboratory: it measures the dispatcher, the agent and parts of them against stand-ins for
+// clients, workers, discovery and DNS.
 package main
 
 import (
@@ -18,15 +19,16 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	os.Exit(exitCode(command().ExecuteContext(ctx)))
+	os.Exit(exitCode(newRootCommand().ExecuteContext(ctx)))
 }
 
-// The exit codes: a bar that was missed or a run that failed, and a command that cannot be done as it was given.
+// Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailed = 1 // a bound was missed, or a run failed
+	exitUsage  = 2 // the command cannot be run with these arguments
 )
 
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	var usage soak.UsageError
 	switch {
@@ -38,20 +40,22 @@
 	return exitFailed
 }
 
-func command() *cobra.Command {
+// newRootCommand returns the command line with all subcommands.
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:          "topazlab",
 		Short:        "Measures topazfall against stand-ins, on loopback only",
 		Version:      version.String(),
 		SilenceUsage: true,
 	}
-	root.AddCommand(addressesCommand(), dnsCommand(), settingsCommand(), scaleCommand(), hollowCommand(), soakCommand())
+	root.AddCommand(newAddressesCommand(), newDNSCommand(), newSettingsCommand(), newScaleCommand(),
+		newSimulatedCommand(), newSoakCommand())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return soak.UsageError{Err: err} })
 	return root
 }
 
-// beside is the program of that name in this one's folder, where none is named.
-func beside(path *string, name string) error {
+// defaultToSibling sets an empty path to the program of that name in the folder of this program.
+func defaultToSibling(path *string, name string) error {
 	if *path != "" {
 		return nil
 	}
--- a/cmd/topazlab/scale.go
+++ b/cmd/topazlab/scale.go
@@ -8,65 +8,71 @@
 	"topazfall/internal/lab/scale"
 )
 
-const hollowName = "hollow"
+// simulatedCommandName is the name of the hidden command that runs simulated dispatchers.
+const simulatedCommandName = "hollow"
 
-func scaleCommand() *cobra.Command {
+// newScaleCommand returns the command that measures how costs grow.
+func newScaleCommand() *cobra.Command {
 	var o scale.Options
-	var file string
-	var from []string
-	c := &cobra.Command{
+	var jsonPath string
+	var reportPaths []string
+	cmd := &cobra.Command{
 		Use:   "scale",
-		Short: "Measures how costs grow with the size of an installation, and what is met at that of two years",
-		Long: "scale starts real dispatchers and hollow ones, which are the same code without clients, and measures\n" +
-			"what each event costs over the size of the installation: a slope with its 95% interval and the growth\n" +
-			"that was tested and rejected. The operators' figures are worked out from the slopes and checked, and\n" +
-			"the exit code is 1 if one is missed.",
+		Short: "Measures how costs grow with the size of an installation, and checks the size expected in two years",
+		Long: "scale starts real dispatchers and simulated ones, which run the same code without clients, and\n" +
+			"measures the cost of each event over the size of the installation: a slope with its 95% interval, and\n" +
+			"the growth that was tested and rejected. The operators' bounds are computed from the slopes and\n" +
+			"checked, and the exit code is 1 if one is missed.",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if len(from) > 0 {
-				r, err := scale.Recompute(from, o.Charts)
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if len(reportPaths) > 0 {
+				r, err := scale.Recompute(reportPaths, o.Charts)
 				if err != nil {
 					return err
 				}
-				return r.Finish(c.OutOrStdout(), file)
+				return r.Finish(cmd.OutOrStdout(), jsonPath)
 			}
-			if err := beside(&o.Dispatcher, "topazfall"); err != nil {
+			if err := defaultToSibling(&o.Dispatcher, "topazfall"); err != nil {
 				return err
 			}
-			if err := beside(&o.Agent, "topazfall-agent"); err != nil {
+			if err := defaultToSibling(&o.Agent, "topazfall-agent"); err != nil {
 				return err
 			}
 			self, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			o.SimulatedCommand = []string{self, hollowName}
-			r, err := scale.Run(c.Context(), o, c.ErrOrStderr())
+			o.SimulatedCommand = []string{self, simulatedCommandName}
+			r, err := scale.Run(cmd.Context(), o, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return r.Finish(c.OutOrStdout(), file)
+			return r.Finish(cmd.OutOrStdout(), jsonPath)
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "keep the figures in this file as well")
-	c.Flags().StringVar(&o.Charts, "charts", "", "draw the slopes as SVG files in this folder")
-	c.Flags().StringArrayVar(&from, "from", nil,
-		"measure nothing, and work out anew what these files of earlier runs hold")
-	c.Flags().StringVar(&o.Only, "only", "", "make only the measurements whose names contain this")
-	c.Flags().Uint64Var(&o.Seed, "seed", 1, "of what is drawn by chance")
-	c.Flags().BoolVar(&o.Quick, "quick", false, "fewer and shorter measurements: under 3 minutes")
-	c.Flags().StringVar(&o.Dispatcher, "program", "", "the dispatcher to run (default: topazfall beside this program)")
-	c.Flags().StringVar(&o.Agent, "agent", "", "the agent to run (default: topazfall-agent beside this program)")
-	return c
+	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements to this file as JSON")
+	cmd.Flags().StringVar(&o.Charts, "charts", "", "draw the slopes as SVG files in this folder")
+	cmd.Flags().StringArrayVar(&reportPaths, "from", nil,
+		"measure nothing, and recompute the results from these JSON files of earlier runs")
+	cmd.Flags().StringVar(&o.Only, "only", "", "make only the measurements whose names contain this")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random numbers")
+	cmd.Flags().BoolVar(&o.Quick, "quick", false, "fewer and shorter measurements: under 3 minutes")
+	cmd.Flags().StringVar(&o.Dispatcher, "program", "",
+		"the dispatcher's binary (default: topazfall in the folder of this program)")
+	cmd.Flags().StringVar(&o.Agent, "agent", "",
+		"the agent's binary (default: topazfall-agent in the folder of this program)")
+	return cmd
 }
 
-// hollowCommand is what scale starts its hollow dispatchers by.
-func hollowCommand() *cobra.Command {
+// newSimulatedCommand returns the hidden command with which scale starts its simulated dispatchers.
+func newSimulatedCommand() *cobra.Command {
 	return &cobra.Command{
-		Use:    hollowName,
-		Short:  "Runs hollow dispatchers for scale, until its input ends",
+		Use:    simulatedCommandName,
+		Short:  "Runs simulated dispatchers for scale, until its input ends",
 		Args:   cobra.NoArgs,
 		Hidden: true,
-		RunE:   func(c *cobra.Command, _ []string) error { return scale.ServeSimulated(c.InOrStdin(), c.OutOrStdout()) },
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return scale.ServeSimulated(cmd.InOrStdin(), cmd.OutOrStdout())
+		},
 	}
 }
--- a/cmd/topazlab/soak.go
+++ b/cmd/topazlab/soak.go
@@ -9,54 +9,56 @@
 	"topazfall/internal/lab/soak"
 )
 
-func soakCommand() *cobra.Command {
+// newSoakCommand returns the command that runs the soak test.
+func newSoakCommand() *cobra.Command {
 	var o soak.Options
-	var file string
-	c := &cobra.Command{
+	var jsonPath string
+	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Plays seeded runs of starts, ends, reloads and replacements under load, and judges their histories",
+		Short: "Runs seeded starts, ends, reloads and replacements under load, and checks their histories",
 		Long: "soak starts 3 to 8 dispatchers with workers, discovery and clients that fail, for 20 to 60 s a run.\n" +
-			"What happens is drawn from the run's seed and printed first. All that left and reached anybody is\n" +
-			"judged by the operators' rules; the exit code is 1 if one is broken, with the command that plays the\n" +
-			"seed again, and 2 if the run cannot be made as it was asked for.",
-		Args: func(c *cobra.Command, args []string) error {
-			if err := cobra.NoArgs(c, args); err != nil {
+			"What happens is drawn from the run's seed and printed first. Everything that was sent and received is\n" +
+			"checked against the operators' rules. The exit code is 1 if one is broken; the command that runs the\n" +
+			"seed again is printed then. It is 2 if the command cannot be run with these arguments.",
+		Args: func(cmd *cobra.Command, args []string) error {
+			if err := cobra.NoArgs(cmd, args); err != nil {
 				return soak.UsageError{Err: err}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := beside(&o.ProgramPath, "topazfall"); err != nil {
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := defaultToSibling(&o.ProgramPath, "topazfall"); err != nil {
 				return err
 			}
-			if err := writable(file); err != nil {
+			if err := checkWritable(jsonPath); err != nil {
 				return err
 			}
-			r, err := soak.Run(c.Context(), o, c.ErrOrStderr())
+			r, err := soak.Run(cmd.Context(), o, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return r.Finish(c.OutOrStdout(), file)
+			return r.Finish(cmd.OutOrStdout(), jsonPath)
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "keep the figures and the breaks in this file as well")
-	c.Flags().Uint64Var(&o.FirstSeed, "first", 1, "seed of the first run")
-	c.Flags().IntVar(&o.Seeds, "seeds", 1, "how many runs, with seeds in a row")
-	c.Flags().IntVar(&o.Parallel, "parallel", 2, "runs at a time")
-	c.Flags().DurationVar(&o.MaxLength, "longest", 0, "bound on the length of a run")
-	c.Flags().StringVar(&o.LogDir, "logs", "", "keep the dispatchers' logs in this folder")
-	c.Flags().StringVar(&o.ProgramPath, "program", "", "the dispatcher to run (default: topazfall beside this program)")
-	return c
+	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements and violations to this file as JSON")
+	cmd.Flags().Uint64Var(&o.FirstSeed, "first", 1, "seed of the first run")
+	cmd.Flags().IntVar(&o.Seeds, "seeds", 1, "number of runs, with consecutive seeds")
+	cmd.Flags().IntVar(&o.Parallel, "parallel", 2, "runs at the same time")
+	cmd.Flags().DurationVar(&o.MaxLength, "longest", 0, "maximum length of a run")
+	cmd.Flags().StringVar(&o.LogDir, "logs", "", "keep the dispatchers' logs in this folder")
+	cmd.Flags().StringVar(&o.ProgramPath, "program", "",
+		"the dispatcher's binary (default: topazfall in the folder of this program)")
+	return cmd
 }
 
-// writable tells before a long run whether a file can be written at its end.
-func writable(file string) error {
-	if file == "" {
+// checkWritable returns an error before a long run if its JSON file cannot be written at the end.
+func checkWritable(jsonPath string) error {
+	if jsonPath == "" {
 		return nil
 	}
-	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE, 0o644)
+	file, err := os.OpenFile(jsonPath, os.O_WRONLY|os.O_CREATE, 0o644)
 	if err != nil {
-		return soak.UsageError{Err: fmt.Errorf("soak: the file of figures: %w", err)}
+		return soak.UsageError{Err: fmt.Errorf("soak: the JSON file cannot be written: %w", err)}
 	}
-	return f.Close()
+	return file.Close()
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy is what a newcomer needs beside one dispatcher: a discovery that lists two south side hosts,
-// and the hosts. They take a job, say that it has begun, wait for as long as its X-Cost asks, and hand back
-// its body in capitals. It keeps nothing and checks little; see README.md in this folder.
+// Command toy runs what one dispatcher needs to be tried out: a discovery service that lists two workers (hosts), and
+// the workers. They accept a job, report that it has started, wait for as long as its X-Cost asks, and return its body
+// in capitals. It stores nothing and checks little; see README.md in this folder.
 package main
 
 import (
@@ -17,21 +17,22 @@
 )
 
 func main() {
-	listen := flag.String("discovery", "127.0.0.1:8500", "address of the discovery")
-	dispatcher := flag.String("dispatcher", "127.0.0.1:9000", "address that call-backs go to")
+	listen := flag.String("discovery", "127.0.0.1:8500", "listen address of the discovery service")
+	dispatcher := flag.String("dispatcher", "127.0.0.1:9000", "address of the dispatcher, for callbacks")
 	flag.Parse()
 	hosts := map[string]string{"s-one": "127.0.0.1:9101", "s-two": "127.0.0.1:9102"}
 	for name, addr := range hosts {
-		h := &host{name: name, dispatcher: *dispatcher, off: map[string]chan struct{}{}}
-		go func() { log.Fatalf("at=host name=%s error=%q", name, fasthttp.ListenAndServe(addr, h.handle)) }()
+		w := &worker{name: name, dispatcher: *dispatcher, cancelled: map[string]chan struct{}{}}
+		go func() { log.Fatalf("at=host name=%s error=%q", name, fasthttp.ListenAndServe(addr, w.handle)) }()
 	}
 	log.Printf("at=toy discovery=%s hosts=%d", *listen, len(hosts))
 	log.Fatalf("at=discovery error=%q",
-		fasthttp.ListenAndServe(*listen, func(ctx *fasthttp.RequestCtx) { discover(ctx, hosts) }))
+		fasthttp.ListenAndServe(*listen, func(ctx *fasthttp.RequestCtx) { serveDiscovery(ctx, hosts) }))
 }
 
-// discover lists the hosts once; a watch of that version waits in vain for a newer one.
-func discover(ctx *fasthttp.RequestCtx, hosts map[string]string) {
+// serveDiscovery answers with the list of hosts. The list never changes, so a long poll for a newer version gets an
+// empty answer when its wait is over.
+func serveDiscovery(ctx *fasthttp.RequestCtx, hosts map[string]string) {
 	type entry struct {
 		Host   string  `json:"host"`
 		Dial   string  `json:"dial"`
@@ -60,19 +61,21 @@
 	ctx.SetBody(text)
 }
 
-type host struct {
+// worker is one host: it runs jobs and sends their results to the dispatcher.
+type worker struct {
 	name, dispatcher string
 	mu               sync.Mutex
-	off              map[string]chan struct{} // closed when the job is called off
+	cancelled        map[string]chan struct{} // by id; closed when the job is cancelled
 }
 
-func (h *host) handle(ctx *fasthttp.RequestCtx) {
+// handle accepts a job, or cancels one.
+func (w *worker) handle(ctx *fasthttp.RequestCtx) {
 	if id, ok := strings.CutPrefix(string(ctx.Path()), "/jobs/"); ok && ctx.IsDelete() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if off := h.off[id]; off != nil {
-			close(off)
-			delete(h.off, id)
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if cancelled := w.cancelled[id]; cancelled != nil {
+			close(cancelled)
+			delete(w.cancelled, id)
 		}
 		return
 	}
@@ -85,35 +88,36 @@
 	if err != nil {
 		cost = 100_000
 	}
-	off := make(chan struct{})
-	h.mu.Lock()
-	h.off[id] = off
-	h.mu.Unlock()
-	go h.run(id, bytes.ToUpper(ctx.PostBody()), time.Duration(cost)*time.Microsecond, off)
+	cancelled := make(chan struct{})
+	w.mu.Lock()
+	w.cancelled[id] = cancelled
+	w.mu.Unlock()
+	go w.run(id, bytes.ToUpper(ctx.PostBody()), time.Duration(cost)*time.Microsecond, cancelled)
 	ctx.SetStatusCode(fasthttp.StatusAccepted)
 }
 
-func (h *host) run(id string, result []byte, cost time.Duration, off <-chan struct{}) {
-	h.tell(id, "started", "")
+// run reports that a job has started, waits for its cost, and reports its result unless it is cancelled meanwhile.
+func (w *worker) run(id string, result []byte, cost time.Duration, cancelled <-chan struct{}) {
+	w.sendCallback(id, "started", "")
 	select {
-	case <-off:
-		log.Printf("at=host name=%s id=%s state=called-off", h.name, id)
+	case <-cancelled:
+		log.Printf("at=host name=%s id=%s state=called-off", w.name, id)
 		return
 	case <-time.After(cost):
 	}
-	h.mu.Lock()
-	delete(h.off, id)
-	h.mu.Unlock()
-	h.tell(id, "done", string(result))
+	w.mu.Lock()
+	delete(w.cancelled, id)
+	w.mu.Unlock()
+	w.sendCallback(id, "done", string(result))
 }
 
-// tell makes one call-back, up to ten times, until it is answered.
-func (h *host) tell(id, state, result string) {
-	body, _ := jsoniter.Marshal(map[string]string{"id": id, "from": h.name, "state": state, "result": result})
+// sendCallback sends a callback, up to ten times, until it is answered.
+func (w *worker) sendCallback(id, state, result string) {
+	body, _ := jsoniter.Marshal(map[string]string{"id": id, "from": w.name, "state": state, "result": result})
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + h.dispatcher + "/v1/job-events")
+	req.SetRequestURI("http://" + w.dispatcher + "/v1/job-events")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBody(body)
 	for range 10 {
@@ -122,5 +126,5 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	log.Printf("at=host name=%s id=%s state=%s error=%q", h.name, id, state, "not answered")
+	log.Printf("at=host name=%s id=%s state=%s error=%q", w.name, id, state, "not answered")
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -1,4 +1,5 @@
-// Package client is a stand-in for a client: it hands messages in and keeps count of their final answers.
+// Package client is a stand-in for the clients of a dispatcher: it sends messages (requests), well-formed and faulty
+// ones, and reports how each one ended. It also holds idle connections open.
 package client
 
 import (
@@ -10,16 +11,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Message is what a client hands in.
+// Message is a request that a client sends.
 type Message struct {
 	ID, Class, Tenant string
-	Key               string // of a class whose repeats go by one; "" for none
+	Key               string // idempotency key, for classes that repeat by key; "" for none
 	Body              []byte
-	Timeout           time.Duration // for the answer
-	Hint              time.Duration // of its work
+	Timeout           time.Duration // for the final answer
+	Hint              time.Duration // expected job time; 0 for no hint
 }
 
-// Answer is the final answer. Status 0 is for none.
+// Answer is the final answer to a message. Status is 0 if there was none.
 type Answer struct {
 	Status  int
 	Body    string
@@ -28,22 +29,22 @@
 	Err     error
 }
 
-// Client speaks to one dispatcher.
+// Client sends messages to one dispatcher.
 type Client struct {
 	host   fasthttp.HostClient
 	prefix string
-	number atomic.Int64
+	lastID atomic.Int64
 }
 
-// New returns a client of a dispatcher. The ids that it gives begin with prefix.
+// New returns a client of the dispatcher at addr. The ids that NextID returns begin with prefix.
 func New(addr, prefix string) *Client {
 	return &Client{host: fasthttp.HostClient{Addr: addr, MaxConns: 4096, MaxIdemponentCallAttempts: 1}, prefix: prefix}
 }
 
-// NextID is an id that no message has had.
-func (c *Client) NextID() string { return fmt.Sprintf("%s%08d", c.prefix, c.number.Add(1)) }
+// NextID returns an id that this client has not used yet.
+func (c *Client) NextID() string { return fmt.Sprintf("%s%08d", c.prefix, c.lastID.Add(1)) }
 
-// Do hands a message in, once, and waits for its answer.
+// Do sends a message once, without retries, and waits for its final answer.
 func (c *Client) Do(m Message) Answer {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/lab/client/connection.go
+++ b/internal/lab/client/connection.go
@@ -12,43 +12,46 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Behavior is how a client behaves on a connection.
+// Behavior is how a client sends a request on a connection.
 type Behavior int
 
-// The manners.
+// The behaviors of a client.
 const (
-	SingleWrite    Behavior = iota // a request in one write
-	SeveralWrites                  // in several, with pauses between them
-	CloseEarly                     // the client closes its connection before the answer
-	HalfClose                      // it shuts its sending side before the answer
-	StopMidRequest                 // it sends half of a request and stays
-	TwoRequests                    // two requests in one write
+	SingleWrite    Behavior = iota // writes the request at once
+	SeveralWrites                  // writes it in several parts, with pauses between them
+	CloseEarly                     // closes the connection before the answer
+	HalfClose                      // shuts down its sending side before the answer
+	StopMidRequest                 // sends half of the request and keeps the connection open
+	TwoRequests                    // sends two requests in one write
 )
 
-var manners = [...]string{"at once", "in pieces", "leaving", "half closing", "stop midway", "doubled"}
+var behaviorNames = [...]string{"at once", "in pieces", "leaving", "half closing", "stop midway", "doubled"}
 
-func (m Behavior) String() string { return manners[m] }
+// String returns the name that reports use.
+func (b Behavior) String() string { return behaviorNames[b] }
 
-// ViolatesProtocol tells whether clients of this manner do what the protocol does not allow: they are owed an error or a close.
-func (m Behavior) ViolatesProtocol() bool { return m == StopMidRequest || m == TwoRequests }
+// ViolatesProtocol reports whether the protocol forbids this behavior: the dispatcher has to answer it with an error or
+// close the connection.
+func (b Behavior) ViolatesProtocol() bool { return b == StopMidRequest || b == TwoRequests }
 
 // Outcome is how an exchange on a connection ended.
 type Outcome int
 
-// The ends.
+// The outcomes of an exchange.
 const (
-	Answered        Outcome = iota // a whole answer came
-	ResetUnread                    // the connection was reset over a request that nobody had read
-	ClosedAfterRead                // it was closed though the whole request had been read
-	TimedOut                       // nothing came in time
-	Disconnected                   // the client went
+	Answered        Outcome = iota // a complete answer arrived
+	ResetUnread                    // the connection was reset before the dispatcher had read the request
+	ClosedAfterRead                // it was closed although the whole request had been read
+	TimedOut                       // nothing arrived in time
+	Disconnected                   // the client closed the connection or its sending side
 )
 
-var ends = [...]string{"answered", "unread", "closed", "silent", "left"}
+var outcomeNames = [...]string{"answered", "unread", "closed", "silent", "left"}
 
-func (e Outcome) String() string { return ends[e] }
+// String returns the name that reports use.
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what became of a request on a connection.
+// Result is the outcome of a request on a connection, with its times and the answer.
 type Result struct {
 	Started time.Time // just before the first byte
 	Sent    time.Time // just after the last byte
@@ -56,150 +59,152 @@
 	Outcome Outcome
 	Status  int
 	Body    string
-	// Surplus is how many bytes came behind the answer.
+	// ExtraBytes is how many bytes followed the answer.
 	ExtraBytes int
-	Err        error // why it ended so, where it was not answered
+	Err        error // the cause, if the request was not answered
 }
 
-// Connection is a client's connection, on which it brings one request after the other.
+// Connection is a client's connection, which carries one request after the other.
 type Connection struct {
-	nc   *net.TCPConn
-	in   *bufio.Reader
-	used bool
-	over bool
+	conn       *net.TCPConn
+	reader     *bufio.Reader
+	hasServed  bool
+	isUnusable bool
 }
 
-// Connect opens a connection; its error is that of connecting.
-func Connect(address string, limit time.Duration) (*Connection, error) {
-	nc, err := net.DialTimeout("tcp", address, limit)
+// Connect opens a connection and returns the error of connecting, if any.
+func Connect(address string, timeout time.Duration) (*Connection, error) {
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &Connection{nc: nc.(*net.TCPConn), in: bufio.NewReader(nc)}, nil
+	return &Connection{conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}, nil
 }
 
-// HasServed tells whether a request was answered on it.
-func (c *Connection) HasServed() bool { return c.used }
+// HasServed reports whether a request was answered on the connection.
+func (c *Connection) HasServed() bool { return c.hasServed }
 
-// IsUnusable tells whether it is of no use any more.
-func (c *Connection) IsUnusable() bool { return c.over }
+// IsUnusable reports whether no further request can be sent on the connection.
+func (c *Connection) IsUnusable() bool { return c.isUnusable }
 
-// Close ends it.
-func (c *Connection) Close() { c.nc.Close() }
+// Close closes the connection.
+func (c *Connection) Close() { c.conn.Close() }
 
-// Delivery is a request and how it is brought.
+// Delivery is a request and the way in which the client sends it.
 type Delivery struct {
 	Message
 	Behavior  Behavior
-	Pause     time.Duration // between pieces, or before the client leaves
-	ReadGrace time.Duration // how long beyond its time the client still listens
-	SecondID  string        // id of the second request of a doubled one
+	Pause     time.Duration // between writes, or before the client closes
+	ReadGrace time.Duration // how long the client still reads after the message's timeout
+	SecondID  string        // id of the second request of TwoRequests
 }
 
-// pieces are how many writes a request in pieces takes.
-const pieces = 4
+// numWrites is the number of writes of SeveralWrites.
+const numWrites = 4
 
-// Do brings a request and waits for its answer.
+// Do sends a request and waits for its answer.
 func (c *Connection) Do(d Delivery) Result {
 	r := Result{Started: time.Now()}
-	err := c.write(d)
+	err := c.writeRequest(d)
 	r.Sent = time.Now()
 	switch {
 	case err == nil && d.Behavior == CloseEarly:
 		time.Sleep(d.Pause)
-		r.Outcome, r.Ended = Disconnected, time.Now() // before the close: what begins after it is counted from then on
-		c.nc.Close()
-		c.over = true
+		// The time is taken before the close: attempts that begin after it count as later than the disconnect.
+		r.Outcome, r.Ended = Disconnected, time.Now()
+		c.conn.Close()
+		c.isUnusable = true
 		return r
 	case err == nil && d.Behavior == HalfClose:
 		time.Sleep(d.Pause)
 		r.Outcome, r.Ended = Disconnected, time.Now()
-		c.nc.CloseWrite()
-		c.over = true
+		c.conn.CloseWrite()
+		c.isUnusable = true
 		return r
 	}
 	if err == nil {
-		c.nc.SetReadDeadline(r.Sent.Add(d.Timeout + d.ReadGrace))
-		err = c.read(&r)
+		c.conn.SetReadDeadline(r.Sent.Add(d.Timeout + d.ReadGrace))
+		err = c.readAnswer(&r)
 	}
 	r.Ended = time.Now()
 	if err != nil {
-		c.over = true
-		r.Outcome, r.Err = c.endOf(err), err
+		c.isUnusable = true
+		r.Outcome, r.Err = c.classifyError(err), err
 		return r
 	}
-	c.used = true
-	r.ExtraBytes = c.in.Buffered()
+	c.hasServed = true
+	r.ExtraBytes = c.reader.Buffered()
 	return r
 }
 
-// write writes the request as its manner says.
-func (c *Connection) write(d Delivery) error {
-	text := d.wire(d.ID)
+// writeRequest writes the request as its behavior demands.
+func (c *Connection) writeRequest(d Delivery) error {
+	text := d.encode(d.ID)
 	switch d.Behavior {
 	case StopMidRequest:
-		_, err := c.nc.Write(text[:len(text)/2])
+		_, err := c.conn.Write(text[:len(text)/2])
 		return err
 	case TwoRequests:
-		_, err := c.nc.Write(append(text, d.wire(d.SecondID)...))
+		_, err := c.conn.Write(append(text, d.encode(d.SecondID)...))
 		return err
 	case SeveralWrites:
-		for i := range pieces {
+		for i := range numWrites {
 			if i > 0 {
 				time.Sleep(d.Pause)
 			}
-			if _, err := c.nc.Write(text[i*len(text)/pieces : (i+1)*len(text)/pieces]); err != nil {
+			if _, err := c.conn.Write(text[i*len(text)/numWrites : (i+1)*len(text)/numWrites]); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	_, err := c.nc.Write(text)
+	_, err := c.conn.Write(text)
 	return err
 }
 
-func (c *Connection) read(r *Result) error {
-	if _, err := c.in.Peek(1); err != nil {
+func (c *Connection) readAnswer(r *Result) error {
+	if _, err := c.reader.Peek(1); err != nil {
 		return err
 	}
 	var answer fasthttp.Response
-	if err := answer.Read(c.in); err != nil {
-		return fmt.Errorf("an answer that is cut: %w", io.ErrUnexpectedEOF)
+	if err := answer.Read(c.reader); err != nil {
+		return fmt.Errorf("truncated answer: %w", io.ErrUnexpectedEOF)
 	}
 	r.Status, r.Body = answer.StatusCode(), string(answer.Body())
-	c.over = answer.ConnectionClose()
+	c.isUnusable = answer.ConnectionClose()
 	return nil
 }
 
-// crossing is the time in which a reset arrives that answers what crossed a close.
-const crossing = 20 * time.Millisecond
+// resetWait is how long to wait for the reset that answers bytes which crossed the peer's close on the way.
+const resetWait = 20 * time.Millisecond
 
-// endOf tells what an error in bringing a request says. What is written to a connection that its peer has closed is
-// answered with a reset, and so is a close over bytes that nobody has read: without one, the request had been read.
-func (c *Connection) endOf(err error) Outcome {
+// classifyError returns the outcome that an error in sending a request stands for. A peer that has closed a connection
+// answers further bytes with a reset, and closing a connection with unread bytes sends a reset as well: without a
+// reset, the request had been read.
+func (c *Connection) classifyError(err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return ResetUnread
 	case !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
 		return TimedOut
 	}
-	time.Sleep(crossing)
-	raw, fault := c.nc.SyscallConn()
-	if fault != nil {
+	time.Sleep(resetWait)
+	raw, socketErr := c.conn.SyscallConn()
+	if socketErr != nil {
 		return ClosedAfterRead
 	}
 	pending := 0
 	raw.Control(func(fd uintptr) {
-		pending, fault = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+		pending, socketErr = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
 	})
-	if fault == nil && pending != 0 {
+	if socketErr == nil && pending != 0 {
 		return ResetUnread
 	}
 	return ClosedAfterRead
 }
 
-// wire is a request as it goes over the connection.
-func (m Message) wire(id string) []byte {
+// encode returns the request with this id in the form of HTTP/1.1.
+func (m Message) encode(id string) []byte {
 	text := fmt.Appendf(nil, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
 		"X-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n", id, m.Class, m.Tenant, max(m.Timeout.Milliseconds(), 1))
 	if m.Hint > 0 {
--- /dev/null
+++ b/internal/lab/client/idleclients.go
@@ -0,0 +1,72 @@
+package client
+
+import (
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+// IdleClients is a set of clients that connect, stay idle, and reconnect after the dispatcher closes their connections.
+// Most send nothing; every third one sends a useful request first, so that it may stay idle for long afterwards.
+type IdleClients struct {
+	stop     chan struct{}
+	stopOnce sync.Once
+	running  sync.WaitGroup
+}
+
+const (
+	reconnectDelay = time.Second // of each client, after its connection has ended
+	callbackEvery  = 3           // one in so many clients sends a callback first
+)
+
+// unknownJobCallback is a callback for a job that does not exist.
+const unknownJobCallback = "POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: 41\r\n\r\n" +
+	`{"id":"none","from":"","state":"started"}`
+
+// StartIdleClients connects count idle clients to an address.
+func StartIdleClients(address string, count int) *IdleClients {
+	c := &IdleClients{stop: make(chan struct{})}
+	for i := range count {
+		c.running.Go(func() { c.run(address, i%callbackEvery == 0) })
+	}
+	return c
+}
+
+// Stop closes all connections, and returns when all clients have ended.
+func (c *IdleClients) Stop() {
+	c.stopOnce.Do(func() { close(c.stop) })
+	c.running.Wait()
+}
+
+func (c *IdleClients) run(address string, sendsCallback bool) {
+	for {
+		c.holdConnection(address, sendsCallback)
+		select {
+		case <-c.stop:
+			return
+		case <-time.After(reconnectDelay):
+		}
+	}
+}
+
+// holdConnection connects, and returns when the connection has ended or the clients are stopped.
+func (c *IdleClients) holdConnection(address string, sendsCallback bool) {
+	conn, err := net.DialTimeout("tcp", address, time.Second)
+	if err != nil {
+		return
+	}
+	defer conn.Close()
+	ended := make(chan struct{})
+	go func() {
+		if sendsCallback {
+			io.WriteString(conn, unknownJobCallback)
+		}
+		io.Copy(io.Discard, conn) // until the dispatcher closes the connection
+		close(ended)
+	}()
+	select {
+	case <-ended:
+	case <-c.stop:
+	}
+}
--- a/internal/lab/configmodel/faults.go
+++ b/internal/lab/configmodel/faults.go
@@ -2,77 +2,78 @@
 
 import "topazfall/internal/decide/configlog"
 
-// stop ends a member without a word, for as long; it starts again from its disk, or from nothing.
-func (m *Model) stop(i *member, d int64, keepsDisk bool) {
-	if i.down {
+// crash stops an instance without notice. After the downtime it starts again, with the state on its disk or with none.
+func (m *Model) crash(inst *instance, downtime int64, keepsDisk bool) {
+	if inst.down {
 		return
 	}
-	i.down, i.frozen = true, false
+	inst.down, inst.frozen = true, false
 	if !keepsDisk {
-		i.saved, i.held = configlog.SavedState{}, 0
+		inst.saved, inst.appliedNumber = configlog.SavedState{}, 0
 	}
-	m.after(d, func() {
-		i.troubled = m.now
-		if err := m.start(i, false); err != nil && m.fault == nil {
-			m.fault = err
+	m.schedule(downtime, func() {
+		inst.lastFaultAt = m.now
+		if err := m.start(inst, false); err != nil && m.violation == nil {
+			m.violation = err
 		}
 	})
 }
 
-// freeze stops a member between any two steps and wakes it later; what has come meanwhile comes at once.
-func (m *Model) freeze(i *member, d int64) {
-	if i.down || i.frozen {
+// freeze suspends an instance for a duration. Messages that arrive meanwhile are handled together when it resumes.
+func (m *Model) freeze(inst *instance, duration int64) {
+	if inst.down || inst.frozen {
 		return
 	}
-	i.frozen = true
-	m.after(d, func() {
-		if !i.frozen {
+	inst.frozen = true
+	m.schedule(duration, func() {
+		if !inst.frozen {
 			return
 		}
-		i.frozen, i.troubled = false, m.now
-		waiting := i.waiting
-		i.waiting = nil
-		for _, message := range waiting {
-			m.carryOut(i, i.node.Handle(m.now, message))
+		inst.frozen, inst.lastFaultAt = false, m.now
+		queued := inst.queued
+		inst.queued = nil
+		for _, message := range queued {
+			m.execute(inst, inst.node.Handle(m.now, message))
 		}
 	})
 }
 
-// cutOneWay lets a member hear nothing, or be heard by nobody.
-func (m *Model) cutOneWay(i *member, d int64, deaf bool) {
-	set := func(on bool) {
-		if deaf {
-			i.deaf = on
+// cutOneWay drops all messages to an instance, or all from it, for a duration.
+func (m *Model) cutOneWay(inst *instance, duration int64, inbound bool) {
+	setCut := func(cut bool) {
+		if inbound {
+			inst.inboundCut = cut
 		} else {
-			i.mute = on
+			inst.outboundCut = cut
 		}
-		i.troubled = m.now
+		inst.lastFaultAt = m.now
 	}
-	set(true)
-	m.after(d, func() { set(false) })
+	setCut(true)
+	m.schedule(duration, func() { setCut(false) })
 }
 
-// cutRegion lets a region and the others lose each other.
-func (m *Model) cutRegion(region string, on bool) {
-	for _, i := range m.members {
-		if i.Region == region {
-			i.cut, i.troubled = on, m.now
+// setRegionCut begins or ends a partition between a region and all others.
+func (m *Model) setRegionCut(region string, cut bool) {
+	for _, inst := range m.instances {
+		if inst.Region == region {
+			inst.regionCut, inst.lastFaultAt = cut, m.now
 		}
 	}
 }
 
-// reachable tells whether a member could have had what was committed since a time: it was up, awake and joined all
-// along.
-func (i *member) reachable(since int64) bool {
-	return !i.down && !i.frozen && !i.deaf && !i.mute && !i.cut && i.troubled <= since
+// isReachable reports whether an instance could have received everything since a time: it has been up, not frozen and
+// not cut off all along.
+func (inst *instance) isReachable(since int64) bool {
+	return !inst.down && !inst.frozen && !inst.inboundCut && !inst.outboundCut && !inst.regionCut &&
+		inst.lastFaultAt <= since
 }
 
-// some draws members with a role, each with a probability.
-func (m *Model) some(share float64, roles ...configlog.Role) (drawn []*member) {
-	for _, i := range m.members {
+// drawInstances draws instances of these roles, each with the same probability.
+func (m *Model) drawInstances(probability float64, roles ...configlog.Role) (drawn []*instance) {
+	for _, inst := range m.instances {
 		for _, role := range roles {
-			if i.Role == role && m.random.Float64() < share {
-				drawn = append(drawn, i)
+			if inst.Role == role && m.random.Float64() < probability {
+				drawn = append(drawn, inst)
 			}
 		}
 	}
--- a/internal/lab/configmodel/model_test.go
+++ b/internal/lab/configmodel/model_test.go
@@ -9,13 +9,14 @@
 )
 
 var (
-	seedOf      = flag.Uint64("seed", 1, "seed of the model")
-	dispatchers = flag.Int("dispatchers", 300, "of TestScenarios")
-	only        = flag.String("only", "", "of TestScenarios: a part of the names")
+	seed        = flag.Uint64("seed", 1, "seed of the model")
+	dispatchers = flag.Int("dispatchers", 300, "number of dispatchers in TestScenarios")
+	nameFilter  = flag.String("only", "", "run only the scenarios of TestScenarios whose names contain this")
 )
 
-func play(t *testing.T, followers int, names ...string) {
-	r, err := Report([]int{followers}, *seedOf, func(what string) { t.Log(what) }, names...)
+// runReport runs scenarios and requires that all bounds are met.
+func runReport(t *testing.T, followers int, names ...string) {
+	r, err := Report([]int{followers}, *seed, func(what string) { t.Log(what) }, names...)
 	require.NoError(t, err)
 	out := &strings.Builder{}
 	err = r.Finish(out, "")
@@ -24,15 +25,15 @@
 	require.NotEmpty(t, r.Rows)
 }
 
-// A change is in force at 99.9% of the dispatchers that can be reached within 4 s, whatever goes wrong in the
-// scenarios, and no member goes back, has another document under a number, or is left behind.
-func TestScenarios(t *testing.T) { play(t, *dispatchers, *only) }
+// In every scenario a change is in force within 4 s at 99.9% of the reachable dispatchers. No instance goes back to an
+// earlier revision, has a different document under the same number, or lacks the newest revision at the end.
+func TestScenarios(t *testing.T) { runReport(t, *dispatchers, *nameFilter) }
 
-func TestScenariosOfFew(t *testing.T) { play(t, 30, "day", "zone", "one-way", "frozen", "old") }
+func TestScenariosOfFew(t *testing.T) { runReport(t, 30, "day", "zone", "one-way", "frozen", "old") }
 
-func TestScenariosOfMany(t *testing.T) { play(t, 1000, "zone") }
+func TestScenariosOfMany(t *testing.T) { runReport(t, 1000, "zone") }
 
-// A run is repeated to the byte from its seed.
+// A seed reproduces its run exactly.
 func TestSeedRepeatsTheRun(t *testing.T) {
 	s := Scenarios()[5]
 	s.Seconds = 20
@@ -55,9 +56,10 @@
 	}
 }
 
-// Of the ways that were weighed only the one that was built is in force at 99.9% within 4 s while members are frozen.
+// Of the options that are compared, only the implemented one has changes in force within 4 s at 99.9% of the
+// dispatchers while instances are frozen.
 func TestOptions(t *testing.T) {
-	r, err := CompareOptions(300, *seedOf)
+	r, err := CompareOptions(300, *seed)
 	require.NoError(t, err)
 	out := &strings.Builder{}
 	require.NoError(t, r.Finish(out, ""))
--- a/internal/lab/configmodel/operator.go
+++ b/internal/lab/configmodel/operator.go
@@ -10,164 +10,176 @@
 )
 
 const (
-	// keys is how many entries the document has: one for each of 490 teams, and a few more.
-	keys = 500
-	// valueBytes is the mean size of an entry's value, so that a delta has some hundred bytes.
-	valueBytes = 200
-	// answerLimit is how long an operator waits for an answer before the change is asked for again.
-	answerLimit = 3500 * millisecond
-	// givenUp is when a change that is not in force at a reachable member is counted as that late, and looked for no
-	// more.
-	givenUp = 30 * second
+	// documentKeys is the number of entries of the document: one for each of 490 tenants (teams), and a few more.
+	documentKeys = 500
+	// meanValueBytes is the mean size of an entry's value. With it a delta has a few hundred bytes.
+	meanValueBytes = 200
+	// answerTimeout is how long an operator waits for an answer before retrying the change.
+	answerTimeout = 3500 * millisecond
+	// giveUpAfter is how long a reachable instance may take to apply a change. After it the change is no longer looked
+	// for, and this time goes into the samples.
+	giveUpAfter = 30 * second
 )
 
-// try is one asking of an operator for a change.
-type try struct {
-	change *change
-	asked  int64
+// attempt is one of an operator's attempts at a change.
+type attempt struct {
+	change    *change
+	startedAt int64
 }
 
-// samples are how long changes took.
+// samples are the times of the changes, in microseconds.
 type samples struct {
-	inForce   []int64 // from the asking that was taken until in force, for each change and reachable dispatcher
-	committed []int64 // the same from when it was committed
-	taken     []int64 // from the first asking of an operator until committed
+	// applied is from the start of the committed attempt until the change is in force, for each change and reachable
+	// dispatcher.
+	applied            []int64
+	appliedAfterCommit []int64 // the same from the commit
+	committed          []int64 // from an operator's first attempt until the commit
 }
 
-// value begins with the number of the try, so that it is known again wherever it is in force.
-func (m *Model) value(tryID uint64) []byte {
-	v := binary.BigEndian.AppendUint64(make([]byte, 0, 2*valueBytes), tryID)
-	for range valueBytes/2 + m.random.IntN(valueBytes) {
+// newValue returns a random value that begins with the id of the attempt, so that a change in force can be traced to
+// its attempt.
+func (m *Model) newValue(attemptID uint64) []byte {
+	v := binary.BigEndian.AppendUint64(make([]byte, 0, 2*meanValueBytes), attemptID)
+	for range meanValueBytes/2 + m.random.IntN(meanValueBytes) {
 		v = append(v, byte(m.random.Uint32()))
 	}
 	return v
 }
 
+// teamKey returns the key of entry k of the document.
 func teamKey(k int) string { return fmt.Sprintf("team/%03d", k) }
 
-// ask lets an operator change one entry.
-func (m *Model) ask() {
-	key := teamKey(m.random.IntN(keys))
-	m.askFor(func(id uint64) configlog.Change { return configlog.Change{{Key: key, Value: m.value(id)}} })
+// requestChange requests a change of one entry, as an operator does.
+func (m *Model) requestChange() {
+	key := teamKey(m.random.IntN(documentKeys))
+	m.requestUntilCommitted(func(id uint64) configlog.Change {
+		return configlog.Change{{Key: key, Value: m.newValue(id)}}
+	})
 }
 
-// askFor lets an operator ask for a change at any member that can be reached, until it is committed.
-func (m *Model) askFor(body func(id uint64) configlog.Change) {
-	m.tryOnce(&change{first: m.now}, body)
+// requestUntilCommitted requests a change at random reachable instances until it is committed.
+func (m *Model) requestUntilCommitted(body func(id uint64) configlog.Change) {
+	m.attemptChange(&change{firstAttemptAt: m.now}, body)
 }
 
-func (m *Model) tryOnce(c *change, body func(id uint64) configlog.Change) {
+// attemptChange makes the next attempt at a change, unless it is committed. It retries after answerTimeout, or after
+// 1 s if it finds no reachable instance.
+func (m *Model) attemptChange(c *change, body func(id uint64) configlog.Change) {
 	if c.number > 0 {
 		return
 	}
-	m.ids++
-	id := m.ids
-	m.tries[id] = try{c, m.now}
-	m.again[id] = func() { m.tryOnce(c, body) }
+	m.lastAttemptID++
+	id := m.lastAttemptID
+	m.attempts[id] = attempt{c, m.now}
+	m.retries[id] = func() { m.attemptChange(c, body) }
 	for range 100 {
-		if at := m.members[m.random.IntN(len(m.members))]; at.reachable(m.now - second) {
-			m.after(answerLimit, func() { m.repeat(id) })
-			m.carryOut(at, at.node.Apply(m.now, id, at.node.Document().Revision(), body(id)))
+		if inst := m.instances[m.random.IntN(len(m.instances))]; inst.isReachable(m.now - second) {
+			m.schedule(answerTimeout, func() { m.retry(id) })
+			m.execute(inst, inst.node.Apply(m.now, id, inst.node.Document().Revision(), body(id)))
 			return
 		}
 	}
-	m.after(second, func() { m.repeat(id) })
+	m.schedule(second, func() { m.retry(id) })
 }
 
-// repeat asks anew, where a try was turned down or not answered.
-func (m *Model) repeat(id uint64) {
-	if again := m.again[id]; again != nil {
-		delete(m.again, id)
-		again()
+// retry makes another attempt after one that was rejected or not answered.
+func (m *Model) retry(id uint64) {
+	if retryAttempt := m.retries[id]; retryAttempt != nil {
+		delete(m.retries, id)
+		retryAttempt()
 	}
 }
 
-func (m *Model) result(r configlog.Result) {
-	switch t := m.tries[r.ID]; r.Outcome {
+// handleResult handles an answer to an operator's attempt: it checks a commit, and retries a rejected attempt after a
+// random 100 to 300 ms. An unknown outcome is left to the timeout.
+func (m *Model) handleResult(r configlog.Result) {
+	switch t := m.attempts[r.ID]; r.Outcome {
 	case configlog.Committed:
 		if m.committed[r.Revision.Number] != r.Revision {
-			m.broken("%v was told as committed", r.Revision)
+			m.reportViolation("%v was reported as committed, but is not the revision in force", r.Revision)
 		}
-		delete(m.again, r.ID)
+		delete(m.retries, r.ID)
 	case configlog.Unknown:
 	default:
 		if t.change != nil {
-			m.after(100*millisecond+m.random.Int64N(200*millisecond), func() { m.repeat(r.ID) })
+			m.schedule(100*millisecond+m.random.Int64N(200*millisecond), func() { m.retry(r.ID) })
 		}
 	}
 }
 
-func (m *Model) broken(format string, args ...any) {
-	if m.fault == nil {
-		m.fault = fmt.Errorf(format, args...)
+// reportViolation records a broken invariant; only the first one is kept.
+func (m *Model) reportViolation(format string, args ...any) {
+	if m.violation == nil {
+		m.violation = fmt.Errorf(format, args...)
 	}
 }
 
-// inForce checks and measures what has come into force at a member.
-func (m *Model) inForce(i *member, e configlog.Effects) {
-	first := i.node.Document().Revision().Number + 1
-	if len(e.Deltas) > 0 {
-		first = e.Deltas[0].Revision.Number
+// recordApplied checks and measures the revisions that an instance has applied.
+func (m *Model) recordApplied(inst *instance, effects configlog.Effects) {
+	first := inst.node.Document().Revision().Number + 1
+	if len(effects.Deltas) > 0 {
+		first = effects.Deltas[0].Revision.Number
 	}
-	if e.Replaced {
-		first = i.held + 1
+	if effects.Replaced {
+		first = inst.appliedNumber + 1
 	}
-	for _, d := range e.Deltas {
-		m.isCommitted(d)
+	for _, d := range effects.Deltas {
+		m.recordCommit(d)
 	}
-	revision := i.node.Document().Revision()
+	revision := inst.node.Document().Revision()
 	if known, ok := m.committed[revision.Number]; ok && known != revision {
-		m.broken("%s has %v in force, and another had %v", i.Node, revision, known)
+		m.reportViolation("%s has %v in force, but another instance had %v", inst.Node, revision, known)
 	}
-	if first != i.held+1 || revision.Number < first {
-		m.broken("%s went from revision %d to %d", i.Node, i.held, revision.Number)
+	if first != inst.appliedNumber+1 || revision.Number < first {
+		m.reportViolation("%s went from revision %d to %d", inst.Node, inst.appliedNumber, revision.Number)
 	}
 	for n := first; n <= revision.Number; n++ {
-		if c := m.changes[n]; c != nil && i.Role == configlog.Follower && i.reachable(c.asked) {
-			m.samples.inForce = append(m.samples.inForce, m.now-c.asked)
-			m.samples.committed = append(m.samples.committed, m.now-c.committed)
+		if c := m.changes[n]; c != nil && inst.Role == configlog.Follower && inst.isReachable(c.attemptStartedAt) {
+			m.samples.applied = append(m.samples.applied, m.now-c.attemptStartedAt)
+			m.samples.appliedAfterCommit = append(m.samples.appliedAfterCommit, m.now-c.committedAt)
 		}
 	}
-	i.held = revision.Number
-	i.saved.Document = i.node.Document()
+	inst.appliedNumber = revision.Number
+	inst.saved.Document = inst.node.Document()
 }
 
-// isCommitted notes a revision that is in force for the first time anywhere.
-func (m *Model) isCommitted(d configlog.Delta) {
+// recordCommit records a revision as committed when the first instance has it in force.
+func (m *Model) recordCommit(d configlog.Delta) {
 	number := d.Revision.Number
 	if known, ok := m.committed[number]; ok {
 		if known != d.Revision {
-			m.broken("%v and %v are both in force", known, d.Revision)
+			m.reportViolation("%v and %v are both in force", known, d.Revision)
 		}
 		return
 	}
 	m.committed[number] = d.Revision
-	m.newest = max(m.newest, number)
+	m.newestNumber = max(m.newestNumber, number)
 	id := binary.BigEndian.Uint64(d.Change[0].Value)
-	t := m.tries[id]
-	delete(m.again, id)
+	t := m.attempts[id]
+	delete(m.retries, id)
 	c := *t.change
-	c.asked, c.committed, c.number = t.asked, m.now, number
+	c.attemptStartedAt, c.committedAt, c.number = t.startedAt, m.now, number
 	if t.change.number == 0 {
 		t.change.number = number
-		m.samples.taken = append(m.samples.taken, m.now-c.first)
+		m.samples.committed = append(m.samples.committed, m.now-c.firstAttemptAt)
 	}
 	m.changes[number] = &c
-	m.after(givenUp-(m.now-c.asked), func() { m.missing(number) })
+	m.schedule(giveUpAfter-(m.now-c.attemptStartedAt), func() { m.countNeverApplied(number) })
 }
 
-// missing counts the reachable dispatchers that never had a change in time.
-func (m *Model) missing(number uint64) {
-	for _, i := range m.members {
-		if i.Role == configlog.Follower && i.held < number && i.reachable(m.changes[number].asked) {
-			m.samples.inForce = append(m.samples.inForce, givenUp)
-			m.samples.committed = append(m.samples.committed, givenUp)
+// countNeverApplied adds a sample of giveUpAfter for each reachable dispatcher that has not applied a change by then.
+func (m *Model) countNeverApplied(number uint64) {
+	for _, inst := range m.instances {
+		if inst.Role == configlog.Follower && inst.appliedNumber < number &&
+			inst.isReachable(m.changes[number].attemptStartedAt) {
+			m.samples.applied = append(m.samples.applied, giveUpAfter)
+			m.samples.appliedAfterCommit = append(m.samples.appliedAfterCommit, giveUpAfter)
 		}
 	}
 	delete(m.changes, number)
 }
 
-// quantile returns the value below which a share of the samples lies; the samples are sorted.
+// quantile returns the value below which a share of the samples lies. It sorts the samples.
 func quantile(samples []int64, share float64) int64 {
 	if len(samples) == 0 {
 		return 0
@@ -176,11 +188,11 @@
 	return samples[min(len(samples)-1, int(share*float64(len(samples))))]
 }
 
-// within is the share of the samples that are at most so long.
-func within(samples []int64, most int64) float64 {
+// shareWithin returns the share of the samples that are at most limit.
+func shareWithin(samples []int64, limit int64) float64 {
 	count := 0
 	for _, s := range samples {
-		if s <= most {
+		if s <= limit {
 			count++
 		}
 	}
--- a/internal/lab/configmodel/scenario.go
+++ b/internal/lab/configmodel/scenario.go
@@ -7,52 +7,54 @@
 	"topazfall/internal/decide/configlog"
 )
 
-// Scenario is what goes wrong in a run.
+// Scenario is the load and the faults of a run.
 type Scenario struct {
 	Name       string
-	Seconds    int64   // how long changes are asked for
-	ChangeRate float64 // changes a second
-	Network    func(*Network)
-	// NoQuorum tells that no majority of origins is there for a while: nothing can be committed then, and the 4 s
-	// count from when a change is committed.
+	Seconds    int64          // how long changes are requested
+	ChangeRate float64        // changes a second
+	Network    func(*Network) // changes the default network; nil for no change
+	// NoQuorum is set if there is no quorum of origins for a while: nothing can be committed then, so the bound of 4 s
+	// counts from the commit.
 	NoQuorum     bool
-	InjectFaults func(m *Model, seconds int64) // lets faults happen; nil for none
+	InjectFaults func(m *Model, seconds int64) // schedules the faults; nil for none
 }
 
-// Result is what a run has measured. Times are microseconds.
+// Result holds the measurements of a run. Times are microseconds.
 type Result struct {
 	Scenario               string
 	Followers              int
-	Changes                int     // committed
-	Samples                int     // of a change and a dispatcher that could be reached
-	P50, P99, P999, Max    int64   // until in force there, from the asking that was taken
-	Within4s               float64 // share of the samples
-	NeverApplied           float64 // share that was not in force after 30 s
-	Within4sOfCommit       float64 // and counted from when it was committed
-	P999FromCommit         int64   // until in force there, from when it was committed
-	CommitP99              int64   // until an operator's change is committed, from the first asking, all repeats included
-	MessagesPerChange      float64 // pushes, pulls and their answers, for each member and change
+	Changes                int     // committed changes
+	Samples                int     // one for each change and reachable dispatcher
+	P50, P99, P999, Max    int64   // from the start of the committed attempt until in force at a dispatcher
+	Within4s               float64 // share of the samples of at most 4 s
+	NeverApplied           float64 // share of the samples that were not in force after 30 s
+	Within4sOfCommit       float64 // share of at most 4 s, counted from the commit
+	P999FromCommit         int64   // from the commit until in force at a dispatcher
+	CommitP99              int64   // from an operator's first attempt, with all retries, until the commit
+	MessagesPerChange      float64 // pushes, pulls and their answers, for each instance and change
 	BusiestRelayBytes      float64 // mean bytes a second sent and received by the busiest relay or origin
-	BusiestDispatcherBytes float64 // and by the busiest dispatcher
-	MeanBytes              float64 // and by all dispatchers on average
-	// from a heal until all have what the others had at the heal; 0 where nothing was healed
-	CatchUpTime     int64
-	CatchUpBytes    float64 // received in that time for each member that was cut off, heartbeats among them
+	BusiestDispatcherBytes float64 // the same by the busiest dispatcher
+	MeanBytes              float64 // the same by all dispatchers on average
+	// CatchUpTime is from a recovery until all instances that were cut off or restarted have the revision that was the
+	// newest one at the recovery; 0 if there was none.
+	CatchUpTime int64
+	// CatchUpBytes is what each of these instances received in that time on average, including heartbeats.
+	CatchUpBytes    float64
 	DroppedMessages map[configlog.DropReason]int64
 }
 
-// operatorsRate is 5,200 changes a day, in changes a second.
-const operatorsRate = 5200.0 / 86400
+// operatorChangeRate is the operators' 5,200 changes a day, in changes a second.
+const operatorChangeRate = 5200.0 / 86400
 
-// warmUp is how long members run before anything is asked or measured.
+// warmUp is how long the instances run before changes are requested and measured.
 const warmUp = 10 * second
 
-// fill brings a first document of all keys into force everywhere, so that what follows are changes.
-func (m *Model) fill() error {
-	for key := 0; key < keys; key += keys / 10 {
-		m.askFor(func(id uint64) (c configlog.Change) {
-			for k := key; k < key+keys/10; k++ {
-				c = append(c, configlog.Entry{Key: teamKey(k), Value: m.value(id)})
+// loadDocument commits a first document with all keys, so that what follows are changes of entries.
+func (m *Model) loadDocument() error {
+	for key := 0; key < documentKeys; key += documentKeys / 10 {
+		m.requestUntilCommitted(func(id uint64) (c configlog.Change) {
+			for k := key; k < key+documentKeys/10; k++ {
+				c = append(c, configlog.Entry{Key: teamKey(k), Value: m.newValue(id)})
 			}
 			return c
 		})
@@ -63,8 +65,8 @@
 	return m.Advance(warmUp)
 }
 
-// RunScenario runs a scenario among so many dispatchers. An invariant that was broken is an error: two documents under one
-// number, a member that goes back, or one that does not hold the newest revision in the end.
+// RunScenario runs a scenario with so many dispatchers. It returns an error if an invariant was broken: two documents
+// have the same number, an instance goes back to an earlier revision, or one lacks the newest revision at the end.
 func RunScenario(s Scenario, followers int, seed uint64) (Result, error) {
 	network := DefaultNetwork()
 	if s.Network != nil {
@@ -77,51 +79,51 @@
 	if err := m.Advance(warmUp); err != nil {
 		return Result{}, err
 	}
-	if err := m.fill(); err != nil {
+	if err := m.loadDocument(); err != nil {
 		return Result{}, err
 	}
 	m.samples = samples{}
-	committed := m.newest
-	before, counted := m.carrying, m.now
-	for _, i := range m.members {
-		i.sent, i.got = 0, 0
+	newestBefore := m.newestNumber
+	messagesBefore, measuredFrom := m.revisionMessages, m.now
+	for _, inst := range m.instances {
+		inst.sentBytes, inst.receivedBytes = 0, 0
 	}
 	if s.InjectFaults != nil {
 		s.InjectFaults(m, s.Seconds)
 	}
-	m.askAtRate(s.ChangeRate, s.Seconds)
+	m.requestAtRate(s.ChangeRate, s.Seconds)
 	if err := m.Advance(s.Seconds * second); err != nil {
 		return Result{}, err
 	}
-	r := m.traffic(s, followers, float64(m.now-counted)/1e6)
-	if n := m.newest - committed; n > 0 {
-		r.MessagesPerChange = float64(m.carrying-before) / float64(n) / float64(len(m.members))
+	r := m.measureTraffic(s, followers, float64(m.now-measuredFrom)/1e6)
+	if n := m.newestNumber - newestBefore; n > 0 {
+		r.MessagesPerChange = float64(m.revisionMessages-messagesBefore) / float64(n) / float64(len(m.instances))
 	}
-	if err := m.Advance(givenUp + 90*second); err != nil {
+	if err := m.Advance(giveUpAfter + 90*second); err != nil {
 		return r, err
 	}
-	m.finish(&r, int(m.newest-committed))
-	return r, m.converged()
+	m.addTimings(&r, int(m.newestNumber-newestBefore))
+	return r, m.checkConvergence()
 }
 
-// askAtRate lets operators ask at a mean rate, at times that are drawn.
-func (m *Model) askAtRate(rate float64, seconds int64) {
+// requestAtRate schedules changes as a Poisson process with a mean rate.
+func (m *Model) requestAtRate(rate float64, seconds int64) {
 	at := int64(0)
 	for {
 		at += int64(m.random.ExpFloat64() / rate * float64(second))
 		if at >= seconds*second {
 			return
 		}
-		m.after(at, m.ask)
+		m.schedule(at, m.requestChange)
 	}
 }
 
-// traffic measures bytes, while changes are asked for.
-func (m *Model) traffic(s Scenario, followers int, seconds float64) Result {
+// measureTraffic returns a result with the traffic of the time in which changes were requested.
+func (m *Model) measureTraffic(s Scenario, followers int, seconds float64) Result {
 	r := Result{Scenario: s.Name, Followers: followers}
-	for _, i := range m.members {
-		rate := float64(i.sent+i.got) / seconds
-		if i.Role == configlog.Follower {
+	for _, inst := range m.instances {
+		rate := float64(inst.sentBytes+inst.receivedBytes) / seconds
+		if inst.Role == configlog.Follower {
 			r.BusiestDispatcherBytes = max(r.BusiestDispatcherBytes, rate)
 			r.MeanBytes += rate / float64(followers)
 		} else {
@@ -131,142 +133,147 @@
 	return r
 }
 
-// finish adds what is known in the end.
-func (m *Model) finish(r *Result, changes int) {
-	in := m.samples.inForce
-	r.Changes, r.Samples, r.DroppedMessages = changes, len(in), m.drops
-	r.P50, r.P99, r.P999, r.Max = quantile(in, 0.5), quantile(in, 0.99), quantile(in, 0.999), quantile(in, 1)
-	r.Within4s = within(in, 4*second)
-	r.NeverApplied = 1 - within(in, givenUp-1)
-	r.P999FromCommit = quantile(m.samples.committed, 0.999)
-	r.Within4sOfCommit = within(m.samples.committed, 4*second)
-	r.CommitP99 = quantile(m.samples.taken, 0.99)
-	r.CatchUpTime, r.CatchUpBytes = m.catchUp, m.catchUpBytes
+// addTimings adds what is known at the end of the run to its result.
+func (m *Model) addTimings(r *Result, changes int) {
+	applied := m.samples.applied
+	r.Changes, r.Samples, r.DroppedMessages = changes, len(applied), m.droppedMessages
+	r.P50, r.P99, r.P999, r.Max = quantile(applied, 0.5), quantile(applied, 0.99),
+		quantile(applied, 0.999), quantile(applied, 1)
+	r.Within4s = shareWithin(applied, 4*second)
+	r.NeverApplied = 1 - shareWithin(applied, giveUpAfter-1)
+	r.P999FromCommit = quantile(m.samples.appliedAfterCommit, 0.999)
+	r.Within4sOfCommit = shareWithin(m.samples.appliedAfterCommit, 4*second)
+	r.CommitP99 = quantile(m.samples.committed, 0.99)
+	r.CatchUpTime, r.CatchUpBytes = m.catchUpTime, m.catchUpBytes
 }
 
-// converged returns an error if a member that is up does not hold the newest revision.
-func (m *Model) converged() error {
-	for _, i := range m.members {
-		if !i.down && !i.frozen && i.held != m.newest {
-			m.broken("%s holds revision %d in the end, and the newest is %d", i.Node, i.held, m.newest)
+// checkConvergence returns an error if an instance that is up does not have the newest revision in force.
+func (m *Model) checkConvergence() error {
+	for _, inst := range m.instances {
+		if !inst.down && !inst.frozen && inst.appliedNumber != m.newestNumber {
+			m.reportViolation("%s has revision %d in force at the end, but the newest is %d",
+				inst.Node, inst.appliedNumber, m.newestNumber)
 		}
 	}
-	return m.fault
+	return m.violation
 }
 
-// measureCatchUp measures from a heal until all who were cut off have what the others had then.
-func (m *Model) measureCatchUp(cut []*member) {
-	target, healed := m.newest, m.now
+// measureCatchUp measures the time and traffic from now until all lagging instances have the revision that is now the
+// newest one.
+func (m *Model) measureCatchUp(lagging []*instance) {
+	target, healed := m.newestNumber, m.now
 	before := int64(0)
-	for _, i := range cut {
-		before += i.got
+	for _, inst := range lagging {
+		before += inst.receivedBytes
 	}
-	var look func()
-	look = func() {
-		if slices.ContainsFunc(cut, func(i *member) bool { return !i.frozen && i.held < target }) {
-			m.after(10*millisecond, look)
+	var check func()
+	check = func() {
+		if slices.ContainsFunc(lagging, func(i *instance) bool { return !i.frozen && i.appliedNumber < target }) {
+			m.schedule(10*millisecond, check)
 			return
 		}
-		m.catchUp = m.now - healed
+		m.catchUpTime = m.now - healed
 		got := -before
-		for _, i := range cut {
-			got += i.got
+		for _, inst := range lagging {
+			got += inst.receivedBytes
 		}
-		m.catchUpBytes = float64(got) / float64(len(cut))
+		m.catchUpBytes = float64(got) / float64(len(lagging))
 	}
-	look()
+	check()
 }
 
-// perDay lets something happen at drawn times, so often in the time of the run.
-func (m *Model) perDay(times float64, seconds int64, do func()) {
+// scheduleRandomly schedules an action at random times of the run, so many times.
+func (m *Model) scheduleRandomly(times float64, seconds int64, action func()) {
 	for range int(math.Round(times)) {
-		m.after(m.random.Int64N(seconds*second), do)
+		m.schedule(m.random.Int64N(seconds*second), action)
 	}
 }
 
-// Scenarios are the runs of the table. A day's failures of 5,500 machines, 64 lost and 790 restarted, are scaled to
-// the members and happen in 864 s, a hundredth of a day: so is a hundred times the ordinary trouble and, at one a
-// second, 17 times the changes.
+// Scenarios returns the scenarios of the table. In "a day in 864 s" the failures of a day, 64 of 5,500 machines lost
+// and 790 restarted, are scaled to the number of instances and happen in a hundredth of a day: this is 100 times the
+// usual rate of failures and, with a change a second, 17 times the usual rate of changes.
 func Scenarios() []Scenario {
 	day := func(m *Model, seconds int64) {
-		part := float64(len(m.members)) / 5500
-		anyOne := func() *member { return m.members[m.random.IntN(len(m.members))] }
-		m.perDay(64*part, seconds, func() { m.stop(anyOne(), 60*second, true) })
-		m.perDay(790*part, seconds, func() { m.stop(anyOne(), 3*second, true) })
+		part := float64(len(m.instances)) / 5500
+		anyOne := func() *instance { return m.instances[m.random.IntN(len(m.instances))] }
+		m.scheduleRandomly(64*part, seconds, func() { m.crash(anyOne(), 60*second, true) })
+		m.scheduleRandomly(790*part, seconds, func() { m.crash(anyOne(), 3*second, true) })
 	}
 	some := []configlog.Role{configlog.Follower, configlog.Relay}
 	return []Scenario{
-		{Name: "quiet, 5,200 a day", Seconds: 1000, ChangeRate: operatorsRate},
+		{Name: "quiet, 5,200 a day", Seconds: 1000, ChangeRate: operatorChangeRate},
 		{Name: "a day in 864 s", Seconds: 864, ChangeRate: 1, InjectFaults: day},
 		{Name: "a zone killed", Seconds: 120, ChangeRate: 1, InjectFaults: func(m *Model, _ int64) {
-			m.after(20*second, func() {
-				for _, i := range m.members {
-					if i.Zone == "zone-1-0" { // an origin, a relay and a twelfth of the dispatchers
-						m.stop(i, 60*second, true)
+			m.schedule(20*second, func() {
+				for _, inst := range m.instances {
+					if inst.Zone == "zone-1-0" { // an origin, a relay and a twelfth of the dispatchers
+						m.crash(inst, 60*second, true)
 					}
 				}
 			})
 		}},
 		{Name: "one-way cuts", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
-				m.after(at*second, func() {
-					for _, i := range m.some(0.05, some...) {
-						m.cutOneWay(i, 15*second, m.random.IntN(2) == 0)
+				m.schedule(at*second, func() {
+					for _, inst := range m.drawInstances(0.05, some...) {
+						m.cutOneWay(inst, 15*second, m.random.IntN(2) == 0)
 					}
 				})
 			}
 		}},
 		{Name: "frozen and woken", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
-				m.after(at*second, func() {
-					for _, i := range m.some(0.05, some...) {
-						m.freeze(i, 10*second)
+				m.schedule(at*second, func() {
+					for _, inst := range m.drawInstances(0.05, some...) {
+						m.freeze(inst, 10*second)
 					}
-					if m.random.IntN(4) == 0 { // and one of the origins, which leads or does not
-						m.freeze(m.members[m.random.IntN(3)], 10*second)
+					if m.random.IntN(4) == 0 { // also one of the origins, be it the leader or not
+						m.freeze(m.instances[m.random.IntN(3)], 10*second)
 					}
 				})
 			}
 		}},
-		{Name: "two of three origins frozen", Seconds: 120, ChangeRate: 1, NoQuorum: true, InjectFaults: func(m *Model, _ int64) {
-			m.after(20*second, func() {
-				m.freeze(m.members[0], 20*second)
-				m.freeze(m.members[1], 20*second)
-			})
-		}},
+		{Name: "two of three origins frozen", Seconds: 120, ChangeRate: 1, NoQuorum: true,
+			InjectFaults: func(m *Model, _ int64) {
+				m.schedule(20*second, func() {
+					m.freeze(m.instances[0], 20*second)
+					m.freeze(m.instances[1], 20*second)
+				})
+			}},
 		{Name: "lost, doubled, old", Seconds: 240, ChangeRate: 1, Network: func(n *Network) {
 			n.LossRate, n.DuplicateRate, n.ReplayRate, n.Jitter = 0.05, 0.05, 0.02, 3
 		}},
-		{Name: "all dispatchers start from nothing", Seconds: 600, ChangeRate: operatorsRate, InjectFaults: startFromNothing},
-		{Name: "region cut for an hour", Seconds: 3660, ChangeRate: operatorsRate, InjectFaults: cutLeadersRegion},
+		{Name: "all dispatchers start from nothing", Seconds: 600, ChangeRate: operatorChangeRate,
+			InjectFaults: startFromNothing},
+		{Name: "region cut for an hour", Seconds: 3660, ChangeRate: operatorChangeRate, InjectFaults: cutLeadersRegion},
 	}
 }
 
-// startFromNothing restarts all dispatchers at once, each with nothing on its disk.
+// startFromNothing restarts all dispatchers at the same time, each with an empty disk.
 func startFromNothing(m *Model, _ int64) {
-	m.after(20*second, func() {
-		all := m.some(1, configlog.Follower)
-		for _, i := range all {
-			m.stop(i, second, false)
+	m.schedule(20*second, func() {
+		all := m.drawInstances(1, configlog.Follower)
+		for _, inst := range all {
+			m.crash(inst, second, false)
 		}
-		m.after(second, func() { m.measureCatchUp(all) })
+		m.schedule(second, func() { m.measureCatchUp(all) })
 	})
 }
 
-// cutLeadersRegion cuts the region of the leader off for an hour.
+// cutLeadersRegion partitions the leader's region from the others for an hour.
 func cutLeadersRegion(m *Model, _ int64) {
 	region := "region-0"
-	m.after(10*second, func() {
-		for _, i := range m.members {
-			if i.node.Status(m.now).IsLeader {
-				region = i.Region
+	m.schedule(10*second, func() {
+		for _, inst := range m.instances {
+			if inst.node.Status(m.now).IsLeader {
+				region = inst.Region
 			}
 		}
-		m.cutRegion(region, true)
+		m.setRegionCut(region, true)
 	})
-	m.after(3610*second, func() {
-		m.cutRegion(region, false)
-		elsewhere := func(i *member) bool { return i.Region != region }
-		m.measureCatchUp(slices.DeleteFunc(slices.Clone(m.members), elsewhere))
+	m.schedule(3610*second, func() {
+		m.setRegionCut(region, false)
+		elsewhere := func(inst *instance) bool { return inst.Region != region }
+		m.measureCatchUp(slices.DeleteFunc(slices.Clone(m.instances), elsewhere))
 	})
 }
--- a/internal/lab/discoveryserver/discoveryserver.go
+++ b/internal/lab/discoveryserver/discoveryserver.go
@@ -1,4 +1,5 @@
-// Package discoveryserver is a stand-in for the discovery service: it serves the list of workers, and watches of it.
+// Package discoveryserver is a stand-in for the discovery service: it serves the list of workers and long polls for
+// its changes, over HTTP on loopback, and can be given faults.
 package discoveryserver
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Entry is one host of the list, in the form of the wire.
+// Entry is one host (worker) of the list. Its JSON names are those of the discovery protocol.
 type Entry struct {
 	Host          string   `json:"host"`
 	Dial          string   `json:"dial"`
@@ -23,52 +24,52 @@
 	StartedMillis int64    `json:"born_ms"`
 }
 
-// Server is a running stand-in.
+// Server is a running stand-in for the discovery service.
 type Server struct {
-	ln     net.Listener
-	server fasthttp.Server
+	listener net.Listener
+	server   fasthttp.Server
 
-	mu      sync.Mutex
-	seq     int64
-	entries map[string]Entry
-	changed map[string]int64 // by host: the version of its last change, removals too
-	answers map[int64][]byte // of this version, by the version that they begin after: many ask for the same
-	news    chan struct{}    // closed at the next change
-	fault   Fault
-	whole   bool          // all answers are whole lists
-	calls   int           // so far, answered or not
-	healed  chan struct{} // closed when the fault ends
+	mu             sync.Mutex
+	seq            int64
+	entries        map[string]Entry
+	changeVersions map[string]int64 // by host: the version of its last change, including removals
+	cachedAnswers  map[int64][]byte // for the current version, by the version they start after: many ask the same
+	updated        chan struct{}    // closed at the next change
+	fault          Fault
+	fullLists      bool          // every answer is a full list
+	callCount      int           // calls so far, answered or not
+	faultCleared   chan struct{} // closed at the next SetFault
 }
 
-// fromNothing stands for the version of whoever asks for the whole list.
-const fromNothing = -1
+// noVersion stands for the version of a caller that asks for the full list.
+const noVersion = -1
 
-// Start listens on a free port of 127.0.0.1.
+// Start returns a server that listens on a free port of 127.0.0.1.
 func Start() (*Server, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: ln, seq: 1, entries: map[string]Entry{}, changed: map[string]int64{},
-		answers: map[int64][]byte{}, news: make(chan struct{}), healed: make(chan struct{})}
-	s.server.Handler, s.server.Logger = s.handle, silent{}
-	go s.server.Serve(ln)
+	s := &Server{listener: listener, seq: 1, entries: map[string]Entry{}, changeVersions: map[string]int64{},
+		cachedAnswers: map[int64][]byte{}, updated: make(chan struct{}), faultCleared: make(chan struct{})}
+	s.server.Handler, s.server.Logger = s.handle, discardLogger{}
+	go s.server.Serve(listener)
 	return s, nil
 }
 
-// silent drops what the server says of connections that break: faults are made on purpose here.
-type silent struct{}
+// discardLogger drops the HTTP server's messages on broken connections, as connections are broken on purpose here.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Address is where it listens.
-func (s *Server) Address() string { return s.ln.Addr().String() }
+// Address returns the server's address.
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends it.
-func (s *Server) Close() { s.ln.Close() }
+// Close closes the server's listener.
+func (s *Server) Close() { s.listener.Close() }
 
-// Update lists hosts, or changes them, as one change.
+// Update adds, changes and removes hosts, as one change of the list.
 func (s *Server) Update(entries ...Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,26 +78,27 @@
 		if e.Health == "" {
 			e.Health = "up"
 		}
-		s.changed[e.Host] = s.seq
+		s.changeVersions[e.Host] = s.seq
 		if s.entries[e.Host] = e; e.Health == "removed" {
 			delete(s.entries, e.Host)
 		}
 	}
-	clear(s.answers)
-	close(s.news)
-	s.news = make(chan struct{})
+	clear(s.cachedAnswers)
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// SetFullLists makes all answers whole lists from now on, or what has changed again.
-func (s *Server) SetFullLists(whole bool) {
+// SetFullLists makes every answer a full list, or only the changes again.
+func (s *Server) SetFullLists(full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole = whole
-	clear(s.answers)
+	s.fullLists = full
+	clear(s.cachedAnswers)
 }
 
+// handle answers a call for the list; one for changes waits until there are some, or until its time is up.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.hinder(ctx) {
+	if s.applyFault(ctx) {
 		return
 	}
 	if string(ctx.Path()) != "/v1/endpoints" {
@@ -106,50 +108,50 @@
 	args := ctx.QueryArgs()
 	after, err := args.GetUint("after")
 	if err != nil {
-		after = fromNothing
+		after = noVersion
 	}
-	limit := time.After(time.Duration(min(args.GetUintOrZero("wait_ms"), 60_000)) * time.Millisecond)
+	timeout := time.After(time.Duration(min(args.GetUintOrZero("wait_ms"), 60_000)) * time.Millisecond)
 	for {
 		s.mu.Lock()
 		if s.seq > int64(after) {
 			break
 		}
-		news := s.news
+		updated := s.updated
 		s.mu.Unlock()
 		select {
-		case <-news:
+		case <-updated:
 			continue
-		case <-limit:
+		case <-timeout:
 			s.mu.Lock()
 		}
 		break
 	}
 	defer s.mu.Unlock()
 	ctx.SetContentType("application/json")
-	ctx.SetBody(s.answer(int64(after)))
+	ctx.SetBody(s.encodeList(int64(after)))
 }
 
-// answer is the list, or what has changed in it after a version.
-func (s *Server) answer(after int64) []byte {
-	if text := s.answers[after]; text != nil {
+// encodeList returns the list, or the changes to it after a version. The caller holds s.mu.
+func (s *Server) encodeList(after int64) []byte {
+	if text := s.cachedAnswers[after]; text != nil {
 		return text
 	}
-	whole := after == fromNothing || s.whole
+	full := after == noVersion || s.fullLists
 	list := struct {
 		Seq   int64   `json:"seq"`
 		Whole bool    `json:"whole"`
 		Hosts []Entry `json:"hosts"`
-	}{s.seq, whole, []Entry{}}
-	for host, seq := range s.changed {
+	}{s.seq, full, []Entry{}}
+	for host, seq := range s.changeVersions {
 		e, listed := s.entries[host]
 		if !listed {
 			e = Entry{Host: host, Health: "removed"}
 		}
-		if whole && listed || !whole && seq > after {
+		if full && listed || !full && seq > after {
 			list.Hosts = append(list.Hosts, e)
 		}
 	}
 	text, _ := jsoniter.Marshal(list)
-	s.answers[after] = text
+	s.cachedAnswers[after] = text
 	return text
 }
--- a/internal/lab/discoveryserver/faults.go
+++ b/internal/lab/discoveryserver/faults.go
@@ -7,58 +7,58 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Fault is what is wrong with discovery.
+// Fault is the way in which the server fails.
 type Fault int
 
 // The faults.
 const (
 	NoFault      Fault = iota
-	Unresponsive       // calls are taken and never answered
-	Slow               // each answer takes SlowTime
+	Unresponsive       // calls are accepted and never answered
+	Slow               // each answer is delayed by SlowDelay
 	Unavailable        // calls are answered 503, with a Retry-After
-	Overloaded         // nine calls in ten are refused
+	Overloaded         // nine calls in ten are answered 503
 )
 
-// SlowDelay is what an answer of a slow discovery takes: less than what a call waits for it.
+// SlowDelay is the delay of an answer under the fault Slow: shorter than a caller's timeout.
 const SlowDelay = time.Second
 
 const (
-	crowdedOneIn = 10 // calls of which one is answered
-	retryAfter   = "10"
+	overloadedAnswerEvery = 10   // an overloaded server answers one in so many calls
+	retryAfter            = "10" // seconds
 )
 
 // SetFault lets the fault hold from the next call on. Calls that a silent discovery has not answered stay without an
 // answer.
-func (s *Server) SetFault(f Fault) {
+func (s *Server) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
-	close(s.healed)
-	s.healed = make(chan struct{})
+	s.fault = fault
+	close(s.faultCleared)
+	s.faultCleared = make(chan struct{})
 }
 
-// Calls is how many calls have come.
+// Calls returns how many calls the server has received.
 func (s *Server) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.callCount
 }
 
-// hinder does to a call what the fault says, and tells whether that is all that becomes of it.
-func (s *Server) hinder(ctx *fasthttp.RequestCtx) bool {
+// applyFault applies the current fault to a call, and reports whether the call has been dealt with.
+func (s *Server) applyFault(ctx *fasthttp.RequestCtx) bool {
 	s.mu.Lock()
-	s.calls++
-	fault, healed, number := s.fault, s.healed, s.calls
+	s.callCount++
+	fault, faultCleared, number := s.fault, s.faultCleared, s.callCount
 	s.mu.Unlock()
 	switch {
 	case fault == Unresponsive:
-		<-healed
+		<-faultCleared
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return true
 	case fault == Slow:
 		time.Sleep(SlowDelay)
-	case fault == Unavailable, fault == Overloaded && number%crowdedOneIn != 0:
+	case fault == Unavailable, fault == Overloaded && number%overloadedAnswerEvery != 0:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.Response.Header.Set("Retry-After", retryAfter)
 		return true
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -1,5 +1,6 @@
-// Package host is a stand-in for a south side host: it takes jobs over HTTP/1.1, counts how often each has run and
-// calls back. It listens on several addresses, and each of them fails on cue.
+// Package host is a stand-in for a host (a worker as the network code knows it): it accepts jobs over HTTP/1.1, counts
+// how often each one has run and sends callbacks. It listens on several addresses, and each of them can be given a
+// fault.
 package host
 
 import (
@@ -19,100 +20,101 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Fault is how an address behaves.
+// Fault is the way in which an address fails; Serve is none.
 type Fault int
 
 // The faults.
 const (
 	Serve              Fault = iota
 	Refuse                   // connections are refused
-	ConnectTimeout           // connections do not come up, for want of room in the queue of the listener
-	DelayReading             // connections come up at once, but nobody reads them for Options.Late
-	ResetOnAccept            // each connection is reset as soon as it is up
-	ResetMidRequest          // it is reset when the request has begun to come
-	ResetAfterRequest        // it is reset when the request has come whole, and the job runs
-	ResetAfterJob            // the same, but what is no job is answered
+	ConnectTimeout           // connections are not established, because the listener's accept queue is full
+	DelayReading             // connections are established at once, but not read for Options.ReadDelay
+	ResetOnAccept            // each connection is reset as soon as it is established
+	ResetMidRequest          // it is reset after the request's header
+	ResetAfterRequest        // it is reset after the whole request, and the job runs
+	ResetAfterJob            // the same for jobs only; other requests are answered
 	ResetAfterResponse       // it is reset after the 202, and the job runs
-	Garbage                  // the answer is none
-	Hang                     // jobs are taken, and nothing is ever heard of them
-	RejectJobs               // jobs are turned away unstarted
+	Garbage                  // the answer is not HTTP, and the job runs
+	Hang                     // jobs are accepted, and no callback follows
+	RejectJobs               // jobs are rejected before they start
 )
 
-var faults = [...]string{"serve", "refuse", "silent", "accept-late", "reset-unread", "reset-midway", "reset-whole",
+var faultNames = [...]string{"serve", "refuse", "silent", "accept-late", "reset-unread", "reset-midway", "reset-whole",
 	"reset-jobs", "reset-accepted", "garbage", "hang", "turn-away"}
 
-func (f Fault) String() string { return faults[f] }
+// String returns the name that reports use.
+func (f Fault) String() string { return faultNames[f] }
 
-// Options say how a host works.
+// Options are the settings of a host.
 type Options struct {
 	Name        string
-	SocketDir   string        // of its socket files
-	JobDuration time.Duration // that a job takes
-	ReadDelay   time.Duration // of AcceptLate
+	SocketDir   string        // folder of its Unix socket files
+	JobDuration time.Duration // how long a job takes
+	ReadDelay   time.Duration // of DelayReading
 }
 
-// Host is a running stand-in.
+// Host is a running stand-in for a worker.
 type Host struct {
-	o     Options
-	doors []*door
+	options   Options
+	endpoints []*endpoint
 
-	mu   sync.Mutex
-	runs map[string]int       // of each id: how often a job of it has begun
-	seen map[string][]Arrival // of each id: where and when a request began to come
-	all  []*Attempt
-	byID map[string][]*Attempt
-	last time.Time
-	back func(body []byte) error // makes a call-back
+	mu           sync.Mutex
+	runCounts    map[string]int       // by id: how often its job has started
+	arrivals     map[string][]Arrival // by id: where and when its requests began to arrive
+	attempts     []*Attempt
+	attemptsByID map[string][]*Attempt
+	lastArrival  time.Time
+	postCallback func(body []byte) error // sends a callback
 }
 
-// Arrival is a request that began to come.
+// Arrival is where and when a request began to arrive.
 type Arrival struct {
-	Endpoint int
+	Endpoint int // index of the address
 	At       time.Time
 }
 
-// Attempt is one request for a job, as the host saw it. Times are zero where that did not happen.
+// Attempt is one request for a job, as the host saw it. A time is zero if its event did not happen.
 type Attempt struct {
 	ID          string
-	FirstByteAt time.Time     // its first byte came
-	LastByteAt  time.Time     // its last byte came: it counts from then on
-	Timeout     time.Duration // what the dispatcher said that it will wait
-	EndedAt     time.Time     // the host first tried to tell of its end, or reset its connection
-	CancelledAt time.Time     // the dispatcher called it off
-	Rejected    bool          // the host turned it away unstarted
+	FirstByteAt time.Time     // when its first byte arrived
+	LastByteAt  time.Time     // when its last byte arrived: it counts from then on
+	Timeout     time.Duration // how long the dispatcher waits, by the request's header
+	EndedAt     time.Time     // when the host first tried to report its end, or reset its connection
+	CancelledAt time.Time     // when the dispatcher cancelled it
+	Rejected    bool          // the host rejected it before it started
 }
 
-// Attempts are all that have come so far, in the order of their first bytes.
+// Attempts returns all attempts so far, in the order of their first bytes.
 func (h *Host) Attempts() (list []Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, a := range h.all {
+	for _, a := range h.attempts {
 		list = append(list, *a)
 	}
 	return list
 }
 
-// CloseIdle closes the connections to an address that rest now, as a host does that wants room; some see a reset.
-func (h *Host) CloseIdle(door int, resets bool) {
-	d := h.doors[door]
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c, resting := range d.open {
+// CloseIdle closes the idle connections of an address, as a host does that frees resources, with a reset if asked.
+func (h *Host) CloseIdle(endpoint int, withReset bool) {
+	e := h.endpoints[endpoint]
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for conn, idle := range e.conns {
 		switch {
-		case resting && resets:
-			reset(c)
-		case resting:
-			c.Close()
+		case idle && withReset:
+			resetConn(conn)
+		case idle:
+			conn.Close()
 		}
 	}
 }
 
-// Crash makes an address refuse connections, as that of a process that dies: what it has in hand ends, and its machine
-// tells that it is lost. Set lets it serve again.
-func (h *Host) Crash(door int) error {
+// Crash makes an address refuse connections, like that of a process that dies: its running jobs end, and its machine
+// reports them as lost. SetFault lets it serve again.
+func (h *Host) Crash(endpoint int) error {
 	var lost []*Attempt
-	h.note(func() {
-		for _, a := range h.all {
+	h.update(func() {
+		for _, a := range h.attempts {
 			if a.EndedAt.IsZero() && a.CancelledAt.IsZero() {
 				a.EndedAt = time.Now()
 				lost = append(lost, a)
@@ -120,155 +122,159 @@
 		}
 	})
 	for _, a := range lost {
-		go h.tell(map[string]string{"id": a.ID, "from": h.o.Name, "state": "lost"})
+		go h.sendCallback(map[string]string{"id": a.ID, "from": h.options.Name, "state": "lost"})
 	}
-	return h.doors[door].set(Refuse)
+	return h.endpoints[endpoint].setFault(Refuse)
 }
 
-// door is one address.
-type door struct {
-	h       *Host
-	n       int
+// endpoint is one address of a host.
+type endpoint struct {
+	host    *Host
+	index   int
 	network string
 	address string
 
-	mu       sync.Mutex
-	fault    Fault
-	ln       net.Listener
-	full     []net.Conn        // what fills the queue of a silent one
-	open     map[net.Conn]bool // and whether nothing is under way on it
-	accepted int
-	closed   bool
-}
-
-// Start listens on each address: "127.0.0.1:0", "[::1]:0", or "unix" for a socket file. Call-backs go by back.
-func Start(o Options, back func(body []byte) error, listen ...string) (*Host, error) {
-	h := &Host{o: o, runs: map[string]int{}, seen: map[string][]Arrival{}, byID: map[string][]*Attempt{}, back: back}
-	for i, address := range listen {
-		d := &door{h: h, n: i, network: "tcp", address: address, open: map[net.Conn]bool{}}
+	mu           sync.Mutex
+	fault        Fault
+	listener     net.Listener
+	queueFillers []net.Conn        // connections that fill the accept queue for ConnectTimeout
+	conns        map[net.Conn]bool // open connections; true while no request is in progress
+	accepted     int
+	closed       bool
+}
+
+// Start returns a host that listens on each address: "127.0.0.1:0", "[::1]:0", or "unix" for a socket file. It sends
+// its callbacks with postCallback.
+func Start(options Options, postCallback func(body []byte) error, listenAddresses ...string) (*Host, error) {
+	h := &Host{options: options, runCounts: map[string]int{}, arrivals: map[string][]Arrival{},
+		attemptsByID: map[string][]*Attempt{}, postCallback: postCallback}
+	for i, address := range listenAddresses {
+		e := &endpoint{host: h, index: i, network: "tcp", address: address, conns: map[net.Conn]bool{}}
 		if address == "unix" {
-			d.network, d.address = "unix", fmt.Sprintf("%s/%s-%d.sock", o.SocketDir, o.Name, i)
+			e.network, e.address = "unix", fmt.Sprintf("%s/%s-%d.sock", options.SocketDir, options.Name, i)
 		}
-		if err := d.listen(); err != nil {
+		if err := e.listen(); err != nil {
 			h.Close()
 			return nil, err
 		}
-		d.address = d.ln.Addr().String()
-		h.doors = append(h.doors, d)
+		e.address = e.listener.Addr().String()
+		h.endpoints = append(h.endpoints, e)
 	}
 	return h, nil
 }
 
-// Name is the host's name.
-func (h *Host) Name() string { return h.o.Name }
+// Name returns the host's name.
+func (h *Host) Name() string { return h.options.Name }
 
-// Addresses are the addresses in the form of the inventory, in the order of Start.
+// Addresses returns the addresses in the form of the discovery service's list, in the order of Start.
 func (h *Host) Addresses() (list []string) {
-	for _, d := range h.doors {
-		if d.network == "unix" {
-			list = append(list, "unix:"+d.address)
+	for _, e := range h.endpoints {
+		if e.network == "unix" {
+			list = append(list, "unix:"+e.address)
 		} else {
-			list = append(list, d.address)
+			list = append(list, e.address)
 		}
 	}
 	return list
 }
 
-// SetFault makes an address behave so from now on. Connections that are there are reset where it refuses or is silent.
-func (h *Host) SetFault(door int, f Fault) error { return h.doors[door].set(f) }
+// SetFault gives an address a fault. Refuse and ConnectTimeout reset the open connections.
+func (h *Host) SetFault(endpoint int, fault Fault) error {
+	return h.endpoints[endpoint].setFault(fault)
+}
 
-// RunCount is how often a job of this id has begun.
+// RunCount returns how often the job of this id has started.
 func (h *Host) RunCount(id string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.runs[id]
+	return h.runCounts[id]
 }
 
-// Arrivals tells on which addresses a request of this id began to come, and when.
+// Arrivals returns where and when the requests of this id began to arrive.
 func (h *Host) Arrivals(id string) []Arrival {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Arrival(nil), h.seen[id]...)
+	return append([]Arrival(nil), h.arrivals[id]...)
 }
 
-// LastArrival is when a request last began to come, on any address.
+// LastArrival returns when the last request began to arrive, on any address.
 func (h *Host) LastArrival() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.last
+	return h.lastArrival
 }
 
-// AcceptedConns is how many connections an address has taken.
-func (h *Host) AcceptedConns(door int) int {
-	d := h.doors[door]
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.accepted
+// AcceptedConns returns how many connections an address has accepted.
+func (h *Host) AcceptedConns(endpoint int) int {
+	e := h.endpoints[endpoint]
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.accepted
 }
 
-// Close ends the host and its connections.
+// Close closes the host's listeners and connections.
 func (h *Host) Close() {
-	for _, d := range h.doors {
-		d.mu.Lock()
-		d.closed = true
-		d.shut()
-		d.mu.Unlock()
+	for _, e := range h.endpoints {
+		e.mu.Lock()
+		e.closed = true
+		e.closeAll()
+		e.mu.Unlock()
 	}
 }
 
-func (d *door) listen() error {
-	if d.network == "unix" {
-		os.Remove(d.address)
+func (e *endpoint) listen() error {
+	if e.network == "unix" {
+		os.Remove(e.address)
 	}
-	ln, err := net.Listen(d.network, d.address)
+	listener, err := net.Listen(e.network, e.address)
 	if err != nil {
 		return err
 	}
-	d.ln = ln
-	go d.serve(ln)
+	e.listener = listener
+	go e.serve(listener)
 	return nil
 }
 
-// shut ends the listener and the connections; d.mu is held.
-func (d *door) shut() {
-	if d.ln != nil {
-		d.ln.Close()
-		d.ln = nil
+// closeAll closes the listener and resets the connections. The caller holds e.mu.
+func (e *endpoint) closeAll() {
+	if e.listener != nil {
+		e.listener.Close()
+		e.listener = nil
 	}
-	for _, c := range d.full {
+	for _, c := range e.queueFillers {
 		c.Close()
 	}
-	d.full = nil
-	for c := range d.open {
-		reset(c)
+	e.queueFillers = nil
+	for c := range e.conns {
+		resetConn(c)
 	}
 }
 
-func (d *door) set(f Fault) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed || d.fault == f {
+func (e *endpoint) setFault(fault Fault) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed || e.fault == fault {
 		return nil
 	}
-	was := d.fault
-	d.fault = f
+	previous := e.fault
+	e.fault = fault
 	switch {
-	case f == Refuse:
-		d.shut()
-	case f == ConnectTimeout:
-		d.shut()
-		return retaken(d.fill)
-	case was == Refuse || was == ConnectTimeout:
-		d.shut()
-		return retaken(d.listen)
+	case fault == Refuse:
+		e.closeAll()
+	case fault == ConnectTimeout:
+		e.closeAll()
+		return retryListen(e.fillAcceptQueue)
+	case previous == Refuse || previous == ConnectTimeout:
+		e.closeAll()
+		return retryListen(e.listen)
 	}
 	return nil
 }
 
-// retaken listens at an address again that was given up for a moment. A connection of somebody else's may have its port
-// by now, for as long as that lasts.
-func retaken(listen func() error) (err error) {
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// retryListen listens again on an address that was released for a moment. Until the deadline it retries while the port
+// is in use, as another process's connection may have it meanwhile.
+func retryListen(listen func() error) (err error) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if err = listen(); !errors.Is(err, syscall.EADDRINUSE) {
 			return err
 		}
@@ -276,21 +282,22 @@
 	return err
 }
 
-// fill makes the address one whose connections do not come up: a listener that accepts nothing, its queue full. A full
-// socket file refuses instead of waiting, so that it stays without a listener.
-func (d *door) fill() error {
-	if d.network == "unix" {
+// fillAcceptQueue makes connections to the address time out: its listener accepts nothing, and its accept queue is
+// full. A Unix socket with a full queue refuses connections instead, so it is left without a listener.
+func (e *endpoint) fillAcceptQueue() error {
+	if e.network == "unix" {
 		return nil
 	}
-	a, err := net.ResolveTCPAddr("tcp", d.address)
+	resolved, err := net.ResolveTCPAddr("tcp", e.address)
 	if err != nil {
 		return err
 	}
-	family, sa := syscall.AF_INET, syscall.Sockaddr(nil)
-	if ip := a.IP.To4(); ip != nil {
-		sa = &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(ip)}
+	family, sockaddr := syscall.AF_INET, syscall.Sockaddr(nil)
+	if ip := resolved.IP.To4(); ip != nil {
+		sockaddr = &syscall.SockaddrInet4{Port: resolved.Port, Addr: [4]byte(ip)}
 	} else {
-		family, sa = syscall.AF_INET6, &syscall.SockaddrInet6{Port: a.Port, Addr: [16]byte(a.IP.To16())}
+		family, sockaddr = syscall.AF_INET6,
+			&syscall.SockaddrInet6{Port: resolved.Port, Addr: [16]byte(resolved.IP.To16())}
 	}
 	fd, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -300,7 +307,7 @@
 	defer f.Close()
 	err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
 	if err == nil {
-		err = syscall.Bind(fd, sa)
+		err = syscall.Bind(fd, sockaddr)
 	}
 	if err == nil {
 		err = syscall.Listen(fd, 0)
@@ -308,217 +315,220 @@
 	if err != nil {
 		return err
 	}
-	if d.ln, err = net.FileListener(f); err != nil {
+	if e.listener, err = net.FileListener(f); err != nil {
 		return err
 	}
-	for range 16 { // until one does not come up any more
-		c, err := net.DialTimeout("tcp", d.address, 30*time.Millisecond)
+	for range 16 { // until a connection times out
+		c, err := net.DialTimeout("tcp", e.address, 30*time.Millisecond)
 		if err != nil {
 			return nil
 		}
-		d.full = append(d.full, c)
+		e.queueFillers = append(e.queueFillers, c)
 	}
-	return errors.New("the queue of the listener does not fill")
+	return errors.New("the listener's accept queue is not full after 16 connections")
 }
 
-func (d *door) serve(ln net.Listener) {
+func (e *endpoint) serve(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		d.mu.Lock()
-		d.accepted++
-		f := d.fault
-		if d.ln != ln || d.closed {
-			d.mu.Unlock()
-			reset(c)
+		e.mu.Lock()
+		e.accepted++
+		fault := e.fault
+		if e.listener != listener || e.closed {
+			e.mu.Unlock()
+			resetConn(conn)
 			continue
 		}
-		d.open[c] = true
-		d.mu.Unlock()
+		e.conns[conn] = true
+		e.mu.Unlock()
 		go func() {
-			d.talk(c, f)
-			d.mu.Lock()
-			delete(d.open, c)
-			d.mu.Unlock()
-			c.Close()
+			e.serveConn(conn, fault)
+			e.mu.Lock()
+			delete(e.conns, conn)
+			e.mu.Unlock()
+			conn.Close()
 		}()
 	}
 }
 
-// reset closes a connection so that its peer sees a reset.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+// resetConn closes a connection with a reset.
+func resetConn(conn net.Conn) {
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
-func (d *door) faulty() Fault {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.fault
+func (e *endpoint) currentFault() Fault {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.fault
 }
 
-// talk serves one connection. What the address does is asked anew for each request.
-func (d *door) talk(c net.Conn, f Fault) {
-	switch f {
+// serveConn serves one connection, which was accepted under this fault. Each request is served under the fault that the
+// address has then.
+func (e *endpoint) serveConn(conn net.Conn, fault Fault) {
+	switch fault {
 	case ResetOnAccept:
-		reset(c)
+		resetConn(conn)
 		return
 	case DelayReading:
-		time.Sleep(d.h.o.ReadDelay)
+		time.Sleep(e.host.options.ReadDelay)
 	}
-	in := bufio.NewReader(c)
-	for d.serveOne(c, in) {
+	reader := bufio.NewReader(conn)
+	for e.serveRequest(conn, reader) {
 	}
 }
 
-// serveOne serves the next request of a connection, and tells whether the connection goes on.
-func (d *door) serveOne(c net.Conn, in *bufio.Reader) bool {
-	d.rests(c, true)
-	if _, err := in.Peek(1); err != nil {
+// serveRequest serves the next request of a connection, and reports whether the connection stays open.
+func (e *endpoint) serveRequest(conn net.Conn, reader *bufio.Reader) bool {
+	e.setIdle(conn, true)
+	if _, err := reader.Peek(1); err != nil {
 		return false
 	}
-	d.rests(c, false)
-	at := time.Now()
+	e.setIdle(conn, false)
+	firstByteAt := time.Now()
 	var req fasthttp.Request
-	if err := req.Header.Read(in); err != nil {
+	if err := req.Header.Read(reader); err != nil {
 		return false
 	}
 	id := string(req.Header.Peek("X-Request-Id"))
-	var job *Attempt // nil for what is none
+	var job *Attempt // nil if the request is not a job
 	if id != "" && req.Header.IsPost() {
-		job = d.h.sight(id, d.n, at)
+		job = e.host.recordArrival(id, e.index, firstByteAt)
 	}
-	f := d.faulty()
-	if f == ResetMidRequest {
-		reset(c)
+	fault := e.currentFault()
+	if fault == ResetMidRequest {
+		resetConn(conn)
 		return false
 	}
-	if err := req.ContinueReadBody(in, 1<<20); err != nil {
+	if err := req.ContinueReadBody(reader, 1<<20); err != nil {
 		return false
 	}
 	if job != nil {
 		wait, _ := strconv.Atoi(string(req.Header.Peek("X-Timeout-Ms")))
-		d.h.note(func() { job.LastByteAt, job.Timeout = time.Now(), time.Duration(wait)*time.Millisecond })
+		e.host.update(func() { job.LastByteAt, job.Timeout = time.Now(), time.Duration(wait)*time.Millisecond })
 	}
-	if f == Garbage {
+	if fault == Garbage {
 		if job != nil {
-			d.h.run(job, false)
-			d.h.ended(job)
+			e.host.startJob(job, false)
+			e.host.markEnded(job)
 		}
-		io.WriteString(c, "\x00\x01 this is no answer\r\n\r\n")
+		io.WriteString(conn, "\x00\x01 this is no answer\r\n\r\n")
 		return false
 	}
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	switch path := string(req.Header.RequestURI()); {
 	case strings.HasPrefix(path, "/jobs/"):
-		d.h.callOff(strings.TrimPrefix(path, "/jobs/"))
-	case job != nil && f == RejectJobs:
-		d.h.note(func() { job.Rejected, job.EndedAt = true, time.Now() })
+		e.host.cancelJob(strings.TrimPrefix(path, "/jobs/"))
+	case job != nil && fault == RejectJobs:
+		e.host.update(func() { job.Rejected, job.EndedAt = true, time.Now() })
 		answer = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	case job != nil:
-		d.h.run(job, f != ResetAfterRequest && f != ResetAfterJob && f != Hang)
+		e.host.startJob(job, fault != ResetAfterRequest && fault != ResetAfterJob && fault != Hang)
 		answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 	}
-	if f == ResetAfterRequest || f == ResetAfterJob && job != nil {
-		d.h.ended(job)
-		reset(c)
+	if fault == ResetAfterRequest || fault == ResetAfterJob && job != nil {
+		e.host.markEnded(job)
+		resetConn(conn)
 		return false
 	}
-	if _, err := io.WriteString(c, answer); err != nil {
+	if _, err := io.WriteString(conn, answer); err != nil {
 		return false
 	}
-	if f == ResetAfterResponse && job != nil {
-		time.Sleep(time.Millisecond) // a reset may overtake what was written
-		reset(c)
+	if fault == ResetAfterResponse && job != nil {
+		time.Sleep(time.Millisecond) // a reset may overtake the answer
+		resetConn(conn)
 		return false
 	}
 	return true
 }
 
-// rests notes whether nothing is under way on a connection.
-func (d *door) rests(c net.Conn, resting bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if _, open := d.open[c]; open {
-		d.open[c] = resting
+// setIdle records whether a connection is idle, i.e. no request is in progress on it.
+func (e *endpoint) setIdle(conn net.Conn, idle bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if _, open := e.conns[conn]; open {
+		e.conns[conn] = idle
 	}
 }
 
-func (h *Host) sight(id string, door int, at time.Time) *Attempt {
+// recordArrival records a new attempt, whose first byte arrived at this time.
+func (h *Host) recordArrival(id string, endpoint int, at time.Time) *Attempt {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.seen[id] = append(h.seen[id], Arrival{door, at})
-	if at.After(h.last) {
-		h.last = at
+	h.arrivals[id] = append(h.arrivals[id], Arrival{endpoint, at})
+	if at.After(h.lastArrival) {
+		h.lastArrival = at
 	}
 	a := &Attempt{ID: id, FirstByteAt: at}
-	h.all, h.byID[id] = append(h.all, a), append(h.byID[id], a)
+	h.attempts, h.attemptsByID[id] = append(h.attempts, a), append(h.attemptsByID[id], a)
 	return a
 }
 
-// note changes what is known of an attempt.
-func (h *Host) note(change func()) {
+// update makes a change to the host's records under its lock.
+func (h *Host) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// ended notes that an attempt, if it is one, ends now.
-func (h *Host) ended(a *Attempt) {
+// markEnded records that an attempt ends now; nil is ignored.
+func (h *Host) markEnded(a *Attempt) {
 	if a != nil {
-		h.note(func() { a.EndedAt = time.Now() })
+		h.update(func() { a.EndedAt = time.Now() })
 	}
 }
 
-// Result is the result that the host calls back for a job.
-func (h *Host) Result(id string) string { return h.o.Name + " " + id }
+// Result returns the result that the host reports for a job.
+func (h *Host) Result(id string) string { return h.options.Name + " " + id }
 
-// run begins a job, which calls back when it is done if tells is set.
-func (h *Host) run(a *Attempt, tells bool) {
+// startJob starts a job. If reportsCompletion is set, a callback follows when it is done.
+func (h *Host) startJob(a *Attempt, reportsCompletion bool) {
 	h.mu.Lock()
-	h.runs[a.ID]++
+	h.runCounts[a.ID]++
 	h.mu.Unlock()
-	if !tells {
+	if !reportsCompletion {
 		return
 	}
-	time.AfterFunc(h.o.JobDuration, func() {
-		over := false
-		h.note(func() {
-			if over = !a.CancelledAt.IsZero() || !a.EndedAt.IsZero(); !over {
+	time.AfterFunc(h.options.JobDuration, func() {
+		finished := false
+		h.update(func() {
+			if finished = !a.CancelledAt.IsZero() || !a.EndedAt.IsZero(); !finished {
 				a.EndedAt = time.Now()
 			}
 		})
-		if !over {
-			h.tell(map[string]string{"id": a.ID, "from": h.o.Name, "state": "done", "result": h.Result(a.ID)})
+		if !finished {
+			h.sendCallback(map[string]string{"id": a.ID, "from": h.options.Name, "state": "done",
+				"result": h.Result(a.ID)})
 		}
 	})
 }
 
-// callBacks is how often a call-back is tried, callBackPause the time between two tries.
 const (
-	callBacks     = 10
-	callBackPause = 20 * time.Millisecond
+	callbackAttempts   = 10                    // how often a callback is tried
+	callbackRetryDelay = 20 * time.Millisecond // between two tries
 )
 
-// tell makes a call-back.
-func (h *Host) tell(what map[string]string) {
-	body, _ := jsoniter.Marshal(what)
-	for range callBacks {
-		if h.back(body) == nil {
+// sendCallback sends a callback, with retries.
+func (h *Host) sendCallback(event map[string]string) {
+	body, _ := jsoniter.Marshal(event)
+	for range callbackAttempts {
+		if h.postCallback(body) == nil {
 			return
 		}
-		time.Sleep(callBackPause)
+		time.Sleep(callbackRetryDelay)
 	}
 }
 
-func (h *Host) callOff(id string) {
+// cancelJob records that the dispatcher has cancelled the attempts of this id.
+func (h *Host) cancelJob(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, a := range h.byID[id] {
+	for _, a := range h.attemptsByID[id] {
 		if a.CancelledAt.IsZero() {
 			a.CancelledAt = time.Now()
 		}
--- a/internal/lab/measure/addresses.go
+++ b/internal/lab/measure/addresses.go
@@ -1,4 +1,5 @@
-// Package measure runs the program against the stand-ins, one subsystem at a time, and reports what it found.
+// Package measure runs the dispatcher and the agent against the stand-ins, one subsystem at a time, and reports the
+// measurements and whether they are within their bounds.
 package measure
 
 import (
@@ -22,83 +23,96 @@
 	"topazfall/internal/lab/report"
 )
 
-// AddressOptions say how the addresses are measured.
+// AddressOptions are the settings of Addresses.
 type AddressOptions struct {
-	ProgramPath string
+	ProgramPath string // the dispatcher's binary
 	Seed        uint64
 	Messages    int // over all cases
-	Rate        int // a second
+	Rate        int // messages a second
 }
 
-// The doors of each host, in the order in which they are tried while nothing is known.
+// The first endpoints (addresses) of each host, in the order in which a dispatcher tries them at first.
 const (
-	doorLocal = iota
-	doorFour
+	unixEndpoint = iota
+	ipv4Endpoint
 )
 
-var listen = []string{"unix", "127.0.0.1:0", "[::1]:0"}
+// listenAddresses are the addresses on which each host listens.
+var listenAddresses = []string{"unix", "127.0.0.1:0", "[::1]:0"}
 
 // addressCase is one way in which addresses fail, and when.
 type addressCase struct {
-	name  string
-	begin func(s *scene)                      // before the program is started
-	play  func(ctx context.Context, s *scene) // beside the load
+	name    string
+	setUp   func(s *addressScene)                      // runs before the dispatcher is started; nil for nothing
+	disrupt func(ctx context.Context, s *addressScene) // runs during the load; nil for nothing
 }
 
-// scene is the program among its stand-ins, for one case.
-type scene struct {
-	hosts   []*host.Host
-	program *program.Process
-	length  time.Duration
-	back    time.Time // when an address came back
+// addressScene is the dispatcher and its stand-ins, for one case.
+type addressScene struct {
+	hosts       []*host.Host
+	program     *program.Process
+	duration    time.Duration
+	recoveredAt time.Time // when the address that was down served again
 }
 
-func (s *scene) fault(door int, f host.Fault) {
+// setFault gives an address of all hosts a fault.
+func (s *addressScene) setFault(endpoint int, fault host.Fault) {
 	for _, h := range s.hosts {
-		if err := h.SetFault(door, f); err != nil {
-			// the machine lacks something: no figure would be true
-			panic(fmt.Sprintf("door %d cannot %s: %v", door, f, err))
+		if err := h.SetFault(endpoint, fault); err != nil {
+			// Without the fault every measurement would be wrong.
+			panic(fmt.Sprintf("address %d: cannot set the fault %s: %v", endpoint, fault, err))
 		}
 	}
 }
 
-func always(door int, f host.Fault) func(*scene) { return func(s *scene) { s.fault(door, f) } }
+// setFaultAtStart returns a setUp that gives an address of all hosts a fault.
+func setFaultAtStart(endpoint int, fault host.Fault) func(*addressScene) {
+	return func(s *addressScene) { s.setFault(endpoint, fault) }
+}
 
+// addressCases are the cases in the order of the report; the first is the baseline of the bounds.
 var addressCases = []addressCase{
 	{name: "one good address"},
 	{name: "three good addresses"},
-	{name: "first refuses", begin: always(doorLocal, host.Refuse)},
-	{name: "first is silent", begin: func(s *scene) {
-		s.fault(doorLocal, host.Refuse)
-		s.fault(doorFour, host.ConnectTimeout)
+	{name: "first refuses", setUp: setFaultAtStart(unixEndpoint, host.Refuse)},
+	{name: "first is silent", setUp: func(s *addressScene) {
+		s.setFault(unixEndpoint, host.Refuse)
+		s.setFault(ipv4Endpoint, host.ConnectTimeout)
+	}},
+	{name: "only the last serves", setUp: func(s *addressScene) {
+		s.setFault(unixEndpoint, host.ResetOnAccept)
+		s.setFault(ipv4Endpoint, host.Refuse)
+	}},
+	{name: "one host resets whole requests", setUp: func(s *addressScene) {
+		s.hosts[0].SetFault(unixEndpoint, host.ResetAfterRequest)
+	}},
+	{name: "one host resets midway", setUp: func(s *addressScene) {
+		s.hosts[0].SetFault(unixEndpoint, host.ResetMidRequest)
 	}},
-	{name: "only the last serves", begin: func(s *scene) {
-		s.fault(doorLocal, host.ResetOnAccept)
-		s.fault(doorFour, host.Refuse)
+	{name: "one host answers garbage", setUp: func(s *addressScene) {
+		s.hosts[0].SetFault(unixEndpoint, host.Garbage)
 	}},
-	{name: "one host resets whole requests", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.ResetAfterRequest) }},
-	{name: "one host resets midway", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.ResetMidRequest) }},
-	{name: "one host answers garbage", begin: func(s *scene) { s.hosts[0].SetFault(doorLocal, host.Garbage) }},
-	{name: "reset after the 202", begin: always(doorLocal, host.ResetAfterResponse)},
-	{name: "first flaps every second", play: func(ctx context.Context, s *scene) {
-		for down := true; pause(ctx, time.Second); down = !down {
+	{name: "reset after the 202", setUp: setFaultAtStart(unixEndpoint, host.ResetAfterResponse)},
+	{name: "first flaps every second", disrupt: func(ctx context.Context, s *addressScene) {
+		for down := true; sleep(ctx, time.Second); down = !down {
 			f := host.Serve
 			if down {
 				f = host.Refuse
 			}
-			s.fault(doorLocal, f)
+			s.setFault(unixEndpoint, f)
 		}
 	}},
-	{name: "first is down for a second", play: func(ctx context.Context, s *scene) {
-		pause(ctx, s.length/4)
-		s.fault(doorLocal, host.Refuse)
-		pause(ctx, time.Second)
-		s.fault(doorLocal, host.Serve)
-		s.back = time.Now()
+	{name: "first is down for a second", disrupt: func(ctx context.Context, s *addressScene) {
+		sleep(ctx, s.duration/4)
+		s.setFault(unixEndpoint, host.Refuse)
+		sleep(ctx, time.Second)
+		s.setFault(unixEndpoint, host.Serve)
+		s.recoveredAt = time.Now()
 	}},
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits, and returns false if ctx ended before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -107,148 +121,154 @@
 	}
 }
 
-// outcome is what became of one message.
+// outcome is one message and its final answer.
 type outcome struct {
-	id, class string
-	at        time.Duration // after the start, when it was to be sent
-	due       time.Time     // the same
-	answer    client.Answer
+	id, class  string
+	sendOffset time.Duration // scheduled time of sending, from the start of the load
+	due        time.Time     // the same as a time of day
+	answer     client.Answer
 }
 
-// verdicts counts how requests ended.
-type verdicts struct {
+// answerCounts counts the final answers by result.
+type answerCounts struct {
 	served, failed, refused int
-	none                    int // without a final answer
-	lost                    int // of the failed ones, those that must not run twice
+	unanswered              int // without a final answer
+	atMostOnceFailed        int // those of the failed ones that must not run twice
 }
 
-func (v *verdicts) add(x outcome) {
+func (c *answerCounts) add(x outcome) {
 	switch {
 	case x.answer.Err != nil:
-		v.none++
+		c.unanswered++
 	case x.answer.Status == http.StatusOK:
-		v.served++
+		c.served++
 	case x.answer.Status == http.StatusServiceUnavailable || x.answer.Status == http.StatusTooManyRequests:
-		v.refused++
+		c.refused++
 	default:
-		v.failed++
+		c.failed++
 		if program.IsAtMostOnce(x.class) {
-			v.lost++
+			c.atMostOnceFailed++
 		}
 	}
 }
 
-// addressTally is what the bars are checked against, gathered over all cases.
-type addressTally struct {
-	unanswered  int            // messages
-	runs        int            // most runs of one id that must not run twice
-	lost        map[string]int // by case, messages that must not run twice and failed
-	returned    float64        // milliseconds until the address that was down was in use again
-	reach, late map[string]*hdrhistogram.Histogram
+// addressSummary holds the values over all cases that are checked against bounds.
+type addressSummary struct {
+	unanswered int            // messages
+	maxRuns    int            // largest number of runs of an id that must not run twice
+	lostByCase map[string]int // failed messages that must not run twice, by case
+	// recoveryMillis is the time in milliseconds from the recovery of an address until it was in use again.
+	recoveryMillis float64
+	// Times in microseconds from the scheduled sending of a message until it arrived at a host, by case. The second
+	// leaves out the messages of the first second.
+	reachTimes, reachTimesAfter1s map[string]*hdrhistogram.Histogram
 }
 
-// check holds the tally against the bars.
-func (t *addressTally) check(r *report.Report) {
-	base := float64(t.reach[addressCases[0].name].ValueAtQuantile(99)) / 1000
+// check adds the bounds to the report.
+func (s *addressSummary) check(r *report.Report) {
+	baseP99 := float64(s.reachTimes[addressCases[0].name].ValueAtQuantile(99)) / 1000
 	p99 := func(h *hdrhistogram.Histogram) float64 { return float64(h.ValueAtQuantile(99)) / 1000 }
-	const delay = 50 // unmeasured, milliseconds: addresses.Defaults.DelayFirst
-	r.AddBound("messages without a final answer", float64(t.unanswered), 0, "messages")
-	r.AddBound("runs of an id that must not run twice", float64(t.runs), 1, "runs")
-	r.AddBound("first refuses: reach p99", p99(t.reach["first refuses"]), 2*base+5, "ms")
-	r.AddBound("first is silent: reach p99", p99(t.reach["first is silent"]), delay+2*base+5, "ms")
-	r.AddBound("first is silent, after 1 s: reach p99", p99(t.late["first is silent"]), 2*base+5, "ms")
+	const initialDelayMillis = 50 // addresses.Defaults.InitialDelay: before the second dial while nothing is measured
+	r.AddBound("messages without a final answer", float64(s.unanswered), 0, "messages")
+	r.AddBound("runs of an id that must not run twice", float64(s.maxRuns), 1, "runs")
+	r.AddBound("first refuses: reach p99", p99(s.reachTimes["first refuses"]), 2*baseP99+5, "ms")
+	r.AddBound("first is silent: reach p99", p99(s.reachTimes["first is silent"]), initialDelayMillis+2*baseP99+5, "ms")
+	r.AddBound("first is silent, after 1 s: reach p99", p99(s.reachTimesAfter1s["first is silent"]), 2*baseP99+5, "ms")
 	r.AddBound("first is down for a second: once messages failed",
-		float64(t.lost["first is down for a second"]), 0, "messages")
-	r.AddBound("first is down for a second: in use again after", t.returned, 2000, "ms")
+		float64(s.lostByCase["first is down for a second"]), 0, "messages")
+	r.AddBound("first is down for a second: in use again after", s.recoveryMillis, 2000, "ms")
 	r.AddBound("one host resets whole requests: once messages failed",
-		float64(t.lost["one host resets whole requests"]), 5, "messages")
+		float64(s.lostByCase["one host resets whole requests"]), 5, "messages")
 }
 
-// Addresses measures how the program reaches hosts whose addresses fail. Arrivals are a Poisson process; progress goes
-// to w.
+// Addresses measures how the dispatcher reaches hosts whose addresses fail. Messages are sent as a Poisson process.
+// Progress is written to w.
 func Addresses(ctx context.Context, o AddressOptions, w io.Writer) (*report.Report, error) {
 	if o.Messages < len(addressCases) || o.Rate < 1 || o.Rate > 5000 || o.Messages > 1_000_000 {
 		return nil, fmt.Errorf(
-			"n is %d and rate %d: at least a message for each of %d cases, a million in all and 5,000 a second",
+			"n is %d and rate %d: want n between %d (the number of cases) and 1000000, and a rate between 1 and 5000",
 			o.Messages, o.Rate, len(addressCases))
 	}
 	r := report.New("addresses", o.Seed, "case", "sent", "served", "failed", "refused", "unanswered",
 		"most runs of a once id", "dials per message", "reach p50 ms", "reach p99 ms", "reach max ms",
 		"p99 ms after 1 s")
-	chance := rand.New(rand.NewPCG(o.Seed, 0))
-	each := o.Messages / (len(addressCases) + 1) // the last needs the time of two
-	t := addressTally{returned: math.Inf(1), lost: map[string]int{},
-		reach: map[string]*hdrhistogram.Histogram{}, late: map[string]*hdrhistogram.Histogram{}}
-	for i, c := range addressCases {
-		n := each
+	random := rand.New(rand.NewPCG(o.Seed, 0))
+	perCase := o.Messages / (len(addressCases) + 1) // the last case takes twice as long
+	summary := addressSummary{recoveryMillis: math.Inf(1), lostByCase: map[string]int{},
+		reachTimes: map[string]*hdrhistogram.Histogram{}, reachTimesAfter1s: map[string]*hdrhistogram.Histogram{}}
+	for i, testCase := range addressCases {
+		n := perCase
 		if i == len(addressCases)-1 {
-			n = o.Messages - i*each
+			n = o.Messages - i*perCase
 		}
-		fmt.Fprintf(w, "%2d of %d: %s\n", i+1, len(addressCases), c.name)
-		s, outcomes, dials, err := playAddresses(ctx, o, c, i == 0, n, chance)
+		fmt.Fprintf(w, "%2d of %d: %s\n", i+1, len(addressCases), testCase.name)
+		s, outcomes, dials, err := runAddressCase(ctx, o, testCase, i == 0, n, random)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", c.name, err)
+			return nil, fmt.Errorf("%s: %w", testCase.name, err)
 		}
-		var count verdicts
-		most := 0
-		all, after := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
+		var counts answerCounts
+		maxRuns := 0
+		reachTimes, reachTimesAfter1s := hdrhistogram.New(1, 60_000_000, 3), hdrhistogram.New(1, 60_000_000, 3)
 		for _, x := range outcomes {
-			count.add(x)
-			ran := 0
-			var first time.Time
+			counts.add(x)
+			runs := 0
+			var firstArrival time.Time
 			for _, h := range s.hosts {
-				ran += h.RunCount(x.id)
+				runs += h.RunCount(x.id)
 				for _, seen := range h.Arrivals(x.id) {
-					if seen.Endpoint == doorLocal && !s.back.IsZero() && seen.At.After(s.back) {
-						t.returned = min(t.returned, float64(seen.At.Sub(s.back).Microseconds())/1000)
+					if seen.Endpoint == unixEndpoint && !s.recoveredAt.IsZero() && seen.At.After(s.recoveredAt) {
+						summary.recoveryMillis = min(summary.recoveryMillis,
+							float64(seen.At.Sub(s.recoveredAt).Microseconds())/1000)
 					}
-					if first.IsZero() || seen.At.Before(first) {
-						first = seen.At
+					if firstArrival.IsZero() || seen.At.Before(firstArrival) {
+						firstArrival = seen.At
 					}
 				}
 			}
 			if program.IsAtMostOnce(x.class) {
-				most = max(most, ran)
+				maxRuns = max(maxRuns, runs)
 			}
-			if !first.IsZero() {
-				took := max(first.Sub(x.due).Microseconds(), 1)
-				all.RecordValue(took)
-				if x.at > time.Second {
-					after.RecordValue(took)
+			if !firstArrival.IsZero() {
+				reachMicros := max(firstArrival.Sub(x.due).Microseconds(), 1)
+				reachTimes.RecordValue(reachMicros)
+				if x.sendOffset > time.Second {
+					reachTimesAfter1s.RecordValue(reachMicros)
 				}
 			}
 		}
-		t.unanswered += count.none
-		t.lost[c.name] += count.lost
-		t.runs = max(t.runs, most)
-		t.reach[c.name], t.late[c.name] = all, after
+		summary.unanswered += counts.unanswered
+		summary.lostByCase[testCase.name] += counts.atMostOnceFailed
+		summary.maxRuns = max(summary.maxRuns, maxRuns)
+		summary.reachTimes[testCase.name], summary.reachTimesAfter1s[testCase.name] = reachTimes, reachTimesAfter1s
 		ms := func(us int64) float64 { return float64(us) / 1000 }
-		r.AddRow(c.name, len(outcomes), count.served, count.failed, count.refused, count.none, most,
-			dials/float64(max(len(outcomes), 1)), ms(all.ValueAtQuantile(50)), ms(all.ValueAtQuantile(99)),
-			ms(all.Max()), ms(after.ValueAtQuantile(99)))
+		r.AddRow(testCase.name, len(outcomes), counts.served, counts.failed, counts.refused, counts.unanswered, maxRuns,
+			dials/float64(max(len(outcomes), 1)), ms(reachTimes.ValueAtQuantile(50)),
+			ms(reachTimes.ValueAtQuantile(99)), ms(reachTimes.Max()), ms(reachTimesAfter1s.ValueAtQuantile(99)))
 	}
-	t.check(r)
+	summary.check(r)
 	return r, nil
 }
 
-// playAddresses plays one case.
-func playAddresses(
-	ctx context.Context, o AddressOptions, c addressCase, single bool, n int, chance *rand.Rand,
-) (*scene, []outcome, float64, error) {
+// runAddressCase runs one case, with only one address for each host if single is set. It returns the hosts, the
+// outcomes of n messages, and the number of dials.
+func runAddressCase(
+	ctx context.Context, o AddressOptions, testCase addressCase, single bool, n int, random *rand.Rand,
+) (*addressScene, []outcome, float64, error) {
 	dir, err := os.MkdirTemp("", "topazlab")
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	defer os.RemoveAll(dir)
-	list, err := discoveryserver.Start()
+	discovery, err := discoveryserver.Start()
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	defer list.Close()
-	s := &scene{length: time.Duration(n) * time.Second / time.Duration(o.Rate)}
+	defer discovery.Close()
+	s := &addressScene{duration: time.Duration(n) * time.Second / time.Duration(o.Rate)}
 	for i := range 4 {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: dir, JobDuration: 10 * time.Millisecond},
-			func(body []byte) error { return s.program.SendCallback(body) }, listen...)
+		h, err := host.Start(
+			host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: dir, JobDuration: 10 * time.Millisecond},
+			func(body []byte) error { return s.program.SendCallback(body) }, listenAddresses...)
 		if err != nil {
 			return nil, nil, 0, err
 		}
@@ -256,67 +276,69 @@
 		s.hosts = append(s.hosts, h)
 		addresses := h.Addresses()
 		if single {
-			addresses = addresses[doorFour : doorFour+1]
+			addresses = addresses[ipv4Endpoint : ipv4Endpoint+1]
 		}
-		list.Update(discoveryserver.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small", Share: 1})
+		discovery.Update(discoveryserver.Entry{Host: h.Name(), Addresses: addresses, Site: "hall-a", Class: "small",
+			Share: 1})
 	}
-	if c.begin != nil {
-		c.begin(s)
+	if testCase.setUp != nil {
+		testCase.setUp(s)
 	}
-	s.program, err = program.Start(program.Options{ProgramPath: o.ProgramPath, Dir: dir, Discovery: list.Address(), MaxSockets: 2048})
+	s.program, err = program.Start(program.Options{ProgramPath: o.ProgramPath, Dir: dir,
+		Discovery: discovery.Address(), MaxSockets: 2048})
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	defer s.program.Kill()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var beside sync.WaitGroup
-	if c.play != nil {
-		beside.Go(func() { c.play(ctx, s) })
+	var disruption sync.WaitGroup
+	if testCase.disrupt != nil {
+		disruption.Go(func() { testCase.disrupt(ctx, s) })
 	}
-	outcomes := load(ctx, s.program.Address(), n, o.Rate, chance)
+	outcomes := sendLoad(ctx, s.program.Address(), n, o.Rate, random)
 	cancel()
-	beside.Wait()
-	figures, err := s.program.Metrics()
+	disruption.Wait()
+	metrics, err := s.program.Metrics()
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	if len(outcomes) < n {
 		return nil, nil, 0, context.Canceled
 	}
-	return s, outcomes, figures["app_address_opened_total"] + figures["app_address_failed_total"], nil
+	return s, outcomes, metrics["app_address_opened_total"] + metrics["app_address_failed_total"], nil
 }
 
-// load hands in n messages, as a Poisson process of that rate, and waits for their answers. The classes come in the
-// shares that the operators name.
-func load(ctx context.Context, addr string, n, rate int, chance *rand.Rand) []outcome {
-	gap := distuv.Exponential{Rate: float64(rate), Src: chance}
-	to := client.New(addr, fmt.Sprintf("%08x", chance.Uint32()))
+// sendLoad sends n messages, as a Poisson process with that many a second, and waits for their final answers. The
+// shares of the classes and tenants are those that the operators state.
+func sendLoad(ctx context.Context, addr string, n, rate int, random *rand.Rand) []outcome {
+	interval := distuv.Exponential{Rate: float64(rate), Src: random}
+	dispatcher := client.New(addr, fmt.Sprintf("%08x", random.Uint32()))
 	outcomes := make([]outcome, n)
 	start := time.Now()
 	due := time.Duration(0)
 	var wait sync.WaitGroup
 	sent := 0
 	for i := range outcomes {
-		due += time.Duration(gap.Rand() * float64(time.Second))
+		due += time.Duration(interval.Rand() * float64(time.Second))
 		class, tenant := program.Classes[0], "delta-mobile"
-		if p := chance.Float64(); p > 0.87 {
+		if p := random.Float64(); p > 0.87 {
 			class = program.Classes[2]
 		} else if p > 0.53 {
 			class = program.Classes[1]
 		}
-		if chance.Float64() > 0.61 {
+		if random.Float64() > 0.61 {
 			tenant = "sinai-tel"
 		}
-		if !pause(ctx, time.Until(start.Add(due))) {
+		if !sleep(ctx, time.Until(start.Add(due))) {
 			break
 		}
 		sent++
 		at := due
 		wait.Go(func() {
 			x := &outcomes[i]
-			x.id, x.class, x.at, x.due = to.NextID(), class, at, start.Add(at)
-			x.answer = to.Do(client.Message{ID: x.id, Class: class, Tenant: tenant, Timeout: 4 * time.Second,
+			x.id, x.class, x.sendOffset, x.due = dispatcher.NextID(), class, at, start.Add(at)
+			x.answer = dispatcher.Do(client.Message{ID: x.id, Class: class, Tenant: tenant, Timeout: 4 * time.Second,
 				Body: []byte("x"), Hint: 10 * time.Millisecond})
 		})
 	}
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -26,18 +26,20 @@
 	"topazfall/internal/metrics"
 )
 
-// DNSOptions say how DNS as a source is measured.
+// DNSOptions are the settings of DNS.
 type DNSOptions struct {
-	AgentPath     string
+	AgentPath     string // the agent's binary
 	Seed          uint64
-	OutageLength  time.Duration
-	DrainMessages int // messages that are sent while the roster says that their host drains
+	OutageLength  time.Duration // how long the resolver does not answer
+	DrainMessages int           // messages sent while the discovery list (the roster) drains their host
 }
 
-// DNS measures DNS SRV as a source of hosts.
+// DNS measures DNS SRV records as a source of hosts. Progress is written to w.
 func DNS(ctx context.Context, o DNSOptions, w io.Writer) (*report.Report, error) {
-	if o.OutageLength < time.Second || o.OutageLength > 10*time.Minute || o.DrainMessages < 1 || o.DrainMessages > 100_000 {
-		return nil, fmt.Errorf("outage is %s and drains %d: want 1 s to 10 m, and 1 to 100000", o.OutageLength, o.DrainMessages)
+	if o.OutageLength < time.Second || o.OutageLength > 10*time.Minute ||
+		o.DrainMessages < 1 || o.DrainMessages > 100_000 {
+		return nil, fmt.Errorf("outage is %s and drains %d: want 1 s to 10 m, and 1 to 100000",
+			o.OutageLength, o.DrainMessages)
 	}
 	dir, err := os.MkdirTemp("", "topazlab")
 	if err != nil {
@@ -45,26 +47,26 @@
 	}
 	defer os.RemoveAll(dir)
 	r := report.New("dns", o.Seed, "measurement", "figure", "unit")
-	chance := rand.New(rand.NewPCG(o.Seed, 0))
+	random := rand.New(rand.NewPCG(o.Seed, 0))
 	for _, part := range []struct {
 		name string
 		run  func(context.Context, DNSOptions, string, *rand.Rand, *report.Report) error
 	}{{"merging", measureMerge}, {"a change", measureChange}, {"an outage", measureOutage},
 		{"drains against DNS", measureDrains},
-		{"queries", measureQueries}, {"2,000 hosts", measureMany}} {
+		{"queries", measureQueries}, {"2,000 hosts", measureManyHosts}} {
 		fmt.Fprintln(w, part.name)
-		if err := part.run(ctx, o, dir, chance, r); err != nil {
+		if err := part.run(ctx, o, dir, random, r); err != nil {
 			return nil, fmt.Errorf("%s: %w", part.name, err)
 		}
 	}
 	return r, nil
 }
 
-// dnsScene is an agent with stand-ins.
+// dnsScene is an agent and its stand-ins: a resolver and hosts.
 type dnsScene struct {
 	dns   *resolver.Resolver
 	hosts []*host.Host
-	agent *instance
+	agent *agentInstance
 }
 
 func (s *dnsScene) close() {
@@ -77,7 +79,7 @@
 	s.dns.Close()
 }
 
-// agentSetup says how the agent of a scene is started.
+// agentSetup holds what the agent of a scene is started with.
 type agentSetup struct {
 	program string // path of the agent's binary
 	dir     string // folder for its state
@@ -85,8 +87,8 @@
 	roster  string // address of discovery, or "none"
 }
 
-// setDNS starts an agent that follows a name under which all of so many workers are listed, with a lifetime in seconds.
-func setDNS(ctx context.Context, setup agentSetup, workers int, lifetime uint32) (*dnsScene, error) {
+// newDNSScene starts so many workers, a resolver that lists them with a TTL in seconds, and an agent that follows it.
+func newDNSScene(ctx context.Context, setup agentSetup, workers int, ttl uint32) (*dnsScene, error) {
 	dns, err := resolver.Start()
 	if err != nil {
 		return nil, err
@@ -101,10 +103,10 @@
 		}
 		s.hosts = append(s.hosts, h)
 	}
-	s.publish(lifetime, s.hosts...)
+	s.publish(ttl, s.hosts...)
 	if s.agent, err = startAgent(setup.program, setup.dir, setup.name, setup.roster); err == nil {
-		if err = s.agent.follow(ctx, dns); err == nil {
-			err = s.agent.up(ctx, workers)
+		if err = s.agent.followResolver(ctx, dns); err == nil {
+			err = s.agent.awaitHosts(ctx, workers)
 		}
 	}
 	if err != nil {
@@ -114,15 +116,17 @@
 	return s, nil
 }
 
+// publish makes the resolver list these hosts and no others.
 func (s *dnsScene) publish(ttl uint32, hosts ...*host.Host) {
 	var list []resolver.Target
 	for _, h := range hosts {
-		list = append(list, targetOf(h))
+		list = append(list, newTarget(h))
 	}
-	s.dns.SetRecords(jobs, ttl, list...)
+	s.dns.SetRecords(serviceName, ttl, list...)
 }
 
-// measureMerge merges 2,000 hosts of which 500 are replaced, and how long the dispatch goroutine is kept from others.
+// measureMerge measures how long it takes to merge 2,000 hosts of which 500 are replaced, and how long the dispatch
+// goroutine is busy with each portion of the result.
 func measureMerge(_ context.Context, _ DNSOptions, _ string, _ *rand.Rand, r *report.Report) error {
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Zone: "z", Zones: []string{"z"}, Tick: 4000,
 		Classes: []topazfall.Class{{Name: "a", Deadline: 60e6, Aim: 60e6}},
@@ -130,10 +134,11 @@
 	if err != nil {
 		return err
 	}
-	go core.Run(nothing{}, nothing{})
-	portions := &timed{Core: core, took: hdrhistogram.New(1, 60_000_000, 3)}
-	l := hostlist.New(portions)
-	l.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100, Zone: "z", Kind: "k"}})
+	go core.Run(noopPorts{}, noopPorts{})
+	timed := &timedCore{Core: core, portionTimes: hdrhistogram.New(1, 60_000_000, 3)}
+	hosts := hostlist.New(timed)
+	hosts.Configure(sources.Defaults,
+		map[string]sources.NameSettings{serviceName: {WeightUnit: 100, Zone: "z", Kind: "k"}})
 	list := func(from int) (records []sources.Record) {
 		for i := from; i < from+2000; i++ {
 			a, err := addresses.Parse(fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255))
@@ -144,86 +149,91 @@
 		}
 		return records
 	}
-	l.ApplyAnswer(jobs, list(0))
-	m := sources.New(sources.Defaults)
-	m.Configure(sources.Defaults, map[string]sources.NameSettings{jobs: {WeightUnit: 100}})
-	m.HandleAnswer(1, jobs, list(0))
-	m.Merge(1)
-	portions.took.Reset() // the first time all are new, and there is nobody to wait
-	var whole time.Duration
+	hosts.ApplyAnswer(serviceName, list(0))
+	merger := sources.New(sources.Defaults)
+	merger.Configure(sources.Defaults, map[string]sources.NameSettings{serviceName: {WeightUnit: 100}})
+	merger.HandleAnswer(1, serviceName, list(0))
+	merger.Merge(1)
+	timed.portionTimes.Reset() // at first all hosts are new, and no messages could be waiting
+	var longestApply time.Duration
 	var merges []time.Duration
 	for i := range 10 {
 		next := list(500 * (i + 1))
-		began := time.Now()
-		m.HandleAnswer(2, jobs, next)
-		m.Merge(2)
-		merges = append(merges, time.Since(began))
-		began = time.Now()
-		l.ApplyAnswer(jobs, next)
-		whole = max(whole, time.Since(began))
+		start := time.Now()
+		merger.HandleAnswer(2, serviceName, next)
+		merger.Merge(2)
+		merges = append(merges, time.Since(start))
+		start = time.Now()
+		hosts.ApplyAnswer(serviceName, next)
+		longestApply = max(longestApply, time.Since(start))
 	}
-	l.Close()
+	hosts.Close()
 	slices.Sort(merges)
 	merge := merges[len(merges)/2]
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	r.AddRow("merging 2,000 hosts, 500 replaced, median of 10", ms(merge), "ms")
-	r.AddRow("until the dispatch goroutine has all of it", ms(whole), "ms")
-	busy := func(q float64) float64 { return float64(portions.took.ValueAtQuantile(q)) / 1000 }
-	r.AddRow("a portion keeps the dispatch goroutine from others, median", busy(50), "ms")
-	r.AddRow("p99.9", busy(99.9), "ms")
-	r.AddRow("worst, with what the machine adds", busy(100), "ms")
+	r.AddRow("until the dispatch goroutine has all of it", ms(longestApply), "ms")
+	portionMillis := func(q float64) float64 { return float64(timed.portionTimes.ValueAtQuantile(q)) / 1000 }
+	r.AddRow("a portion keeps the dispatch goroutine from others, median", portionMillis(50), "ms")
+	r.AddRow("p99.9", portionMillis(99.9), "ms")
+	r.AddRow("worst, with what the machine adds", portionMillis(100), "ms")
 	r.AddBound("merging 2,000 hosts", ms(merge), 10, "ms")
-	r.AddBound("delay of the dispatch goroutine, p99.9", busy(99.9), 1, "ms")
+	r.AddBound("delay of the dispatch goroutine, p99.9", portionMillis(99.9), 1, "ms")
 	return nil
 }
 
-// timed is a core, and how long it was busy with a portion of the list: for so long a message may wait.
-type timed struct {
+// timedCore is a dispatch core that measures how long it is busy with each portion of the list, which is how long a
+// message may have to wait.
+type timedCore struct {
 	*dispatch.Core
-	began time.Time
-	took  *hdrhistogram.Histogram // microseconds
+	portionStart time.Time
+	portionTimes *hdrhistogram.Histogram // microseconds
 }
 
-func (t *timed) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
-	t.began = time.Now()
+// ApplyList starts the clock and applies a portion of the list.
+func (t *timedCore) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
+	t.portionStart = time.Now()
 	t.Core.ApplyList(kind, entries)
 }
 
-func (t *timed) Sync() {
+// Sync waits until the portion is applied, and records its time.
+func (t *timedCore) Sync() {
 	t.Core.Sync()
-	t.took.RecordValue(time.Since(t.began).Microseconds())
+	t.portionTimes.RecordValue(time.Since(t.portionStart).Microseconds())
 }
 
-type nothing struct{}
+// noopPorts implements dispatch.Upstream and dispatch.Discovery, and does nothing.
+type noopPorts struct{}
 
-func (nothing) Send(*exchange.Relay)                     {}
-func (nothing) Cancel(*exchange.Relay)                   {}
-func (nothing) Probe(*exchange.Host)                     {}
-func (nothing) SetAddresses(string, []addresses.Address) {}
-func (nothing) Follow()                                  {}
-func (nothing) Fetch()                                   {}
+func (noopPorts) Send(*exchange.Relay)                     {}
+func (noopPorts) Cancel(*exchange.Relay)                   {}
+func (noopPorts) Probe(*exchange.Host)                     {}
+func (noopPorts) SetAddresses(string, []addresses.Address) {}
+func (noopPorts) Follow()                                  {}
+func (noopPorts) Fetch()                                   {}
 
-// measureChange replaces the only host, and waits for the first message at the other.
-func measureChange(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "change", "none"}, 2, 1)
+// measureChange replaces the only listed host by another one, and measures how long it takes until that one gets the
+// messages.
+func measureChange(ctx context.Context, o DNSOptions, dir string, random *rand.Rand, r *report.Report) error {
+	s, err := newDNSScene(ctx, agentSetup{o.AgentPath, dir, "change", "none"}, 2, 1)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	ctx, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
-	wait.Go(func() { load(ctx, s.agent.Address(), 4000, 300, chance) })
+	wait.Go(func() { sendLoad(ctx, s.agent.Address(), 4000, 300, random) })
 	worst := time.Duration(0)
 	for i := range 5 {
-		if !pause(ctx, time.Second) {
+		if !sleep(ctx, time.Second) {
 			break
 		}
 		h := s.hosts[i%2]
 		s.publish(1, h)
 		changed := time.Now()
-		pause(ctx, 50*time.Millisecond)
-		for s.elsewhere(h) && time.Since(changed) < 5*time.Second {
-			pause(ctx, time.Millisecond)
+		sleep(ctx, 50*time.Millisecond)
+		for s.sendsElsewhere(h) && time.Since(changed) < 5*time.Second {
+			sleep(ctx, time.Millisecond)
 		}
 		worst = max(worst, time.Since(changed))
 	}
@@ -234,20 +244,20 @@
 	return nil
 }
 
-// elsewhere tells whether messages still go elsewhere than to one host.
-func (s *dnsScene) elsewhere(only *host.Host) bool {
-	newest := only
+// sendsElsewhere reports whether the last message went to another host than this one.
+func (s *dnsScene) sendsElsewhere(only *host.Host) bool {
+	mostRecent := only
 	for _, h := range s.hosts {
-		if h.LastArrival().After(newest.LastArrival()) {
-			newest = h
+		if h.LastArrival().After(mostRecent.LastArrival()) {
+			mostRecent = h
 		}
 	}
-	return newest != only
+	return mostRecent != only
 }
 
-// measureOutage keeps every resolver silent under load.
-func measureOutage(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "outage", "none"}, 3, 1)
+// measureOutage counts the messages that are not served while the resolver does not answer.
+func measureOutage(ctx context.Context, o DNSOptions, dir string, random *rand.Rand, r *report.Report) error {
+	s, err := newDNSScene(ctx, agentSetup{o.AgentPath, dir, "outage", "none"}, 3, 1)
 	if err != nil {
 		return err
 	}
@@ -255,7 +265,7 @@
 	s.dns.SetFault(resolver.Timeout)
 	const rate = 100
 	lost := 0
-	outcomes := load(ctx, s.agent.Address(), int(o.OutageLength.Seconds()*rate), rate, chance)
+	outcomes := sendLoad(ctx, s.agent.Address(), int(o.OutageLength.Seconds()*rate), rate, random)
 	for _, x := range outcomes {
 		if x.answer.Status != 200 {
 			lost++
@@ -267,15 +277,16 @@
 	return nil
 }
 
-// measureDrains lets the roster drain and take away a host that DNS keeps listing, under load.
-func measureDrains(ctx context.Context, o DNSOptions, dir string, chance *rand.Rand, r *report.Report) error {
-	list, err := discoveryserver.Start()
+// measureDrains measures how long messages still go to a host after the discovery list (the roster) has drained or
+// removed it, while DNS keeps listing it.
+func measureDrains(ctx context.Context, o DNSOptions, dir string, random *rand.Rand, r *report.Report) error {
+	discovery, err := discoveryserver.Start()
 	if err != nil {
 		return err
 	}
-	defer list.Close()
-	list.Update()
-	s, err := setDNS(ctx, agentSetup{o.AgentPath, dir, "drains", list.Address()}, 1, 0)
+	defer discovery.Close()
+	discovery.Update()
+	s, err := newDNSScene(ctx, agentSetup{o.AgentPath, dir, "drains", discovery.Address()}, 1, 0)
 	if err != nil {
 		return err
 	}
@@ -288,29 +299,29 @@
 	const rate = 1000
 	sent, late, worst := 0, 0, time.Duration(0)
 	for round := 0; sent < o.DrainMessages; round++ {
-		var told time.Time
-		var telling sync.WaitGroup
-		telling.Go(func() {
-			pause(ctx, 200*time.Millisecond) // while messages are on their way
-			told = time.Now()
-			list.Update(entry([]string{"draining", "removed"}[round%2]))
+		var notifiedAt time.Time
+		var notifying sync.WaitGroup
+		notifying.Go(func() {
+			sleep(ctx, 200*time.Millisecond) // so that messages are in flight
+			notifiedAt = time.Now()
+			discovery.Update(entry([]string{"draining", "removed"}[round%2]))
 		})
-		outcomes := load(ctx, s.agent.Address(), 2*rate, rate, chance)
-		telling.Wait()
+		outcomes := sendLoad(ctx, s.agent.Address(), 2*rate, rate, random)
+		notifying.Wait()
 		sent += len(outcomes)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		for _, x := range outcomes {
 			for _, seen := range s.hosts[0].Arrivals(x.id) {
-				since := seen.At.Sub(told)
+				since := seen.At.Sub(notifiedAt)
 				if worst = max(worst, since); since > 500*time.Millisecond {
 					late++
 				}
 			}
 		}
-		list.Update(entry("up"))
-		if err := s.agent.up(ctx, 1); err != nil {
+		discovery.Update(entry("up"))
+		if err := s.agent.awaitHosts(ctx, 1); err != nil {
 			return err
 		}
 	}
@@ -320,24 +331,24 @@
 	return nil
 }
 
-// measureQueries counts what 1, 8 and 48 dispatchers ask a resolver.
+// measureQueries counts the queries that a resolver gets from 1, 8 and 48 agents.
 func measureQueries(ctx context.Context, o DNSOptions, dir string, _ *rand.Rand, r *report.Report) error {
-	const life = 2
-	const length = 12 * time.Second
+	const ttl = 2 // seconds
+	const duration = 12 * time.Second
 	for _, n := range []int{1, 8, 48} {
 		dns, err := resolver.Start()
 		if err != nil {
 			return err
 		}
-		dns.SetRecords(jobs, life, resolver.Target{Host: "w.example", Port: 9, A: []string{"127.0.0.1"}})
-		var agents []*instance
+		dns.SetRecords(serviceName, ttl, resolver.Target{Host: "w.example", Port: 9, A: []string{"127.0.0.1"}})
+		var agents []*agentInstance
 		var mu sync.Mutex
 		var starting sync.WaitGroup
 		for i := range n {
 			starting.Go(func() {
 				a, startErr := startAgent(o.AgentPath, dir, fmt.Sprintf("q%d-%d", n, i), "none")
 				if startErr == nil {
-					startErr = a.follow(ctx, dns)
+					startErr = a.followResolver(ctx, dns)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -350,9 +361,9 @@
 			})
 		}
 		starting.Wait()
-		before := dns.QueryCount(jobs, "SRV")
-		pause(ctx, length)
-		asked := dns.QueryCount(jobs, "SRV") - before
+		before := dns.QueryCount(serviceName, "SRV")
+		sleep(ctx, duration)
+		asked := dns.QueryCount(serviceName, "SRV") - before
 		for _, a := range agents {
 			a.Kill()
 		}
@@ -360,17 +371,17 @@
 		if err != nil {
 			return err
 		}
-		share := float64(asked) / float64(n) / (length.Seconds() / life)
-		r.AddRow(fmt.Sprintf("queries a second of %d dispatchers, lifetime %d s", n, life),
-			float64(asked)/length.Seconds(), "1/s")
+		share := float64(asked) / float64(n) / (duration.Seconds() / ttl)
+		r.AddRow(fmt.Sprintf("queries a second of %d dispatchers, lifetime %d s", n, ttl),
+			float64(asked)/duration.Seconds(), "1/s")
 		r.AddRow(fmt.Sprintf("queries of %d dispatchers for each name, lifetime and dispatcher", n), share, "")
 		r.AddBound(fmt.Sprintf("queries of %d for each name, lifetime and dispatcher", n), share, 1.2, "")
 	}
 	return nil
 }
 
-// measureMany runs one agent with 2,000 hosts at a lifetime of 5 s.
-func measureMany(ctx context.Context, o DNSOptions, dir string, _ *rand.Rand, r *report.Report) error {
+// measureManyHosts measures the processor time and memory of an agent with 2,000 hosts at a TTL of 5 s.
+func measureManyHosts(ctx context.Context, o DNSOptions, dir string, _ *rand.Rand, r *report.Report) error {
 	dns, err := resolver.Start()
 	if err != nil {
 		return err
@@ -381,30 +392,30 @@
 		list = append(list, resolver.Target{Host: fmt.Sprintf("h%d.w", i), Port: 9, Weight: 1,
 			A: []string{fmt.Sprintf("127.9.%d.%d", i/250, i%250+1)}})
 	}
-	dns.SetRecords(jobs, 5, list...)
+	dns.SetRecords(serviceName, 5, list...)
 	a, err := startAgent(o.AgentPath, dir, "many", "none")
 	if err != nil {
 		return err
 	}
 	defer a.Kill()
-	if err := a.follow(ctx, dns); err != nil {
+	if err := a.followResolver(ctx, dns); err != nil {
 		return err
 	}
-	if err := a.up(ctx, 2000); err != nil {
+	if err := a.awaitHosts(ctx, 2000); err != nil {
 		return err
 	}
-	const length = 15 * time.Second
+	const duration = 15 * time.Second
 	before, err := program.ReadUsage(a.PID())
 	if err != nil {
 		return err
 	}
-	pause(ctx, length)
+	sleep(ctx, duration)
 	after, err := program.ReadUsage(a.PID())
 	if err != nil {
 		return err
 	}
 	memory := float64(after.ResidentBytes) / (1 << 20)
-	r.AddRow("processor time with 2,000 hosts, lifetime 5 s", (after.CPU-before.CPU).Seconds()/length.Seconds()*100,
+	r.AddRow("processor time with 2,000 hosts, lifetime 5 s", (after.CPU-before.CPU).Seconds()/duration.Seconds()*100,
 		"% of a core")
 	r.AddRow("resident memory with 2,000 hosts", memory, "MB")
 	return nil
--- a/internal/lab/measure/dns_test.go
+++ b/internal/lab/measure/dns_test.go
@@ -8,7 +8,7 @@
 	"topazfall/internal/lab/report"
 )
 
-// The measurement of merging runs, and its figures have their bars; whether those hold is for a machine that is quiet.
+// The measurement of merging runs, and its two bounds have values; whether they are met depends on an idle machine.
 func TestMeasureMerge(t *testing.T) {
 	r := report.New("dns", 1, "measurement", "figure", "unit")
 	require.NoError(t, measureMerge(t.Context(), DNSOptions{}, t.TempDir(), nil, r))
--- a/internal/lab/measure/settings.go
+++ b/internal/lab/measure/settings.go
@@ -17,14 +17,15 @@
 	"topazfall/internal/lab/report"
 )
 
-// SettingsOptions say how the settings are measured.
+// SettingsOptions are the settings of Settings.
 type SettingsOptions struct {
-	AgentPath string
+	AgentPath string // the agent's binary
 	Seed      uint64
-	Kills     int
+	Kills     int // how often the agent is killed
 }
 
-// Settings measures the settings of an agent: many writers at once, and kills in the middle of taking one.
+// Settings measures how an agent applies settings: from many writers at once, and when it is killed while it saves a
+// revision. Progress is written to w.
 func Settings(ctx context.Context, o SettingsOptions, w io.Writer) (*report.Report, error) {
 	if o.Kills < 1 || o.Kills > 10_000 {
 		return nil, fmt.Errorf("kills is %d, not within 1 to 10000", o.Kills)
@@ -34,29 +35,30 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	list, err := discoveryserver.Start()
+	discovery, err := discoveryserver.Start()
 	if err != nil {
 		return nil, err
 	}
-	defer list.Close()
-	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	defer discovery.Close()
+	discovery.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	r := report.New("settings", o.Seed, "measurement", "figure", "unit")
 	fmt.Fprintln(w, "32 writers and 8 watchers")
-	if err := measureWriters(ctx, o, dir, list.Address(), r); err != nil {
+	if err := measureWriters(ctx, o, dir, discovery.Address(), r); err != nil {
 		return nil, err
 	}
 	fmt.Fprintf(w, "%d kills\n", o.Kills)
-	return r, measureKills(ctx, o, dir, list.Address(), r, w)
+	return r, measureKills(ctx, o, dir, discovery.Address(), r, w)
 }
 
-// numbered is a document that tells which revision it is to be: two fields that must agree.
-func numbered(n uint64) *pb.Settings {
+// numberedSettings returns settings for revision n, with that number in two fields, so that a mixture of two revisions
+// shows.
+func numberedSettings(n uint64) *pb.Settings {
 	return &pb.Settings{Sources: &pb.Sources{Hold: durationpb.New(time.Duration(n) * time.Millisecond)},
 		Addresses: &pb.Addresses{Calm: durationpb.New(time.Duration(n) * time.Millisecond)}}
 }
 
-// whole tells whether a revision is the document of its number, and no mixture.
-func whole(r *pb.Revision) bool {
+// isConsistent reports whether a revision holds the settings of its number, and no mixture of two revisions.
+func isConsistent(r *pb.Revision) bool {
 	if r.GetNumber() == 0 {
 		return true
 	}
@@ -65,18 +67,20 @@
 		r.GetSettings().GetAddresses().GetCalm().AsDuration() == want
 }
 
+// measureWriters lets 32 writers apply revisions at the same time, and 8 watchers check that each sees every revision
+// once and in order.
 func measureWriters(ctx context.Context, o SettingsOptions, dir, roster string, r *report.Report) error {
 	a, err := startAgent(o.AgentPath, dir, "writers", roster)
 	if err != nil {
 		return err
 	}
 	defer a.Kill()
-	const writers, each, watchers = 32, 10, 8
+	const writers, perWriter, watchers = 32, 10, 8 // perWriter: revisions
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	var writing, watching sync.WaitGroup
 	var mu sync.Mutex
-	turned, odd, missed := 0, 0, 0
+	rejected, inconsistent, missed := 0, 0, 0
 	for range watchers {
 		stream, err := a.API.Watch(ctx, connect.NewRequest(&pb.WatchRequest{}))
 		if err != nil {
@@ -85,90 +89,92 @@
 		watching.Go(func() {
 			defer stream.Close()
 			last := uint64(0)
-			for last < writers*each && stream.Receive() {
-				n := stream.Msg().Revision
+			for last < writers*perWriter && stream.Receive() {
+				revision := stream.Msg().Revision
 				mu.Lock()
-				if last != 0 && n.Number != last+1 {
+				if last != 0 && revision.Number != last+1 {
 					missed++
 				}
-				if !whole(n) {
-					odd++
+				if !isConsistent(revision) {
+					inconsistent++
 				}
 				mu.Unlock()
-				last = n.Number
+				last = revision.Number
 			}
-			if last != writers*each {
+			if last != writers*perWriter {
 				mu.Lock()
 				missed++
 				mu.Unlock()
 			}
 		})
 	}
-	began := time.Now()
+	start := time.Now()
 	for range writers {
 		writing.Go(func() {
-			for done := 0; done < each && ctx.Err() == nil; {
-				now, err := a.API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
+			for done := 0; done < perWriter && ctx.Err() == nil; {
+				current, err := a.API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 				if err != nil {
 					return
 				}
-				from := now.Msg.Revision.GetNumber()
-				next := &pb.ApplyRequest{From: from, Settings: numbered(from + 1)}
+				from := current.Msg.Revision.GetNumber()
+				next := &pb.ApplyRequest{From: from, Settings: numberedSettings(from + 1)}
 				if _, err := a.API.Apply(ctx, connect.NewRequest(next)); err == nil {
 					done++
 					continue
 				}
 				mu.Lock()
-				turned++
+				rejected++
 				mu.Unlock()
 			}
 		})
 	}
 	writing.Wait()
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	watching.Wait()
-	r.AddRow("revisions taken of 32 writers", writers*each, "")
-	r.AddRow("turned down, as another came between", turned, "")
-	r.AddRow("revisions a second", float64(writers*each)/took.Seconds(), "1/s")
+	r.AddRow("revisions taken of 32 writers", writers*perWriter, "")
+	r.AddRow("turned down, as another came between", rejected, "")
+	r.AddRow("revisions a second", float64(writers*perWriter)/elapsed.Seconds(), "1/s")
 	r.AddBound("revisions that a watcher did not see once and in order", float64(missed), 0, "")
-	r.AddBound("revisions that are a mixture", float64(odd), 0, "")
+	r.AddBound("revisions that are a mixture", float64(inconsistent), 0, "")
 	return nil
 }
 
+// measureKills kills the agent at random times while revisions are applied, starts it again, and checks that it lost no
+// acknowledged revision.
 func measureKills(ctx context.Context, o SettingsOptions, dir, roster string, r *report.Report, w io.Writer) error {
-	chance := rand.New(rand.NewPCG(o.Seed, 1))
-	acknowledged, lost, mixed, ahead, slowest := uint64(0), 0, 0, 0, time.Duration(0)
+	random := rand.New(rand.NewPCG(o.Seed, 1))
+	acknowledged, lost, inconsistent, ahead, slowest := uint64(0), 0, 0, 0, time.Duration(0)
 	for i := range o.Kills {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		began := time.Now()
+		start := time.Now()
 		a, err := startAgent(o.AgentPath, dir, "kills", roster)
 		if err != nil {
 			return fmt.Errorf("after kill %d: %w", i, err)
 		}
-		slowest = max(slowest, time.Since(began))
+		slowest = max(slowest, time.Since(start))
 		got, err := a.API.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
 		if err != nil {
 			a.Kill()
 			return err
 		}
-		now := got.Msg.Revision
+		current := got.Msg.Revision
 		switch {
-		case now.GetNumber() < acknowledged:
+		case current.GetNumber() < acknowledged:
 			lost++
-		case now.GetNumber() == acknowledged+1:
-			ahead++ // taken, and not yet acknowledged
-		case now.GetNumber() > acknowledged+1:
-			mixed++
+		case current.GetNumber() == acknowledged+1:
+			ahead++ // saved, but not acknowledged before the kill
+		case current.GetNumber() > acknowledged+1:
+			inconsistent++
 		}
-		if !whole(now) {
-			mixed++
+		if !isConsistent(current) {
+			inconsistent++
 		}
-		acknowledged = now.GetNumber()
-		kill := time.AfterFunc(time.Duration(chance.Int64N(int64(20*time.Millisecond))), a.Kill)
+		acknowledged = current.GetNumber()
+		kill := time.AfterFunc(time.Duration(random.Int64N(int64(20*time.Millisecond))), a.Kill)
 		for {
-			next := &pb.ApplyRequest{From: acknowledged, Settings: numbered(acknowledged + 1)}
+			next := &pb.ApplyRequest{From: acknowledged, Settings: numberedSettings(acknowledged + 1)}
 			if _, err := a.API.Apply(ctx, connect.NewRequest(next)); err != nil {
 				break
 			}
@@ -176,7 +182,7 @@
 		}
 		if kill.Stop() {
 			a.Kill()
-			return fmt.Errorf("kill %d: an agent that was not killed takes nothing", i)
+			return fmt.Errorf("kill %d: the agent rejected a revision before it was killed", i)
 		}
 		a.Kill()
 		if (i+1)%50 == 0 {
@@ -188,6 +194,6 @@
 	r.AddRow("found taken and not yet acknowledged", ahead, "")
 	r.AddRow("slowest start", slowest.Seconds()*1000, "ms")
 	r.AddBound("acknowledged revisions lost", float64(lost), 0, "")
-	r.AddBound("snapshots that are neither the one before nor after", float64(mixed), 0, "")
+	r.AddBound("snapshots that are neither the one before nor after", float64(inconsistent), 0, "")
 	return nil
 }
--- a/internal/lab/resolver/resolver.go
+++ b/internal/lab/resolver/resolver.go
@@ -1,5 +1,5 @@
 // Package resolver is a stand-in for a DNS resolver: it answers from records that it is given, over UDP and TCP on
-// loopback, and fails on cue.
+// loopback, and can be given faults.
 package resolver
 
 import (
@@ -14,37 +14,38 @@
 	"github.com/miekg/dns"
 )
 
-// Fault is how it behaves.
+// Fault is the way in which the resolver fails; Answer is none.
 type Fault int
 
 // The faults.
 const (
-	Answer Fault = iota
-	Timeout
-	Late // answers after 300 ms
-	ServFail
-	NXDomain        // with the zone's word for it
-	Empty           // no records, with the zone's word
-	EmptyWithoutSOA // no records, and no word
-	WrongID
-	WrongQuestion
-	Garbage
-	TruncatedName // the message ends within a name
-	PointerLoop   // a name that points to itself
-	AliasLoop     // aliases in a circle
-	Truncate
-	TruncateTCPSlow   // and TCP does not answer
-	TruncateTCPRefuse // and TCP closes
-	FormErr           // to all that has EDNS0
+	Answer            Fault = iota
+	Timeout                 // no reply
+	Late                    // replies after lateDelay
+	ServFail                // the response code SERVFAIL
+	NXDomain                // the response code NXDOMAIN, with an SOA record
+	Empty                   // no records but an SOA record
+	EmptyWithoutSOA         // no records, and no SOA record either
+	WrongID                 // another message ID than the query's
+	WrongQuestion           // another name in the question section
+	Garbage                 // two messages that are not valid DNS
+	TruncatedName           // the message ends within a name
+	PointerLoop             // a compressed name that points to itself
+	AliasLoop               // CNAME records that form a loop
+	Truncate                // UDP replies are truncated
+	TruncateTCPSlow         // the same, and TCP closes without a reply after 3 s
+	TruncateTCPRefuse       // the same, and TCP closes without a reply at once
+	FormErr                 // the response code FORMERR for queries with EDNS0
 )
 
-var faults = [...]string{"answer", "timeout", "late", "servfail", "nxdomain", "empty", "silent", "wrong-id",
+var faultNames = [...]string{"answer", "timeout", "late", "servfail", "nxdomain", "empty", "silent", "wrong-id",
 	"wrong-question", "garbage", "cut-name", "loop", "circle", "truncate", "truncate-tcp-slow", "truncate-tcp-refuse",
 	"formerr"}
 
-func (f Fault) String() string { return faults[f] }
+// String returns the name that reports use.
+func (f Fault) String() string { return faultNames[f] }
 
-// Target is one SRV record.
+// Target is an SRV record and the addresses of its host.
 type Target struct {
 	Host             string
 	Port             uint16
@@ -52,27 +53,28 @@
 	A, AAAA          []string
 }
 
-const lateTime = 300 * time.Millisecond
+// lateDelay is the delay of a reply under the fault Late.
+const lateDelay = 300 * time.Millisecond
 
-// Resolver is a running stand-in.
+// Resolver is a running stand-in for a DNS resolver.
 type Resolver struct {
 	udp net.PacketConn
 	tcp net.Listener
 
-	mu      sync.Mutex
-	fault   Fault
-	names   map[string][]Target
-	ttl     map[string]uint32
-	alias   map[string]string
-	places  map[string]Target
-	bare    bool // no additional section
-	queries map[string]int
-	overTCP int
-	moments []time.Time
-	conns   map[net.Conn]bool
+	mu             sync.Mutex
+	fault          Fault
+	srvRecords     map[string][]Target
+	ttls           map[string]uint32 // seconds, by name
+	aliases        map[string]string // CNAME targets, by name
+	targets        map[string]Target // by host name
+	omitAdditional bool              // replies have no additional section
+	queryCounts    map[string]int    // by type and name, such as "SRV a.example."
+	tcpQueries     int
+	queryTimes     []time.Time
+	conns          map[net.Conn]bool
 }
 
-// Start listens on a free port of 127.0.0.1, over UDP and TCP.
+// Start returns a resolver that listens on a free port of 127.0.0.1, over UDP and TCP.
 func Start() (*Resolver, error) {
 	for range 50 {
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,24 +82,24 @@
 			return nil, err
 		}
 		udp, err := net.ListenPacket("udp", tcp.Addr().String())
-		if err != nil { // the port is somebody else's there
+		if err != nil { // another process has this UDP port
 			tcp.Close()
 			continue
 		}
-		r := &Resolver{udp: udp, tcp: tcp, names: map[string][]Target{}, ttl: map[string]uint32{},
-			alias: map[string]string{}, places: map[string]Target{}, queries: map[string]int{},
+		r := &Resolver{udp: udp, tcp: tcp, srvRecords: map[string][]Target{}, ttls: map[string]uint32{},
+			aliases: map[string]string{}, targets: map[string]Target{}, queryCounts: map[string]int{},
 			conns: map[net.Conn]bool{}}
 		go r.serveUDP()
 		go r.serveTCP()
 		return r, nil
 	}
-	return nil, fmt.Errorf("no port is free for UDP and TCP")
+	return nil, fmt.Errorf("no port of 127.0.0.1 is free for both UDP and TCP")
 }
 
-// Address is where it listens.
+// Address returns the resolver's address.
 func (r *Resolver) Address() string { return r.tcp.Addr().String() }
 
-// Close ends it.
+// Close closes the resolver's sockets and connections.
 func (r *Resolver) Close() {
 	r.udp.Close()
 	r.tcp.Close()
@@ -108,59 +110,59 @@
 	}
 }
 
-// SetFault makes it behave so from now on.
-func (r *Resolver) SetFault(f Fault) {
+// SetFault sets the fault for all later queries.
+func (r *Resolver) SetFault(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = f
+	r.fault = fault
 }
 
-// OmitAdditional leaves the additional section out.
-func (r *Resolver) OmitAdditional(bare bool) {
+// OmitAdditional sets whether replies come without an additional section.
+func (r *Resolver) OmitAdditional(omit bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bare = bare
+	r.omitAdditional = omit
 }
 
-// SetRecords gives a name its records.
+// SetRecords sets the SRV records of a name, and the address records of their hosts. The TTL is in seconds.
 func (r *Resolver) SetRecords(name string, ttl uint32, targets ...Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := strings.ToLower(dns.Fqdn(name))
-	r.names[key], r.ttl[key] = targets, ttl
+	r.srvRecords[key], r.ttls[key] = targets, ttl
 	for _, t := range targets {
 		host := strings.ToLower(dns.Fqdn(t.Host))
-		r.places[host], r.ttl[host] = t, ttl
+		r.targets[host], r.ttls[host] = t, ttl
 	}
 }
 
-// SetAlias makes a name one of another.
-func (r *Resolver) SetAlias(name, of string, ttl uint32) {
+// SetAlias makes a name an alias (CNAME) of target. The TTL is in seconds.
+func (r *Resolver) SetAlias(name, target string, ttl uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := strings.ToLower(dns.Fqdn(name))
-	r.alias[key], r.ttl[key] = dns.Fqdn(of), ttl
+	r.aliases[key], r.ttls[key] = dns.Fqdn(target), ttl
 }
 
-// QueryCount is how often a name was asked for by a type, such as "SRV".
+// QueryCount returns the number of queries for a name and a record type, such as "SRV".
 func (r *Resolver) QueryCount(name, kind string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.queries[kind+" "+strings.ToLower(dns.Fqdn(name))]
+	return r.queryCounts[kind+" "+strings.ToLower(dns.Fqdn(name))]
 }
 
-// QueryTimes is when queries came.
+// QueryTimes returns when the queries arrived.
 func (r *Resolver) QueryTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.moments...)
+	return append([]time.Time(nil), r.queryTimes...)
 }
 
-// TCPQueryCount is how many queries came over TCP.
+// TCPQueryCount returns the number of queries over TCP.
 func (r *Resolver) TCPQueryCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.overTCP
+	return r.tcpQueries
 }
 
 func (r *Resolver) serveUDP() {
@@ -170,13 +172,13 @@
 		if err != nil {
 			return
 		}
-		q := new(dns.Msg)
-		if q.Unpack(buf[:n]) != nil || len(q.Question) != 1 {
+		query := new(dns.Msg)
+		if query.Unpack(buf[:n]) != nil || len(query.Question) != 1 {
 			continue
 		}
 		go func() {
-			for _, text := range r.answers(q, false) {
-				r.udp.WriteTo(text, from)
+			for _, reply := range r.respond(query, false) {
+				r.udp.WriteTo(reply, from)
 			}
 		}()
 	}
@@ -184,162 +186,164 @@
 
 func (r *Resolver) serveTCP() {
 	for {
-		c, err := r.tcp.Accept()
+		conn, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
 		r.mu.Lock()
-		r.conns[c] = true
+		r.conns[conn] = true
 		r.mu.Unlock()
 		go func() {
 			defer func() {
 				r.mu.Lock()
-				delete(r.conns, c)
+				delete(r.conns, conn)
 				r.mu.Unlock()
-				c.Close()
+				conn.Close()
 			}()
 			for {
-				var head [2]byte
-				if _, err := io.ReadFull(c, head[:]); err != nil {
+				var lengthPrefix [2]byte
+				if _, err := io.ReadFull(conn, lengthPrefix[:]); err != nil {
 					return
 				}
-				body := make([]byte, binary.BigEndian.Uint16(head[:]))
-				if _, err := io.ReadFull(c, body); err != nil {
+				body := make([]byte, binary.BigEndian.Uint16(lengthPrefix[:]))
+				if _, err := io.ReadFull(conn, body); err != nil {
 					return
 				}
-				q := new(dns.Msg)
-				if q.Unpack(body) != nil || len(q.Question) != 1 {
+				query := new(dns.Msg)
+				if query.Unpack(body) != nil || len(query.Question) != 1 {
 					return
 				}
-				list := r.answers(q, true)
-				if list == nil {
+				replies := r.respond(query, true)
+				if replies == nil {
 					return
 				}
-				for _, text := range list {
-					c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(text))), text...))
+				for _, reply := range replies {
+					conn.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(reply))), reply...))
 				}
 			}
 		}()
 	}
 }
 
-// answers are the messages that a query gets.
-func (r *Resolver) answers(q *dns.Msg, tcp bool) [][]byte {
+// respond returns the packed messages that answer a query, as the current fault has it.
+func (r *Resolver) respond(query *dns.Msg, tcp bool) [][]byte {
 	r.mu.Lock()
-	name := strings.ToLower(q.Question[0].Name)
-	kind := q.Question[0].Qtype
-	r.queries[dns.TypeToString[kind]+" "+name]++
-	r.moments = append(r.moments, time.Now())
+	name := strings.ToLower(query.Question[0].Name)
+	kind := query.Question[0].Qtype
+	r.queryCounts[dns.TypeToString[kind]+" "+name]++
+	r.queryTimes = append(r.queryTimes, time.Now())
 	if tcp {
-		r.overTCP++
+		r.tcpQueries++
 	}
-	f := r.fault
-	m := r.compose(q, name, kind)
+	fault := r.fault
+	reply := r.buildReply(query, name, kind)
 	r.mu.Unlock()
-	switch f {
+	switch fault {
 	case Timeout:
 		return nil
 	case Late:
-		time.Sleep(lateTime)
+		time.Sleep(lateDelay)
 	case ServFail:
-		m.Answer, m.Extra, m.Rcode = nil, nil, dns.RcodeServerFailure
+		reply.Answer, reply.Extra, reply.Rcode = nil, nil, dns.RcodeServerFailure
 	case NXDomain, Empty:
-		m.Answer, m.Extra, m.Ns = nil, nil, []dns.RR{soa(name)}
-		if f == NXDomain {
-			m.Rcode = dns.RcodeNameError
+		reply.Answer, reply.Extra, reply.Ns = nil, nil, []dns.RR{newSOA(name)}
+		if fault == NXDomain {
+			reply.Rcode = dns.RcodeNameError
 		}
 	case EmptyWithoutSOA:
-		m.Answer, m.Extra, m.Ns = nil, nil, nil
+		reply.Answer, reply.Extra, reply.Ns = nil, nil, nil
 	case FormErr:
-		if q.IsEdns0() != nil {
-			m.Answer, m.Extra, m.Rcode = nil, nil, dns.RcodeFormatError
+		if query.IsEdns0() != nil {
+			reply.Answer, reply.Extra, reply.Rcode = nil, nil, dns.RcodeFormatError
 		}
 	case WrongID:
-		m.Id++
+		reply.Id++
 	case WrongQuestion:
-		m.Question[0].Name = "other.example."
+		reply.Question[0].Name = "other.example."
 	case AliasLoop:
-		m.Answer = []dns.RR{cname(name, "b."+name), cname("b."+name, name)}
+		reply.Answer = []dns.RR{newCNAME(name, "b."+name), newCNAME("b."+name, name)}
 	case Truncate, TruncateTCPSlow, TruncateTCPRefuse:
 		if !tcp {
-			m.Truncated = true
-			m.Answer, m.Extra = m.Answer[:len(m.Answer)/2], nil
+			reply.Truncated = true
+			reply.Answer, reply.Extra = reply.Answer[:len(reply.Answer)/2], nil
 			break
 		}
-		if f == TruncateTCPSlow {
+		if fault == TruncateTCPSlow {
 			time.Sleep(3 * time.Second)
 		}
-		if f != Truncate {
+		if fault != Truncate {
 			return nil
 		}
 	}
-	fit(m, sizeLimit(q, tcp))
-	text, err := m.Pack()
+	fitToSize(reply, maxReplySize(query, tcp))
+	packed, err := reply.Pack()
 	if err != nil {
-		m.Answer, m.Extra, m.Rcode = nil, nil, dns.RcodeServerFailure
-		text, _ = m.Pack()
+		reply.Answer, reply.Extra, reply.Rcode = nil, nil, dns.RcodeServerFailure
+		packed, _ = reply.Pack()
 	}
-	switch f {
+	switch fault {
 	case Garbage:
-		return [][]byte{{1, 2, 3}, append(text[:2:2], 0xff, 0xff, 0xff)}
+		return [][]byte{{1, 2, 3}, append(packed[:2:2], 0xff, 0xff, 0xff)}
 	case TruncatedName:
-		return [][]byte{text[:len(text)-3]}
-	case PointerLoop: // the question's name is a pointer to itself
-		return [][]byte{append(text[:12:12], 0xc0, 12, 0, byte(kind), 0, 1)}
+		return [][]byte{packed[:len(packed)-3]}
+	case PointerLoop: // the question's name is a compression pointer to itself
+		return [][]byte{append(packed[:12:12], 0xc0, 12, 0, byte(kind), 0, 1)}
 	}
-	return [][]byte{text}
+	return [][]byte{packed}
 }
 
-// sizeLimit is the largest response in bytes that the sender of query q accepts.
-func sizeLimit(q *dns.Msg, tcp bool) int {
+// maxReplySize returns the largest reply in bytes that the sender of the query accepts.
+func maxReplySize(query *dns.Msg, tcp bool) int {
 	if tcp {
 		return dns.MaxMsgSize
 	}
-	if o := q.IsEdns0(); o != nil {
-		return int(o.UDPSize())
+	if edns := query.IsEdns0(); edns != nil {
+		return int(edns.UDPSize())
 	}
 	return dns.MinMsgSize
 }
 
-// fit compresses m, and drops its additional section and then further records until it has at most limit bytes.
-func fit(m *dns.Msg, limit int) {
-	m.Compress = true
-	if m.Len() <= limit {
+// fitToSize compresses a reply, and drops its additional section and then further records until it has at most limit
+// bytes.
+func fitToSize(reply *dns.Msg, limit int) {
+	reply.Compress = true
+	if reply.Len() <= limit {
 		return
 	}
-	m.Extra = nil
-	if m.Len() > limit {
-		m.Truncate(limit)
+	reply.Extra = nil
+	if reply.Len() > limit {
+		reply.Truncate(limit)
 	}
 }
 
-func soa(name string) dns.RR {
+func newSOA(name string) dns.RR {
 	return &dns.SOA{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: 60},
 		Ns: "ns.example.", Mbox: "m.example.", Minttl: 1}
 }
 
-func cname(name, of string) dns.RR {
-	return &dns.CNAME{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeCNAME, Class: dns.ClassINET, Ttl: 60}, Target: of}
+func newCNAME(name, target string) dns.RR {
+	return &dns.CNAME{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeCNAME, Class: dns.ClassINET, Ttl: 60},
+		Target: target}
 }
 
-// compose is the true answer; r.mu is held.
-func (r *Resolver) compose(q *dns.Msg, name string, kind uint16) *dns.Msg {
-	m := new(dns.Msg)
-	m.SetReply(q)
-	m.RecursionAvailable = true
+// buildReply returns the reply without any fault. The caller holds r.mu.
+func (r *Resolver) buildReply(query *dns.Msg, name string, kind uint16) *dns.Msg {
+	reply := new(dns.Msg)
+	reply.SetReply(query)
+	reply.RecursionAvailable = true
 	header := func(name string, kind uint16) dns.RR_Header {
-		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: r.ttl[strings.ToLower(name)]}
+		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: r.ttls[strings.ToLower(name)]}
 	}
 	for range 20 {
-		of, ok := r.alias[strings.ToLower(name)]
+		target, ok := r.aliases[strings.ToLower(name)]
 		if !ok {
 			break
 		}
-		m.Answer = append(m.Answer, &dns.CNAME{Hdr: header(name, dns.TypeCNAME), Target: of})
-		name = of
+		reply.Answer = append(reply.Answer, &dns.CNAME{Hdr: header(name, dns.TypeCNAME), Target: target})
+		name = target
 	}
 	name = strings.ToLower(name)
-	ips := func(host string, t Target, want uint16) (list []dns.RR) {
+	addressRecords := func(host string, t Target, want uint16) (list []dns.RR) {
 		for _, a := range t.A {
 			if want != dns.TypeAAAA {
 				list = append(list, &dns.A{Hdr: header(host, dns.TypeA), A: net.ParseIP(a)})
@@ -356,23 +360,23 @@
 	switch kind {
 	case dns.TypeSRV:
 		var targets []Target
-		targets, known = r.names[name]
+		targets, known = r.srvRecords[name]
 		for _, t := range targets {
-			m.Answer = append(m.Answer, &dns.SRV{Hdr: header(name, dns.TypeSRV), Priority: t.Priority, Weight: t.Weight,
-				Port: t.Port, Target: dns.Fqdn(t.Host)})
-			if !r.bare {
-				m.Extra = append(m.Extra, ips(dns.Fqdn(t.Host), t, 0)...)
+			reply.Answer = append(reply.Answer, &dns.SRV{Hdr: header(name, dns.TypeSRV), Priority: t.Priority,
+				Weight: t.Weight, Port: t.Port, Target: dns.Fqdn(t.Host)})
+			if !r.omitAdditional {
+				reply.Extra = append(reply.Extra, addressRecords(dns.Fqdn(t.Host), t, 0)...)
 			}
 		}
 		known = known && len(targets) > 0
 	case dns.TypeA, dns.TypeAAAA:
-		if t, ok := r.places[name]; ok {
-			list := ips(name, t, kind)
-			m.Answer, known = append(m.Answer, list...), len(list) > 0
+		if t, ok := r.targets[name]; ok {
+			list := addressRecords(name, t, kind)
+			reply.Answer, known = append(reply.Answer, list...), len(list) > 0
 		}
 	}
 	if !known {
-		m.Ns = []dns.RR{soa(name)}
+		reply.Ns = []dns.RR{newSOA(name)}
 	}
-	return m
+	return reply
 }
