--- a/internal/lab/client/connection.go
+++ b/internal/lab/client/connection.go
@@ -162,6 +162,7 @@
 	return err
 }
 
+// readAnswer reads an answer into the result. A connection that ends within the answer is io.ErrUnexpectedEOF.
 func (c *Connection) readAnswer(r *Result) error {
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
--- a/internal/lab/client/idleclients.go
+++ b/internal/lab/client/idleclients.go
@@ -17,7 +17,7 @@
 
 const (
 	reconnectDelay = time.Second // of each client, after its connection has ended
-	callbackEvery  = 3           // one in so many clients sends a callback first
+	callbackEvery  = 3           // every third client sends a callback first
 )
 
 // unknownJobCallback is a callback for a job that does not exist.
@@ -39,6 +39,7 @@
 	c.running.Wait()
 }
 
+// run is one client: it connects again and again until the clients are stopped.
 func (c *IdleClients) run(address string, sendsCallback bool) {
 	for {
 		c.holdConnection(address, sendsCallback)
--- a/internal/lab/configmodel/model.go
+++ b/internal/lab/configmodel/model.go
@@ -116,8 +116,8 @@
 	number           uint64 // of its revision; 0 until it is committed
 }
 
-// NewRoster returns the roster of an installation of so many dispatchers (followers) in 4 regions with 3 zones each,
-// and 18 control machines: 3 origins in different regions, a relay in each zone, and 3 further relays.
+// NewRoster returns the roster of an installation with a number of dispatchers (followers) in 4 regions with 3 zones
+// each, and 18 control machines: 3 origins in different regions, a relay in each zone, and 3 further relays.
 func NewRoster(followers int) (r configlog.Roster) {
 	add := func(name string, i, region, zone int, role configlog.Role) {
 		id := configlog.NodeID(fmt.Sprintf("%s-%d", name, i))
--- a/internal/lab/configmodel/operator.go
+++ b/internal/lab/configmodel/operator.go
@@ -93,7 +93,7 @@
 // handleResult handles an answer to an operator's attempt: it checks a commit, and retries a rejected attempt after a
 // random 100 to 300 ms. An unknown outcome is left to the timeout.
 func (m *Model) handleResult(r configlog.Result) {
-	switch t := m.attempts[r.ID]; r.Outcome {
+	switch pending := m.attempts[r.ID]; r.Outcome {
 	case configlog.Committed:
 		if m.committed[r.Revision.Number] != r.Revision {
 			m.reportViolation("%v was reported as committed, but is not the revision in force", r.Revision)
@@ -101,7 +101,7 @@
 		delete(m.retries, r.ID)
 	case configlog.Unknown:
 	default:
-		if t.change != nil {
+		if pending.change != nil {
 			m.schedule(100*millisecond+m.random.Int64N(200*millisecond), func() { m.retry(r.ID) })
 		}
 	}
--- a/internal/lab/configmodel/options.go
+++ b/internal/lab/configmodel/options.go
@@ -19,7 +19,7 @@
 	pollInterval     = second      // of the option that polls
 	gossipInterval   = second      // of the option that gossips
 	gossipFanOut     = 2           // instances that each one compares with in each interval
-	gossipRounds     = 30          // an instance without the change after so many rounds counts as left behind
+	gossipRounds     = 30          // an instance without the change after these rounds counts as left behind
 	never            = math.MaxInt64
 )
 
@@ -145,7 +145,7 @@
 	}
 }
 
-// tree models pushes down the tree, from so many of each instance's parents, without any repair: a frozen instance
+// tree models pushes down the tree, from a number of each instance's parents, without any repair: a frozen instance
 // forwards nothing, and a lost message is not sent again.
 func (o *optionRun) tree(parents int) (times []int64) {
 	appliedAt := map[configlog.NodeID]int64{}
@@ -191,7 +191,8 @@
 	}
 }
 
-// CompareOptions compares the ways to distribute a change to so many dispatchers while 2% of the instances are frozen.
+// CompareOptions compares the ways to distribute a change to a number of dispatchers (followers) while 2% of the
+// instances are frozen.
 func CompareOptions(followers int, seed uint64) (*report.Report, error) {
 	r := report.New("configuration-options", seed, "way", "dispatchers", "p50 ms", "p99 ms", "p99.9 ms", "within 4 s",
 		"left behind", "idle B/s")
--- a/internal/lab/configmodel/scenario.go
+++ b/internal/lab/configmodel/scenario.go
@@ -65,12 +65,13 @@
 	return m.Advance(warmUp)
 }
 
-// RunScenario runs a scenario with so many dispatchers. It returns an error if an invariant was broken: two documents
-// have the same number, an instance goes back to an earlier revision, or one lacks the newest revision at the end.
-func RunScenario(s Scenario, followers int, seed uint64) (Result, error) {
+// RunScenario runs a scenario with a number of dispatchers (followers). It returns an error if an invariant was broken:
+// two documents have the same number, an instance goes back to an earlier revision, or one lacks the newest revision at
+// the end.
+func RunScenario(scenario Scenario, followers int, seed uint64) (Result, error) {
 	network := DefaultNetwork()
-	if s.Network != nil {
-		s.Network(&network)
+	if scenario.Network != nil {
+		scenario.Network(&network)
 	}
 	m, err := NewModel(NewRoster(followers), network, seed)
 	if err != nil {
@@ -88,22 +89,22 @@
 	for _, inst := range m.instances {
 		inst.sentBytes, inst.receivedBytes = 0, 0
 	}
-	if s.InjectFaults != nil {
-		s.InjectFaults(m, s.Seconds)
+	if scenario.InjectFaults != nil {
+		scenario.InjectFaults(m, scenario.Seconds)
 	}
-	m.requestAtRate(s.ChangeRate, s.Seconds)
-	if err := m.Advance(s.Seconds * second); err != nil {
+	m.requestAtRate(scenario.ChangeRate, scenario.Seconds)
+	if err := m.Advance(scenario.Seconds * second); err != nil {
 		return Result{}, err
 	}
-	r := m.measureTraffic(s, followers, float64(m.now-measuredFrom)/1e6)
+	result := m.measureTraffic(scenario, followers, float64(m.now-measuredFrom)/1e6)
 	if n := m.newestNumber - newestBefore; n > 0 {
-		r.MessagesPerChange = float64(m.revisionMessages-messagesBefore) / float64(n) / float64(len(m.instances))
+		result.MessagesPerChange = float64(m.revisionMessages-messagesBefore) / float64(n) / float64(len(m.instances))
 	}
 	if err := m.Advance(giveUpAfter + 90*second); err != nil {
-		return r, err
+		return result, err
 	}
-	m.addTimings(&r, int(m.newestNumber-newestBefore))
-	return r, m.checkConvergence()
+	m.addTimings(&result, int(m.newestNumber-newestBefore))
+	return result, m.checkConvergence()
 }
 
 // requestAtRate schedules changes as a Poisson process with a mean rate.
@@ -182,7 +183,7 @@
 	check()
 }
 
-// scheduleRandomly schedules an action at random times of the run, so many times.
+// scheduleRandomly schedules an action at random times of the run; times is how often, rounded.
 func (m *Model) scheduleRandomly(times float64, seconds int64, action func()) {
 	for range int(math.Round(times)) {
 		m.schedule(m.random.Int64N(seconds*second), action)
@@ -194,12 +195,12 @@
 // usual rate of failures and, with a change a second, 17 times the usual rate of changes.
 func Scenarios() []Scenario {
 	day := func(m *Model, seconds int64) {
-		part := float64(len(m.instances)) / 5500
-		anyOne := func() *instance { return m.instances[m.random.IntN(len(m.instances))] }
-		m.scheduleRandomly(64*part, seconds, func() { m.crash(anyOne(), 60*second, true) })
-		m.scheduleRandomly(790*part, seconds, func() { m.crash(anyOne(), 3*second, true) })
+		scale := float64(len(m.instances)) / 5500
+		randomInstance := func() *instance { return m.instances[m.random.IntN(len(m.instances))] }
+		m.scheduleRandomly(64*scale, seconds, func() { m.crash(randomInstance(), 60*second, true) })
+		m.scheduleRandomly(790*scale, seconds, func() { m.crash(randomInstance(), 3*second, true) })
 	}
-	some := []configlog.Role{configlog.Follower, configlog.Relay}
+	roles := []configlog.Role{configlog.Follower, configlog.Relay}
 	return []Scenario{
 		{Name: "quiet, 5,200 a day", Seconds: 1000, ChangeRate: operatorChangeRate},
 		{Name: "a day in 864 s", Seconds: 864, ChangeRate: 1, InjectFaults: day},
@@ -215,7 +216,7 @@
 		{Name: "one-way cuts", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
 				m.schedule(at*second, func() {
-					for _, inst := range m.drawInstances(0.05, some...) {
+					for _, inst := range m.drawInstances(0.05, roles...) {
 						m.cutOneWay(inst, 15*second, m.random.IntN(2) == 0)
 					}
 				})
@@ -224,7 +225,7 @@
 		{Name: "frozen and woken", Seconds: 240, ChangeRate: 1, InjectFaults: func(m *Model, seconds int64) {
 			for at := int64(0); at < seconds; at += 20 {
 				m.schedule(at*second, func() {
-					for _, inst := range m.drawInstances(0.05, some...) {
+					for _, inst := range m.drawInstances(0.05, roles...) {
 						m.freeze(inst, 10*second)
 					}
 					if m.random.IntN(4) == 0 { // also one of the origins, be it the leader or not
--- a/internal/lab/configmodel/table.go
+++ b/internal/lab/configmodel/table.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// BoundFormulas returns the formulas of the longest times in an installation with so many dispatchers, with the delays
-// of the default network.
+// BoundFormulas returns the formulas of the longest times in an installation with a number of dispatchers (followers),
+// with the delays of the default network.
 func BoundFormulas(followers int) ([]string, error) {
 	topology, err := configlog.NewTopology(NewRoster(followers), configlog.DefaultFanOut())
 	if err != nil {
--- a/internal/lab/discoveryserver/faults.go
+++ b/internal/lab/discoveryserver/faults.go
@@ -23,11 +23,11 @@
 const SlowDelay = time.Second
 
 const (
-	overloadedAnswerEvery = 10   // an overloaded server answers one in so many calls
+	overloadedAnswerEvery = 10   // an overloaded server answers every tenth call
 	retryAfter            = "10" // seconds
 )
 
-// SetFault lets the fault hold from the next call on. Calls that a silent discovery has not answered stay without an
+// SetFault sets the fault for all later calls. Calls that an unresponsive server holds back are closed without an
 // answer.
 func (s *Server) SetFault(fault Fault) {
 	s.mu.Lock()
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -222,6 +222,7 @@
 	}
 }
 
+// listen opens the listener and serves its connections.
 func (e *endpoint) listen() error {
 	if e.network == "unix" {
 		os.Remove(e.address)
@@ -250,6 +251,7 @@
 	}
 }
 
+// setFault sets the fault, and closes or opens the listener as it demands.
 func (e *endpoint) setFault(fault Fault) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -328,6 +330,7 @@
 	return errors.New("the listener's accept queue is not full after 16 connections")
 }
 
+// serve accepts connections until the listener is closed.
 func (e *endpoint) serve(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/lab/measure/addresses.go
+++ b/internal/lab/measure/addresses.go
@@ -202,7 +202,7 @@
 			n = o.Messages - i*perCase
 		}
 		fmt.Fprintf(w, "%2d of %d: %s\n", i+1, len(addressCases), testCase.name)
-		s, outcomes, dials, err := runAddressCase(ctx, o, testCase, i == 0, n, random)
+		scene, outcomes, dials, err := runAddressCase(ctx, o, testCase, i == 0, n, random)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", testCase.name, err)
 		}
@@ -213,12 +213,13 @@
 			counts.add(x)
 			runs := 0
 			var firstArrival time.Time
-			for _, h := range s.hosts {
+			for _, h := range scene.hosts {
 				runs += h.RunCount(x.id)
 				for _, seen := range h.Arrivals(x.id) {
-					if seen.Endpoint == unixEndpoint && !s.recoveredAt.IsZero() && seen.At.After(s.recoveredAt) {
+					if seen.Endpoint == unixEndpoint && !scene.recoveredAt.IsZero() &&
+						seen.At.After(scene.recoveredAt) {
 						summary.recoveryMillis = min(summary.recoveryMillis,
-							float64(seen.At.Sub(s.recoveredAt).Microseconds())/1000)
+							float64(seen.At.Sub(scene.recoveredAt).Microseconds())/1000)
 					}
 					if firstArrival.IsZero() || seen.At.Before(firstArrival) {
 						firstArrival = seen.At
@@ -264,16 +265,16 @@
 		return nil, nil, 0, err
 	}
 	defer discovery.Close()
-	s := &addressScene{duration: time.Duration(n) * time.Second / time.Duration(o.Rate)}
+	scene := &addressScene{duration: time.Duration(n) * time.Second / time.Duration(o.Rate)}
 	for i := range 4 {
 		h, err := host.Start(
 			host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: dir, JobDuration: 10 * time.Millisecond},
-			func(body []byte) error { return s.program.SendCallback(body) }, listenAddresses...)
+			func(body []byte) error { return scene.program.SendCallback(body) }, listenAddresses...)
 		if err != nil {
 			return nil, nil, 0, err
 		}
 		defer h.Close()
-		s.hosts = append(s.hosts, h)
+		scene.hosts = append(scene.hosts, h)
 		addresses := h.Addresses()
 		if single {
 			addresses = addresses[ipv4Endpoint : ipv4Endpoint+1]
@@ -282,31 +283,31 @@
 			Share: 1})
 	}
 	if testCase.setUp != nil {
-		testCase.setUp(s)
+		testCase.setUp(scene)
 	}
-	s.program, err = program.Start(program.Options{ProgramPath: o.ProgramPath, Dir: dir,
+	scene.program, err = program.Start(program.Options{ProgramPath: o.ProgramPath, Dir: dir,
 		Discovery: discovery.Address(), MaxSockets: 2048})
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	defer s.program.Kill()
+	defer scene.program.Kill()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var disruption sync.WaitGroup
 	if testCase.disrupt != nil {
-		disruption.Go(func() { testCase.disrupt(ctx, s) })
+		disruption.Go(func() { testCase.disrupt(ctx, scene) })
 	}
-	outcomes := sendLoad(ctx, s.program.Address(), n, o.Rate, random)
+	outcomes := sendLoad(ctx, scene.program.Address(), n, o.Rate, random)
 	cancel()
 	disruption.Wait()
-	metrics, err := s.program.Metrics()
+	metrics, err := scene.program.Metrics()
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	if len(outcomes) < n {
 		return nil, nil, 0, context.Canceled
 	}
-	return s, outcomes, metrics["app_address_opened_total"] + metrics["app_address_failed_total"], nil
+	return scene, outcomes, metrics["app_address_opened_total"] + metrics["app_address_failed_total"], nil
 }
 
 // sendLoad sends n messages, as a Poisson process with that many a second, and waits for their final answers. The
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -87,7 +87,8 @@
 	roster  string // address of discovery, or "none"
 }
 
-// newDNSScene starts so many workers, a resolver that lists them with a TTL in seconds, and an agent that follows it.
+// newDNSScene starts a number of workers, a resolver that lists them with a TTL in seconds, and an agent that follows
+// the resolver.
 func newDNSScene(ctx context.Context, setup agentSetup, workers int, ttl uint32) (*dnsScene, error) {
 	dns, err := resolver.Start()
 	if err != nil {
