--- a/cmd/topazfall/addresses_test.go
+++ b/cmd/topazfall/addresses_test.go
@@ -36,8 +36,9 @@
 	t.Cleanup(list.Close)
 	tb := &testbed{T: t, discovery: list}
 	for i := range hosts {
-		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: t.TempDir(), JobDuration: 5 * time.Millisecond,
-			ReadDelay: 300 * time.Millisecond}, func(body []byte) error { return tb.program.SendCallback(body) },
+		h, err := host.Start(host.Options{Name: fmt.Sprintf("s-%d", i), SocketDir: t.TempDir(),
+			JobDuration: 5 * time.Millisecond, ReadDelay: 300 * time.Millisecond},
+			func(body []byte) error { return tb.program.SendCallback(body) },
 			listenAddresses...)
 		require.NoError(t, err)
 		t.Cleanup(h.Close)
@@ -372,8 +373,9 @@
 
 // With so few connections that messages reach the limit, each message is answered, and no address counts as faulty.
 func TestConnectionLimitReached(t *testing.T) {
-	tb := startTestbed(t, 2, program.Options{MaxSockets: 42 + 32}) // 42 are reserved, and eight of the rest are for hosts
-	tb.setFault(unixAddress, host.DelayReading)                    // so that each message keeps its connection for a while
+	// 42 are reserved, and eight of the rest are for hosts.
+	tb := startTestbed(t, 2, program.Options{MaxSockets: 42 + 32})
+	tb.setFault(unixAddress, host.DelayReading) // so that each message keeps its connection for a while
 	var wait sync.WaitGroup
 	for i := range 14 {
 		wait.Go(func() {
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -53,8 +53,8 @@
 
 func TestFind(t *testing.T) {
 	r := startResolver(t)
-	r.SetRecords(srvName, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5, A: []string{"10.0.0.1"},
-		AAAA: []string{"fd00::1"}})
+	r.SetRecords(srvName, 7, resolver.Target{Host: "W1.Example", Port: 9000, Priority: 1, Weight: 5,
+		A: []string{"10.0.0.1"}, AAAA: []string{"fd00::1"}})
 	for _, bare := range []bool{false, true} {
 		r.OmitAdditional(bare)
 		l := newLookup(time.Second, r)
--- a/internal/upstream/route_test.go
+++ b/internal/upstream/route_test.go
@@ -18,8 +18,8 @@
 // When the list of addresses changes, the addresses that stay keep their state and connections, and the connections of
 // the others are closed. New limits, as at SIGHUP, discard nothing. A host that is removed leaves nothing behind.
 func TestRouteKeepsStateOfRemainingAddresses(t *testing.T) {
-	h, err := host.Start(host.Options{Name: "h", SocketDir: t.TempDir()}, func([]byte) error { return nil }, "127.0.0.1:0",
-		"[::1]:0")
+	h, err := host.Start(host.Options{Name: "h", SocketDir: t.TempDir()}, func([]byte) error { return nil },
+		"127.0.0.1:0", "[::1]:0")
 	require.NoError(t, err)
 	defer h.Close()
 	core, err := dispatch.New(topazfall.Settings{Dispatchers: 1, Classes: []topazfall.Class{{Deadline: 1, Aim: 1}},
