--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,5 +1,6 @@
-// Package explore walks every state that a pure machine can reach, with everything round it that may go wrong, within
-// bounds that its caller builds into the steps. It finds the shortest way to a state that must not be.
+// Package explore is a small model checker. It visits every reachable state of a deterministic state machine and its
+// environment, including the failures that the environment can cause, and finds a shortest path to an invalid state.
+// The caller bounds the number of states by the steps that it offers.
 package explore
 
 import (
@@ -10,95 +11,96 @@
 	"strings"
 )
 
-// State is one state of a machine and of all round it.
+// State is one state of the state machine and its environment.
 type State[S any] interface {
-	// AppendKey appends what tells this state from others: two states of one key must go on alike.
+	// AppendKey appends a key that identifies the state: two states with the same key must behave alike from then on.
 	AppendKey(to []byte) []byte
-	// Steps are all that may happen next, in the same order each time. Those that lead to no other state do no harm.
+	// Steps returns all events that may happen next, in the same order on each call. Steps that lead back to the same
+	// state are allowed.
 	Steps() []Step[S]
-	// Check returns an error in a state that must not be.
+	// Check returns an error if the state is invalid.
 	Check() error
 }
 
-// Step is something that may happen, and the state after it. Its name is asked for where it is on the way to a fault.
+// Step is an event that may happen, and the state after it. Name is called only for the steps of a violation's trace.
 type Step[S any] struct {
 	Name func() string
 	Next S
 }
 
-// Report tells of a walk.
+// Report describes how far a walk got.
 type Report struct {
 	States, Steps int
-	Depth         int // steps from the start to the furthest state
+	Depth         int // steps from the start to the farthest state that was expanded
 }
 
-// ErrStateLimit says that the walk ended at its bound: nothing was found in the states that it saw.
-var ErrStateLimit = errors.New("the bound on states is reached")
+// ErrStateLimit is returned when a walk stops at its limit of states. None of the states visited is invalid.
+var ErrStateLimit = errors.New("the limit on states is reached")
 
-// Violation is a state that must not be, and the steps that lead there. No other way is shorter.
+// Violation is the error of an invalid state, with the steps that lead to it. No path to an invalid state is shorter.
 type Violation struct {
 	Err   error
 	Trace []string
 }
 
-func (f *Violation) Error() string {
-	return fmt.Sprintf("%v, after %d steps:\n  %s", f.Err, len(f.Trace), strings.Join(f.Trace, "\n  "))
+func (v *Violation) Error() string {
+	return fmt.Sprintf("%v, after %d steps:\n  %s", v.Err, len(v.Trace), strings.Join(v.Trace, "\n  "))
 }
 
-func (f *Violation) Unwrap() error { return f.Err }
+func (v *Violation) Unwrap() error { return v.Err }
 
-// Walk goes through all states from start on, the nearest first, and no more than so many. It returns a Fault for the
-// first that must not be, and ErrBound where there are more.
-func Walk[S State[S]](start S, most int) (r Report, err error) {
-	type seen struct{ from, step int32 } // the state before, by its number, and which of its steps
-	type waiting struct {
+// Walk visits the states that are reachable from start, in breadth-first order. It returns a Violation for the first
+// invalid state, or ErrStateLimit as soon as it has found more than maxStates.
+func Walk[S State[S]](start S, maxStates int) (report Report, err error) {
+	type predecessor struct{ from, step int32 } // number of the previous state, and index of its step
+	type queued struct {
 		n, depth int
 		state    S
 	}
-	known := map[[16]byte]bool{}
-	var way []seen
-	var queue []waiting
+	visited := map[[16]byte]bool{}
+	var predecessors []predecessor
+	var queue []queued
 	var key []byte
 	visit := func(s S, from, step, depth int) error {
 		key = s.AppendKey(key[:0])
 		sum := sha256.Sum256(key)
-		short := [16]byte(sum[:16])
-		if known[short] {
+		digest := [16]byte(sum[:16])
+		if visited[digest] {
 			return nil
 		}
-		known[short] = true
-		way = append(way, seen{int32(from), int32(step)})
+		visited[digest] = true
+		predecessors = append(predecessors, predecessor{int32(from), int32(step)})
 		if err := s.Check(); err != nil {
-			f, at := &Violation{Err: err}, start
+			violation, state := &Violation{Err: err}, start
 			var steps []int32
-			for n := int32(len(way) - 1); n > 0; n = way[n].from {
-				steps = append(steps, way[n].step)
+			for n := int32(len(predecessors) - 1); n > 0; n = predecessors[n].from {
+				steps = append(steps, predecessors[n].step)
 			}
 			for _, i := range slices.Backward(steps) {
-				taken := at.Steps()[i]
-				f.Trace, at = append(f.Trace, taken.Name()), taken.Next
+				taken := state.Steps()[i]
+				violation.Trace, state = append(violation.Trace, taken.Name()), taken.Next
 			}
-			return f
+			return violation
 		}
-		queue = append(queue, waiting{len(way) - 1, depth, s})
+		queue = append(queue, queued{len(predecessors) - 1, depth, s})
 		return nil
 	}
 	err = visit(start, 0, 0, 0)
 	for len(queue) > 0 && err == nil {
-		w := queue[0]
-		queue[0] = waiting{} // its state is needed no more
+		current := queue[0]
+		queue[0] = queued{} // lets the garbage collector free the state
 		queue = queue[1:]
-		r.Depth = w.depth
-		for i, s := range w.state.Steps() {
-			r.Steps++
-			if err = visit(s.Next, w.n, i, w.depth+1); err != nil {
+		report.Depth = current.depth
+		for i, s := range current.state.Steps() {
+			report.Steps++
+			if err = visit(s.Next, current.n, i, current.depth+1); err != nil {
 				break
 			}
 		}
-		if err == nil && len(way) > most {
+		if err == nil && len(predecessors) > maxStates {
 			err = ErrStateLimit
 		}
 	}
-	r.States = len(way)
-	return r, err
+	report.States = len(predecessors)
+	return report, err
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a TCP proxy for one directed link between two processes, from the one that dials to the one that
-// listens, with faults on cue: delay, stall, cut one way or both ways, reset, and, where it is told how to split the
-// stream into frames, frames that come twice, out of order or once more much later.
+// Package link is a TCP proxy between a process that dials (the client) and a process that listens (the target). It
+// injects faults on request: delays, stalls, cuts in one or both directions and connection resets. When it is given a
+// function that splits the stream into frames, it can also duplicate, reorder and replay frames.
 package link
 
 import (
@@ -15,241 +15,248 @@
 	"time"
 )
 
-// Direction is one of the two in which bytes travel.
+// Direction is one of the two directions of a connection.
 type Direction int
 
 // The directions.
 const (
-	Forward Direction = iota // from the process that dials
-	Backward
-	directions
+	Forward  Direction = iota // from the client to the target
+	Backward                  // from the target to the client
+	directionCount
 )
 
-// Bounds of a proxy, of a stand-in's own choice.
+// Limits of the proxy.
 const (
-	largestFrame = 32 << 20
-	recorded     = 64 // frames of a direction that may come once more
-	bufferSize   = 32 << 10
-	dialTime     = 5 * time.Second
-	poll         = 2 * time.Millisecond // how often a stalled direction looks whether it may go on
+	maxFrameSize      = 32 << 20 // bytes
+	maxRecordedFrames = 64       // frames of a direction that are kept for replays
+	bufferSize        = 32 << 10 // bytes
+	dialTimeout       = 5 * time.Second
+	pollInterval      = 2 * time.Millisecond // between two checks whether a stall has ended
 )
 
-// FrameFaults are what happens to whole frames of a direction. Each field is the chance of it for a frame, 0 to 1.
+// FrameFaults are the faults of whole frames in one direction. Each field is the probability per frame, from 0 to 1.
 type FrameFaults struct {
-	Duplicate float64 // it comes twice
-	Reorder   float64 // it comes after the one that follows it
-	Replay    float64 // a frame recorded earlier, on any connection of the link, comes before it
+	Duplicate float64 // the frame is sent twice
+	Reorder   float64 // the frame is sent after the one that follows it
+	Replay    float64 // an earlier frame, from any connection of the link, is sent again before this one
 }
 
-// Options say how a link is made.
+// Options configure a link.
 type Options struct {
-	Listen string          // IP:port, port 0 for a free one
-	Target string          // IP:port of the process that listens
-	Split  bufio.SplitFunc // of the stream into frames, as they are on the wire; nil where only bytes are known
-	Seed   uint64          // of the frames' faults
+	Listen string          // IP:port to listen on, port 0 for a free port
+	Target string          // IP:port of the target
+	Split  bufio.SplitFunc // splits the stream into frames, including their headers; nil to treat it as bytes
+	Seed   uint64          // of the random generator for frame faults
 }
 
-// conditions are the faults of a direction.
-type conditions struct {
-	delay   time.Duration
-	stalled bool // bytes wait
-	cut     bool // bytes are lost
-	frames  FrameFaults
+// directionFaults are the current faults of one direction.
+type directionFaults struct {
+	delay       time.Duration
+	stalled     bool // bytes are held back
+	cut         bool // bytes are dropped
+	frameFaults FrameFaults
 }
 
 // Link is a running proxy.
 type Link struct {
-	options  Options
-	listener net.Listener
-	context  context.Context
-	stop     context.CancelFunc
-	wait     sync.WaitGroup
-	bytes    [directions]atomic.Int64
-	accepted atomic.Int64
-
-	mu       sync.Mutex
-	state    [directions]conditions
-	open     map[*pair]bool
-	recorded [directions][][]byte
-	chance   *rand.Rand
+	options        Options
+	listener       net.Listener
+	ctx            context.Context
+	cancel         context.CancelFunc
+	goroutines     sync.WaitGroup
+	bytesForwarded [directionCount]atomic.Int64
+	connections    atomic.Int64
+
+	mu             sync.Mutex
+	faults         [directionCount]directionFaults
+	openPairs      map[*connectionPair]bool
+	recordedFrames [directionCount][][]byte
+	rng            *rand.Rand
 }
 
-// pair is a connection from the one who dials and the one on to the target.
-type pair struct {
-	from, to *net.TCPConn
-	holed    atomic.Bool // bytes of it were lost: it cannot go on after the fault
+// connectionPair is a connection from the client and the corresponding connection to the target.
+type connectionPair struct {
+	client, target *net.TCPConn
+	hasLostBytes   atomic.Bool // bytes were dropped, so the stream cannot continue after the cut
 }
 
-func (p *pair) close() {
-	p.from.Close()
-	if p.to != nil {
-		p.to.Close()
+func (p *connectionPair) close() {
+	p.client.Close()
+	if p.target != nil {
+		p.target.Close()
 	}
 }
 
-// reset closes both connections so that their ends see a reset.
-func (p *pair) reset() {
-	p.from.SetLinger(0)
-	if p.to != nil {
-		p.to.SetLinger(0)
+// reset closes both connections with a TCP reset.
+func (p *connectionPair) reset() {
+	p.client.SetLinger(0)
+	if p.target != nil {
+		p.target.SetLinger(0)
 	}
 	p.close()
 }
 
-// Start listens; its error is that of listening.
+// Start starts a link that listens on o.Listen.
 func Start(o Options) (*Link, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{options: o, listener: listener, open: map[*pair]bool{}, chance: rand.New(rand.NewPCG(o.Seed, 0))}
-	l.context, l.stop = context.WithCancel(context.Background())
-	l.wait.Go(l.accept)
+	l := &Link{options: o, listener: listener, openPairs: map[*connectionPair]bool{},
+		rng: rand.New(rand.NewPCG(o.Seed, 0))}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
+	l.goroutines.Go(l.acceptLoop)
 	return l, nil
 }
 
-// Address is where the process that dials finds the link.
+// Address returns the IP:port that the client dials.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Bytes counts what was passed on in a direction since the start.
-func (l *Link) Bytes(d Direction) int64 { return l.bytes[d].Load() }
+// Bytes returns the number of bytes forwarded in a direction since the start.
+func (l *Link) Bytes(d Direction) int64 { return l.bytesForwarded[d].Load() }
 
-// Connections counts those accepted since the start.
-func (l *Link) Connections() int64 { return l.accepted.Load() }
+// Connections returns the number of connections accepted since the start.
+func (l *Link) Connections() int64 { return l.connections.Load() }
 
-// Close ends the link and its connections.
+// Close stops the link and closes its connections.
 func (l *Link) Close() {
-	l.stop()
+	l.cancel()
 	l.listener.Close()
 	l.Reset()
-	l.wait.Wait()
+	l.goroutines.Wait()
 }
 
-func (l *Link) set(change func(*conditions), ds ...Direction) {
-	if len(ds) == 0 {
-		ds = []Direction{Forward, Backward}
+// updateFaults changes the faults of some directions, or of both if none is named.
+func (l *Link) updateFaults(change func(*directionFaults), directions ...Direction) {
+	if len(directions) == 0 {
+		directions = []Direction{Forward, Backward}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range ds {
-		change(&l.state[d])
+	for _, d := range directions {
+		change(&l.faults[d])
 	}
 }
 
-// Delay makes each piece wait so long before it is passed on; a pipe is not kept full meanwhile. With no direction
-// named, this and the other faults are those of both.
-func (l *Link) Delay(delay time.Duration, ds ...Direction) {
-	l.set(func(c *conditions) { c.delay = delay }, ds...)
+// Delay delays each piece of data before it is forwarded. The next piece is read only after that, so a delay also
+// limits the throughput. Delay and the other faults apply to both directions if none is named.
+func (l *Link) Delay(delay time.Duration, directions ...Direction) {
+	l.updateFaults(func(c *directionFaults) { c.delay = delay }, directions...)
 }
 
-// Stall keeps bytes back until Heal; none is lost.
-func (l *Link) Stall(ds ...Direction) { l.set(func(c *conditions) { c.stalled = true }, ds...) }
+// Stall holds back all bytes until Heal. No byte is lost.
+func (l *Link) Stall(directions ...Direction) {
+	l.updateFaults(func(c *directionFaults) { c.stalled = true }, directions...)
+}
 
-// Cut loses bytes until Heal. The ends are told nothing. A connection that has lost bytes is reset by Heal, as a stream
-// with a hole cannot go on.
-func (l *Link) Cut(ds ...Direction) { l.set(func(c *conditions) { c.cut = true }, ds...) }
+// Cut drops all bytes until Heal, without closing connections. Heal resets the connections that have lost bytes,
+// because a stream with a gap cannot continue.
+func (l *Link) Cut(directions ...Direction) {
+	l.updateFaults(func(c *directionFaults) { c.cut = true }, directions...)
+}
 
-// SetFrameFaults makes faults happen to whole frames. It needs Options.Split.
-func (l *Link) SetFrameFaults(f FrameFaults, ds ...Direction) {
-	l.set(func(c *conditions) { c.frames = f }, ds...)
+// SetFrameFaults sets the faults of whole frames. It requires Options.Split.
+func (l *Link) SetFrameFaults(f FrameFaults, directions ...Direction) {
+	l.updateFaults(func(c *directionFaults) { c.frameFaults = f }, directions...)
 }
 
-// Heal ends all faults of both directions.
+// Heal ends all faults in both directions.
 func (l *Link) Heal() {
-	l.set(func(c *conditions) { *c = conditions{} })
-	l.end(func(p *pair) bool { return p.holed.Load() })
+	l.updateFaults(func(c *directionFaults) { *c = directionFaults{} })
+	l.resetMatching(func(p *connectionPair) bool { return p.hasLostBytes.Load() })
 }
 
-// Reset resets every open connection. New ones may come.
-func (l *Link) Reset() { l.end(func(*pair) bool { return true }) }
+// Reset resets every open connection. New connections are still accepted.
+func (l *Link) Reset() { l.resetMatching(func(*connectionPair) bool { return true }) }
 
-func (l *Link) end(which func(*pair) bool) {
+func (l *Link) resetMatching(matches func(*connectionPair) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.open {
-		if which(p) {
+	for p := range l.openPairs {
+		if matches(p) {
 			p.reset()
 		}
 	}
 }
 
-func (l *Link) now(d Direction) conditions {
+func (l *Link) currentFaults(d Direction) directionFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.state[d]
+	return l.faults[d]
 }
 
-func (l *Link) accept() {
+func (l *Link) acceptLoop() {
 	for {
 		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.accepted.Add(1)
-		l.wait.Go(func() { l.serve(c.(*net.TCPConn)) })
+		l.connections.Add(1)
+		l.goroutines.Go(func() { l.serve(c.(*net.TCPConn)) })
 	}
 }
 
-// serve relays a connection. While the forward direction is cut the target hears nothing of it.
-func (l *Link) serve(from *net.TCPConn) {
-	p := &pair{from: from}
-	if !l.admit(p) {
+// serve relays one connection. It connects to the target only when the forward direction is neither cut nor stalled.
+func (l *Link) serve(client *net.TCPConn) {
+	p := &connectionPair{client: client}
+	if !l.register(p) {
 		return
 	}
-	defer l.forget(p)
-	for c := l.now(Forward); c.cut || c.stalled; c = l.now(Forward) {
-		if !l.pause(poll) {
+	defer l.unregister(p)
+	for faults := l.currentFaults(Forward); faults.cut || faults.stalled; faults = l.currentFaults(Forward) {
+		if !l.sleep(pollInterval) {
 			return
 		}
 	}
-	dialer := net.Dialer{Timeout: dialTime}
-	to, err := dialer.DialContext(l.context, "tcp", l.options.Target)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	target, err := dialer.DialContext(l.ctx, "tcp", l.options.Target)
 	if err != nil {
 		p.reset()
 		return
 	}
 	l.mu.Lock()
-	p.to = to.(*net.TCPConn)
+	p.target = target.(*net.TCPConn)
 	l.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { l.relay(p, p.from, p.to, Forward) })
-	both.Go(func() { l.relay(p, p.to, p.from, Backward) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.relay(p, p.client, p.target, Forward) })
+	directions.Go(func() { l.relay(p, p.target, p.client, Backward) })
+	directions.Wait()
 }
 
-func (l *Link) admit(p *pair) bool {
+func (l *Link) register(p *connectionPair) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.context.Err() != nil {
+	if l.ctx.Err() != nil {
 		p.reset()
 		return false
 	}
-	l.open[p] = true
+	l.openPairs[p] = true
 	return true
 }
 
-func (l *Link) forget(p *pair) {
+func (l *Link) unregister(p *connectionPair) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.open, p)
+	delete(l.openPairs, p)
 	p.close()
 }
 
-// pause waits, and tells whether the link is still open.
-func (l *Link) pause(d time.Duration) bool {
+// sleep waits for d, and reports false if the link was closed in the meantime.
+func (l *Link) sleep(d time.Duration) bool {
 	select {
-	case <-l.context.Done():
+	case <-l.ctx.Done():
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-// errHole ends the relaying of a direction that has lost bytes once the cut is over.
-var errHole = errors.New("bytes were lost")
+// errBytesLost ends the relay of a connection that has lost bytes, once no direction is cut any more.
+var errBytesLost = errors.New("bytes were lost")
 
-// relay passes on one direction until its end, which ends the other one too where the stream broke.
-func (l *Link) relay(p *pair, from, to *net.TCPConn, d Direction) {
+// relay copies one direction until EOF and then closes the sending side to the receiver. On an error it resets both
+// connections.
+func (l *Link) relay(p *connectionPair, from, to *net.TCPConn, d Direction) {
 	var err error
 	if l.options.Split != nil {
 		err = l.relayFrames(p, from, to, d)
@@ -263,12 +270,12 @@
 	to.CloseWrite()
 }
 
-func (l *Link) relayBytes(p *pair, from io.Reader, to io.Writer, d Direction) error {
+func (l *Link) relayBytes(p *connectionPair, from io.Reader, to io.Writer, d Direction) error {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if err := l.pass(p, to, buffer[:n], d); err != nil {
+			if err := l.forward(p, to, buffer[:n], d); err != nil {
 				return err
 			}
 		}
@@ -281,24 +288,24 @@
 	}
 }
 
-func (l *Link) relayFrames(p *pair, from io.Reader, to io.Writer, d Direction) error {
+func (l *Link) relayFrames(p *connectionPair, from io.Reader, to io.Writer, d Direction) error {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, bufferSize), largestFrame)
+	scanner.Buffer(make([]byte, 0, bufferSize), maxFrameSize)
 	scanner.Split(l.options.Split)
-	var held []byte // a frame that the next one overtakes
+	var overtaken []byte // a frame that is sent after the next one
 	for scanner.Scan() {
 		frame := append([]byte(nil), scanner.Bytes()...)
-		list, holds := l.disturb(frame, d)
-		if holds && held == nil {
-			held = frame
+		frames, isOvertaken := l.applyFrameFaults(frame, d)
+		if isOvertaken && overtaken == nil {
+			overtaken = frame
 			continue
 		}
-		if held != nil {
-			list = append(list, held)
-			held = nil
+		if overtaken != nil {
+			frames = append(frames, overtaken)
+			overtaken = nil
 		}
-		for _, one := range list {
-			if err := l.pass(p, to, one, d); err != nil {
+		for _, next := range frames {
+			if err := l.forward(p, to, next, d); err != nil {
 				return err
 			}
 		}
@@ -306,46 +313,46 @@
 	return scanner.Err()
 }
 
-// disturb returns what travels in a frame's place, and whether the frame is to be overtaken.
-func (l *Link) disturb(frame []byte, d Direction) (list [][]byte, holds bool) {
+// applyFrameFaults returns the frames to send in place of a frame, and whether the next frame is to overtake it.
+func (l *Link) applyFrameFaults(frame []byte, d Direction) (frames [][]byte, isOvertaken bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	faults, old := l.state[d].frames, l.recorded[d]
-	if len(old) > 0 && l.chance.Float64() < faults.Replay {
-		list = append(list, old[l.chance.IntN(len(old))])
+	faults, recorded := l.faults[d].frameFaults, l.recordedFrames[d]
+	if len(recorded) > 0 && l.rng.Float64() < faults.Replay {
+		frames = append(frames, recorded[l.rng.IntN(len(recorded))])
 	}
-	if len(old) < recorded {
-		l.recorded[d] = append(old, frame)
+	if len(recorded) < maxRecordedFrames {
+		l.recordedFrames[d] = append(recorded, frame)
 	} else {
-		old[l.chance.IntN(len(old))] = frame
+		recorded[l.rng.IntN(len(recorded))] = frame
 	}
-	list = append(list, frame)
-	if l.chance.Float64() < faults.Duplicate {
-		list = append(list, frame)
+	frames = append(frames, frame)
+	if l.rng.Float64() < faults.Duplicate {
+		frames = append(frames, frame)
 	}
-	return list, l.chance.Float64() < faults.Reorder
+	return frames, l.rng.Float64() < faults.Reorder
 }
 
-// pass writes a piece as the conditions of its direction allow.
-func (l *Link) pass(p *pair, to io.Writer, piece []byte, d Direction) error {
-	c := l.now(d)
-	if c.delay > 0 && !l.pause(c.delay) {
+// forward writes data to the receiver, subject to the faults of the direction.
+func (l *Link) forward(p *connectionPair, to io.Writer, data []byte, d Direction) error {
+	faults := l.currentFaults(d)
+	if faults.delay > 0 && !l.sleep(faults.delay) {
 		return net.ErrClosed
 	}
-	for c = l.now(d); c.stalled && !c.cut; c = l.now(d) {
-		if !l.pause(poll) {
+	for faults = l.currentFaults(d); faults.stalled && !faults.cut; faults = l.currentFaults(d) {
+		if !l.sleep(pollInterval) {
 			return net.ErrClosed
 		}
 	}
-	if c.cut {
-		p.holed.Store(true)
+	if faults.cut {
+		p.hasLostBytes.Store(true)
 		return nil
 	}
-	if p.holed.Load() && !l.now(Forward).cut && !l.now(Backward).cut {
-		return errHole
+	if p.hasLostBytes.Load() && !l.currentFaults(Forward).cut && !l.currentFaults(Backward).cut {
+		return errBytesLost
 	}
-	l.bytes[d].Add(int64(len(piece))) // before anybody can have read them
-	n, err := to.Write(piece)
-	l.bytes[d].Add(int64(n - len(piece)))
+	l.bytesForwarded[d].Add(int64(len(data))) // before the write, so that a receiver finds its bytes counted
+	n, err := to.Write(data)
+	l.bytesForwarded[d].Add(int64(n - len(data)))
 	return err
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo is a target that sends every line back.
-func echo(t *testing.T) string {
+// startEchoServer starts a target that sends all bytes back, and returns its address.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -36,8 +36,8 @@
 	return listener.Addr().String()
 }
 
-func start(t *testing.T, split bufio.SplitFunc) *Link {
-	l, err := Start(Options{Listen: "127.0.0.1:0", Target: echo(t), Split: split, Seed: 7})
+func startLink(t *testing.T, split bufio.SplitFunc) *Link {
+	l, err := Start(Options{Listen: "127.0.0.1:0", Target: startEchoServer(t), Split: split, Seed: 7})
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
 	return l
@@ -47,24 +47,24 @@
 	c, err := net.Dial("tcp", l.Address())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	require.NoError(t, c.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return c, bufio.NewReader(c)
 }
 
-func line(t *testing.T, r *bufio.Reader) string {
+func readLine(t *testing.T, r *bufio.Reader) string {
 	text, err := r.ReadString('\n')
 	require.NoError(t, err)
 	return text
 }
 
-func TestPassesBothWaysAndCounts(t *testing.T) {
-	target := echo(t)
+func TestForwardsBothWaysAndCounts(t *testing.T) {
+	target := startEchoServer(t)
 	before := goleak.IgnoreCurrent()
 	l, err := Start(Options{Listen: "127.0.0.1:0", Target: target})
 	require.NoError(t, err)
 	c, r := dial(t, l)
 	fmt.Fprintln(c, "hello")
-	require.Equal(t, "hello\n", line(t, r))
+	require.Equal(t, "hello\n", readLine(t, r))
 	require.EqualValues(t, 6, l.Bytes(Forward))
 	require.EqualValues(t, 6, l.Bytes(Backward))
 	require.EqualValues(t, 1, l.Connections())
@@ -73,57 +73,59 @@
 	goleak.VerifyNone(t, before)
 }
 
-// witness is a receiver that notes how many bytes are counted when they reach it.
-type witness struct {
-	link    *Link
-	counted int64
+// countingWriter is a receiver that records how many bytes the link has counted when data arrives.
+type countingWriter struct {
+	link             *Link
+	countedOnArrival int64
 }
 
-func (w *witness) Write(p []byte) (int, error) {
-	w.counted = w.link.Bytes(Forward)
+func (w *countingWriter) Write(p []byte) (int, error) {
+	w.countedOnArrival = w.link.Bytes(Forward)
 	return len(p), nil
 }
 
-// Whoever has received bytes finds them counted. They were counted after they had been passed on: once in two runs of
-// CI, beside other packages, TestPassesBothWaysAndCounts read its line before the link had counted it (0 of 6 bytes).
+// Bytes must be counted before the receiver can read them. The link used to count them after the write: in one of two
+// CI runs, in parallel with other packages, TestForwardsBothWaysAndCounts read its line while the link still counted 0
+// of its 6 bytes.
 func TestBytesAreCountedBeforeTheyArrive(t *testing.T) {
-	l := start(t, nil)
-	to := &witness{link: l}
-	require.NoError(t, l.pass(&pair{}, to, []byte("hello\n"), Forward))
-	require.EqualValues(t, 6, to.counted)
+	l := startLink(t, nil)
+	to := &countingWriter{link: l}
+	require.NoError(t, l.forward(&connectionPair{}, to, []byte("hello\n"), Forward))
+	require.EqualValues(t, 6, to.countedOnArrival)
 	require.EqualValues(t, 6, l.Bytes(Forward))
 }
 
 func TestDelay(t *testing.T) {
-	l := start(t, nil)
+	l := startLink(t, nil)
 	c, r := dial(t, l)
 	l.Delay(150*time.Millisecond, Backward)
 	began := time.Now()
 	fmt.Fprintln(c, "x")
-	line(t, r)
+	readLine(t, r)
 	require.GreaterOrEqual(t, time.Since(began), 150*time.Millisecond)
 }
 
-// What is stalled comes after the heal; nothing is lost.
+// Bytes that are held back by a stall arrive after Heal, and none is lost.
 func TestStall(t *testing.T) {
-	l := start(t, nil)
+	l := startLink(t, nil)
 	c, r := dial(t, l)
 	fmt.Fprintln(c, "1")
-	line(t, r)
+	readLine(t, r)
 	l.Stall(Backward)
 	fmt.Fprintln(c, "2")
-	require.Eventually(t, func() bool { return l.Bytes(Forward) == 4 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return l.Bytes(Forward) == 4 }, testTimeout, time.Millisecond)
 	require.EqualValues(t, 2, l.Bytes(Backward))
 	l.Heal()
-	require.Equal(t, "2\n", line(t, r))
+	require.Equal(t, "2\n", readLine(t, r))
 }
 
-// A cut loses bytes one way without a word; after it the stream with the hole is reset, and a new one works.
+// A cut drops bytes in one direction without closing the connection. Heal resets the connection that has lost bytes,
+// and a new connection works.
 func TestCutOneWay(t *testing.T) {
-	l := start(t, nil)
+	l := startLink(t, nil)
 	c, r := dial(t, l)
 	fmt.Fprintln(c, "1")
-	line(t, r)
+	readLine(t, r)
 	l.Cut(Forward)
 	fmt.Fprintln(c, "2")
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
@@ -131,32 +133,32 @@
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
 	require.True(t, timeout.Timeout())
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	l.Heal()
 	_, err = r.ReadByte()
 	require.Error(t, err)
-	require.False(t, errors.As(err, &timeout) && timeout.Timeout(), "it is reset")
+	require.False(t, errors.As(err, &timeout) && timeout.Timeout(), "the connection is reset")
 	c, r = dial(t, l)
 	fmt.Fprintln(c, "3")
-	require.Equal(t, "3\n", line(t, r))
+	require.Equal(t, "3\n", readLine(t, r))
 }
 
-// A connection that begins during a cut reaches the target after it.
+// A connection that is opened during a cut reaches the target after Heal.
 func TestDialDuringCut(t *testing.T) {
-	l := start(t, nil)
+	l := startLink(t, nil)
 	l.Cut()
 	c, r := dial(t, l)
 	fmt.Fprintln(c, "1")
 	require.Zero(t, l.Bytes(Forward))
 	l.Heal()
-	require.Equal(t, "1\n", line(t, r))
+	require.Equal(t, "1\n", readLine(t, r))
 }
 
 func TestReset(t *testing.T) {
-	l := start(t, nil)
+	l := startLink(t, nil)
 	c, r := dial(t, l)
 	fmt.Fprintln(c, "1")
-	line(t, r)
+	readLine(t, r)
 	l.Reset()
 	_, err := r.ReadByte()
 	require.Error(t, err)
@@ -164,7 +166,7 @@
 	require.NotNil(t, r)
 }
 
-// Each frame comes, some of them twice, out of order, or once more: whole always.
+// Every frame arrives intact; some arrive twice, out of order or again later.
 func TestFrames(t *testing.T) {
 	split := func(data []byte, _ bool) (int, []byte, error) {
 		if i := strings.IndexByte(string(data), '\n'); i >= 0 {
@@ -172,20 +174,20 @@
 		}
 		return 0, nil, nil
 	}
-	l := start(t, split)
+	l := startLink(t, split)
 	l.SetFrameFaults(FrameFaults{Duplicate: 0.2, Reorder: 0.2, Replay: 0.2}, Forward)
 	c, r := dial(t, l)
 	const frames = 200
 	for i := range frames {
 		fmt.Fprintf(c, "%d\n", i)
 	}
-	for range frames { // what is overtaken by the last would wait for ever
+	for range frames { // a reordered frame waits for the next one, so the last frames must not be counted
 		fmt.Fprintln(c, "tail")
 	}
 	seen, doubled, backward, last := map[int]int{}, 0, 0, -1
 	for len(seen) < frames {
 		var n int
-		if _, err := fmt.Sscanf(line(t, r), "%d\n", &n); err != nil {
+		if _, err := fmt.Sscanf(readLine(t, r), "%d\n", &n); err != nil {
 			continue
 		}
 		if seen[n]++; seen[n] > 1 {
@@ -198,7 +200,7 @@
 	}
 	l.Heal()
 	fmt.Fprintln(c, "end")
-	for line(t, r) != "end\n" {
+	for readLine(t, r) != "end\n" {
 	}
 	require.Len(t, seen, frames)
 	require.Greater(t, doubled, 0)
--- a/internal/lab/program/agent.go
+++ b/internal/lab/program/agent.go
@@ -8,26 +8,27 @@
 	"topazfall/internal/control/controlpb/controlpbconnect"
 )
 
-// Agent is a running agent and its control API.
+// Agent is a running topazfall-agent process and a client of its control API.
 type Agent struct {
 	*Process
 	API controlpbconnect.ControlClient
 }
 
-// StartAgent starts the agent at path; its state is in a folder of its own below dir, named after it.
+// StartAgent starts the agent executable at path. Its state is kept in the folder dir/name.
 func StartAgent(path, dir, name, discovery string) (*Agent, error) {
-	state := filepath.Join(dir, name)
-	if err := os.MkdirAll(state, 0o700); err != nil {
+	stateDir := filepath.Join(dir, name)
+	if err := os.MkdirAll(stateDir, 0o700); err != nil {
 		return nil, err
 	}
-	p, err := Start(Options{ProgramPath: path, Args: []string{"--state", state}, Dir: dir, Name: name, Discovery: discovery})
+	process, err := Start(Options{ProgramPath: path, Args: []string{"--state", stateDir}, Dir: dir, Name: name,
+		Discovery: discovery})
 	if err != nil {
 		return nil, err
 	}
-	api, err := client.New("unix:" + filepath.Join(state, "control.sock"))
+	api, err := client.New("unix:" + filepath.Join(stateDir, "control.sock"))
 	if err != nil {
-		p.Kill()
+		process.Kill()
 		return nil, err
 	}
-	return &Agent{p, api}, nil
+	return &Agent{process, api}, nil
 }
--- a/internal/lab/program/freeze.go
+++ b/internal/lab/program/freeze.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	freezeTime = 5 * time.Second // for the system to stop all threads
-	freezeLook = time.Millisecond
+	freezeTimeout      = 5 * time.Second // until all threads must have stopped
+	freezePollInterval = time.Millisecond
 )
 
-// Freeze stops the process, as a machine that swaps does, until Thaw. It returns when all of its threads stand still:
-// the signal alone reaches them some time later. Its error says that the process has ended, or goes on.
+// Freeze stops the process (SIGSTOP) until Thaw, which simulates a pause of a machine that swaps. It waits until all
+// threads have stopped, because the signal takes effect with a delay. It fails if the process has exited or does not
+// stop in time.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for end := time.Now().Add(freezeTime); time.Now().Before(end); time.Sleep(freezeLook) {
-		stopped, err := p.stopped()
+	for end := time.Now().Add(freezeTimeout); time.Now().Before(end); time.Sleep(freezePollInterval) {
+		stopped, err := p.allThreadsStopped()
 		if err != nil {
 			return err
 		}
@@ -30,24 +31,25 @@
 			return nil
 		}
 	}
-	return errors.New("the process does not stop")
+	return errors.New("the process has not stopped in time")
 }
 
-// stopped tells whether all threads are in the state T of /proc/PID/task/TID/stat, which follows the name in brackets.
-func (p *Process) stopped() (bool, error) {
+// allThreadsStopped reports whether all threads are in state T (stopped) in /proc/PID/task/TID/stat. The state follows
+// the thread's name, which is in parentheses.
+func (p *Process) allThreadsStopped() (bool, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.PID()))
 	if err != nil {
 		return false, err
 	}
 	if len(threads) == 0 {
-		return false, errors.New("the process has ended")
+		return false, errors.New("the process has exited")
 	}
 	for _, path := range threads {
-		text, err := os.ReadFile(path)
-		if err != nil { // a thread that has ended meanwhile
+		stat, err := os.ReadFile(path)
+		if err != nil { // the thread has exited in the meantime
 			return false, nil
 		}
-		state := bytes.TrimLeft(text[bytes.LastIndexByte(text, ')')+1:], " ")
+		state := bytes.TrimLeft(stat[bytes.LastIndexByte(stat, ')')+1:], " ")
 		if len(state) == 0 || state[0] != 'T' {
 			return false, nil
 		}
@@ -55,5 +57,5 @@
 	return true, nil
 }
 
-// Thaw lets it go on.
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -1,5 +1,5 @@
-// Package program starts the dispatcher as a process of its own, for tests and measurements: on loopback, with settings
-// as a deployment would give them.
+// Package program starts the dispatcher or the agent as a separate process on loopback addresses, for tests and
+// measurements. The settings are written to a configuration file, as in a deployment.
 package program
 
 import (
@@ -22,81 +22,86 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Options say how it is started.
+// Options configure a process that Start or Launch starts.
 type Options struct {
-	ProgramPath string // of the program
+	ProgramPath string // path of the executable
 	Args        []string
-	Env         []string // beside what names its configuration
-	Dir         string   // for its files
-	Name        string
-	Listen      string // "" for a free port
-	Discovery   string
-	MaxSockets  int // most descriptors, 0 for 1,024
-	MemoryMB    int // 0 for 192
+	Env         []string // added to the caller's environment and the variables that point to the configuration
+	Dir         string   // folder for the configuration and temporary files
+	Name        string   // dispatcher name, "" for n0
+	Listen      string   // address for clients and host callbacks, "" for a free port
+	Discovery   string   // address of the discovery server
+	MaxSockets  int      // "sockets" limit of the configuration, 0 for 1,024
+	MemoryMB    int      // 0 for 192
 	MayProbe    bool
-	DialTimeout time.Duration               // limit of connecting, 0 for 250 ms
-	IdleTimeout time.Duration               // hosts' idle limit, 0 for 60 s
-	MaxAttempts int                         // 0 for 6
-	Deadline    time.Duration               // of all classes, 0 for 5 and 10 s
-	Subscribe   bool                        // lists must be asked for
-	KnownHosts  string                      // the list of hosts as last had, in the form of the wire; "" for none
-	EditConfig  func(config map[string]any) // what is to be other in its configuration; nil for nothing
+	DialTimeout time.Duration               // limit for connecting to a host, 0 for 250 ms
+	IdleTimeout time.Duration               // after which idle connections to hosts are closed, 0 for 60 s
+	MaxAttempts int                         // attempts for one request, 0 for 6
+	Deadline    time.Duration               // of all classes, 0 for the defaults of 5 and 10 s
+	Subscribe   bool                        // the dispatcher must request the worker list
+	KnownHosts  string                      // last known list of hosts in discovery's JSON format, "" for none
+	EditConfig  func(config map[string]any) // changes the configuration before it is written; nil for no change
 
-	DescriptorLimit int // the system's limit on them, 0 for the one of the test
+	DescriptorLimit int // RLIMIT_NOFILE of the process, 0 to inherit that of the test
 }
 
-// Classes are the classes of the settings, the last two of which must not run twice.
+// Classes are the class names of the settings. Requests of the last two classes must run at most once.
 var Classes = []string{"lookup", "dispute-extract", "usage-report"}
 
-// IsAtMostOnce tells whether messages of a class must not run twice.
+// IsAtMostOnce reports whether requests of a class must run at most once.
 func IsAtMostOnce(class string) bool { return class != Classes[0] }
 
-// Process is a running program.
+// Process is a dispatcher or agent that was started as a separate process.
 type Process struct {
-	o              Options
-	cmd            *exec.Cmd
-	listen, manage string
-	config         string         // its file
-	document       map[string]any // what stands there
-	log            *buffer
-	started        time.Time
-	done           chan struct{}
+	options                          Options
+	cmd                              *exec.Cmd
+	clientAddress, managementAddress string
+	configPath                       string         // configuration file
+	configuration                    map[string]any // content of the configuration file
+	log                              *logBuffer
+	startedAt                        time.Time
+	done                             chan struct{} // closed when the process has exited
 }
 
-type buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// maxLogSize bounds the log that is kept in memory, in bytes: without a bound a process that logs in an endless loop
+// would exhaust the machine's memory.
+const maxLogSize = 64 << 20
+
+// logBuffer collects the standard error of a process, up to a limit.
+type logBuffer struct {
+	mu      sync.Mutex
+	content bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.b.Len() > 64<<20 { // a run that logs without end must not take the machine along
+	if b.content.Len() > maxLogSize {
 		return len(p), nil
 	}
-	return b.b.Write(p)
+	return b.content.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *logBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.content.String()
 }
 
-// Settings are the settings object that a process is told.
+// Settings returns the settings object of the configuration.
 func Settings(o Options) map[string]any {
-	class := func(name, repeat string, aim, deadline, points int) map[string]any {
+	newClass := func(name, repeat string, aim, deadline, points int) map[string]any {
 		if o.Deadline > 0 {
 			deadline = int(o.Deadline.Microseconds())
 		}
 		return map[string]any{"name": name, "aim_us": aim, "deadline_us": deadline, "points": points, "late_worth": 0,
 			"repeat": repeat}
 	}
-	first := func(v, other time.Duration) int64 {
-		if v == 0 {
-			v = other
+	microsOrDefault := func(value, defaultValue time.Duration) int64 {
+		if value == 0 {
+			value = defaultValue
 		}
-		return v.Microseconds()
+		return value.Microseconds()
 	}
 	discovery := "automatic"
 	if o.Subscribe {
@@ -109,21 +114,21 @@
 	return map[string]any{
 		"me": 0, "replicas_of_me": 1, "discovery": discovery, "my_zone": "hall-a", "areas": []string{"hall-a"},
 		"skus": []string{"small"}, "tick_us": 4000,
-		"classes": []any{class(Classes[0], "retryable", 2_000_000, 5_000_000, 1),
-			class(Classes[1], "fragile", 2_000_000, 10_000_000, 10),
-			class(Classes[2], "fragile", 2_000_000, 10_000_000, 2)},
+		"classes": []any{newClass(Classes[0], "retryable", 2_000_000, 5_000_000, 1),
+			newClass(Classes[1], "fragile", 2_000_000, 10_000_000, 10),
+			newClass(Classes[2], "fragile", 2_000_000, 10_000_000, 2)},
 		"realms": []any{map[string]any{"name": "delta-mobile", "share": 0.61, "quota_per_s": 3000},
 			map[string]any{"name": "sinai-tel", "share": 0.39, "quota_per_s": 3000}},
 		"contract": map[string]any{"answer_slack_us": 16000, "cold_from": 1, "drain_grace_us": 500000,
 			"fall_multiple": 25, "fall_us": 3000000, "ramp_time_us": 1000},
-		"allowed": map[string]any{"cancel": true, "conn_idle_us": first(o.IdleTimeout, time.Minute),
-			"dial_timeout_us": first(o.DialTimeout, 250*time.Millisecond), "max_retry_after_us": 2000000, "may_probe": o.MayProbe,
-			"parallel_tries": false, "retry_after": true, "send_cap": attempts},
+		"allowed": map[string]any{"cancel": true, "conn_idle_us": microsOrDefault(o.IdleTimeout, time.Minute),
+			"dial_timeout_us": microsOrDefault(o.DialTimeout, 250*time.Millisecond), "max_retry_after_us": 2000000,
+			"may_probe": o.MayProbe, "parallel_tries": false, "retry_after": true, "send_cap": attempts},
 		"domain": map[string]any{"class_stretch": []int{2, 2, 2}, "tells_start": false, "progress_us": 0},
 		"stats":  map[string]any{"fields": []string{}, "source": "none"}}
 }
 
-// Start starts the program and waits until it takes clients.
+// Start starts a process and waits until it is ready for clients.
 func Start(o Options) (*Process, error) {
 	p, err := Launch(o)
 	if err != nil {
@@ -136,59 +141,61 @@
 	return p, nil
 }
 
-// AwaitReady waits for so long at most until the program takes clients, and returns how long after its start it did.
+// AwaitReady waits until the process is ready for clients, and returns the time since its start. It fails when the
+// process exits first or when limit has passed.
 func (p *Process) AwaitReady(limit time.Duration) (time.Duration, error) {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if status, _, err := fasthttp.Get(nil, "http://"+p.manage+"/-/ready"); err == nil && status == 200 {
-			return time.Since(p.started), nil
+		if status, _, err := fasthttp.Get(nil, "http://"+p.managementAddress+"/-/ready"); err == nil && status == 200 {
+			return time.Since(p.startedAt), nil
 		}
 		select {
 		case <-p.done:
-			return 0, fmt.Errorf("the program ended: %s", p.log)
+			return 0, fmt.Errorf("the program exited before it was ready: %s", p.log)
 		default:
 		}
 	}
 	return 0, fmt.Errorf("the program is not ready after %v: %s", limit, p.log)
 }
 
-// Launch starts the program.
+// Launch starts a process without waiting until it is ready.
 func Launch(o Options) (*Process, error) {
 	if o.Name == "" {
 		o.Name = "n0"
 	}
-	p := &Process{o: o, listen: o.Listen, log: &buffer{}, done: make(chan struct{})}
-	free, err := FreeAddresses(2)
+	p := &Process{options: o, clientAddress: o.Listen, log: &logBuffer{}, done: make(chan struct{})}
+	freeAddresses, err := FreeAddresses(2)
 	if err != nil {
 		return nil, err
 	}
-	if p.manage = free[0]; p.listen == "" {
-		p.listen = free[1]
+	if p.managementAddress = freeAddresses[0]; p.clientAddress == "" {
+		p.clientAddress = freeAddresses[1]
 	}
-	first := func(v, other int) int {
-		if v == 0 {
-			return other
+	orDefault := func(value, defaultValue int) int {
+		if value == 0 {
+			return defaultValue
 		}
-		return v
+		return value
 	}
-	p.document = map[string]any{"name": o.Name, "listen": p.listen, "discovery": o.Discovery, "seed": "1",
-		"limits":   map[string]any{"cores": 1, "memory_mb": first(o.MemoryMB, 192), "sockets": first(o.MaxSockets, 1024)},
+	p.configuration = map[string]any{"name": o.Name, "listen": p.clientAddress, "discovery": o.Discovery, "seed": "1",
+		"limits": map[string]any{"cores": 1, "memory_mb": orDefault(o.MemoryMB, 192),
+			"sockets": orDefault(o.MaxSockets, 1024)},
 		"settings": Settings(o)}
 	if o.KnownHosts != "" {
-		p.document["known"] = jsoniter.RawMessage(o.KnownHosts)
+		p.configuration["known"] = jsoniter.RawMessage(o.KnownHosts)
 	}
-	p.config = filepath.Join(o.Dir, fmt.Sprintf("%s-%d.json", o.Name, time.Now().UnixNano()))
+	p.configPath = filepath.Join(o.Dir, fmt.Sprintf("%s-%d.json", o.Name, time.Now().UnixNano()))
 	if _, err := p.Configure(o.EditConfig); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(o.ProgramPath, o.Args...)
-	if o.DescriptorLimit > 0 { // of the program alone, which takes the shell's place
-		limited := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(o.DescriptorLimit), o.ProgramPath}
-		p.cmd = exec.Command("/bin/sh", append(limited, o.Args...)...)
+	if o.DescriptorLimit > 0 { // a shell sets the limit and then execs the program, so the limit is the program's alone
+		shellArgs := []string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(o.DescriptorLimit), o.ProgramPath}
+		p.cmd = exec.Command("/bin/sh", append(shellArgs, o.Args...)...)
 	}
-	p.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+p.config, "LB_MANAGEMENT="+p.manage, "TMPDIR="+o.Dir),
-		o.Env...)
+	p.cmd.Env = append(append(os.Environ(), "LB_CONFIG="+p.configPath, "LB_MANAGEMENT="+p.managementAddress,
+		"TMPDIR="+o.Dir), o.Env...)
 	p.cmd.Stderr = p.log
-	p.started = time.Now()
+	p.startedAt = time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -199,76 +206,76 @@
 	return p, nil
 }
 
-// Configure changes the configuration and writes its file, whole or not at all; the process takes it at Reload. It
-// returns the bytes of the file.
+// Configure changes the configuration and replaces its file atomically. The process reads the file at the next Reload.
+// Configure returns the size of the file in bytes.
 func (p *Process) Configure(change func(config map[string]any)) (size int, err error) {
 	if change != nil {
-		change(p.document)
+		change(p.configuration)
 	}
-	text, err := jsoniter.Marshal(p.document)
+	text, err := jsoniter.Marshal(p.configuration)
 	if err != nil {
 		return 0, err
 	}
-	return len(text), renameio.WriteFile(p.config, text, 0o600)
+	return len(text), renameio.WriteFile(p.configPath, text, 0o600)
 }
 
-// Reload tells the process to take its configuration anew.
+// Reload makes the process read its configuration again (SIGHUP).
 func (p *Process) Reload() error { return p.Signal(syscall.SIGHUP) }
 
-// started counts the processes, each of which has an address of its own: a port that was free a moment ago may be
-// somebody else's when the process has come so far.
-var started atomic.Uint32
+// addressBlocks counts the calls of FreeAddresses. Each call gets its own loopback address: on a shared address, a port
+// that was free could be taken by another process before the intended process listens on it.
+var addressBlocks atomic.Uint32
 
-// FreeAddresses finds n free TCP ports of a loopback address that no other process of ours has. Its error is that of
-// listening.
-func FreeAddresses(n int) (found []string, err error) {
-	k := started.Add(1)
-	ip := fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, k/250%250, k%250+1)
+// FreeAddresses returns n addresses with free TCP ports, all on a loopback IP that no other call of this test process
+// gets.
+func FreeAddresses(n int) (addresses []string, err error) {
+	block := addressBlocks.Add(1)
+	listenAddress := fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, block/250%250, block%250+1)
 	for range n {
-		ln, err := net.Listen("tcp", ip)
+		listener, err := net.Listen("tcp", listenAddress)
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close()
-		found = append(found, ln.Addr().String())
+		defer listener.Close()
+		addresses = append(addresses, listener.Addr().String())
 	}
-	return found, nil
+	return addresses, nil
 }
 
-// Address is where clients connect, and hosts call back.
-func (p *Process) Address() string { return p.listen }
+// Address returns the address that clients connect to and that hosts (workers) send callbacks to.
+func (p *Process) Address() string { return p.clientAddress }
 
-// PID is that of the process.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Dir is where its files are, which a process that replaces it must share.
-func (p *Process) Dir() string { return p.o.Dir }
+// Dir returns the folder of the process's files. A process that replaces this one must use the same folder.
+func (p *Process) Dir() string { return p.options.Dir }
 
-// Log is what it has logged so far.
+// Log returns what the process has logged so far.
 func (p *Process) Log() string { return p.log.String() }
 
-// Metrics are the figures of the second address, by name; those with labels have them in their name.
+// Metrics reads the metrics from the management address, by name. The name of a metric with labels includes them.
 func (p *Process) Metrics() (map[string]float64, error) {
-	_, body, err := fasthttp.Get(nil, "http://"+p.manage+"/-/metrics")
+	_, body, err := fasthttp.Get(nil, "http://"+p.managementAddress+"/-/metrics")
 	if err != nil {
 		return nil, err
 	}
-	figures := map[string]float64{}
+	metrics := map[string]float64{}
 	for line := range strings.Lines(string(body)) {
 		name, value, ok := strings.Cut(strings.TrimSpace(line), " ")
 		if v, err := strconv.ParseFloat(value, 64); ok && err == nil && name != "#" {
-			figures[name] = v
+			metrics[name] = v
 		}
 	}
-	return figures, nil
+	return metrics, nil
 }
 
-// SendCallback brings a call-back of a host to the program, as a host would.
+// SendCallback posts a job event to the dispatcher, as a host does.
 func (p *Process) SendCallback(body []byte) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + p.listen + "/v1/job-events")
+	req.SetRequestURI("http://" + p.clientAddress + "/v1/job-events")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBody(body)
 	if err := fasthttp.DoTimeout(req, resp, time.Second); err != nil {
@@ -280,16 +287,16 @@
 	return nil
 }
 
-// Terminate tells it to end.
+// Terminate asks the process to exit (SIGTERM).
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// ExitCode is that of a process that has ended.
+// ExitCode returns the exit code of a process that has exited.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Signal sends it a signal; its error says that the process has ended.
+// Signal sends a signal to the process. It fails if the process has exited.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// HasExited tells whether the process has ended.
+// HasExited reports whether the process has exited.
 func (p *Process) HasExited() bool {
 	select {
 	case <-p.done:
@@ -299,17 +306,17 @@
 	}
 }
 
-// Wait waits for its end, for so long at the most.
+// Wait waits until the process has exited, and fails when limit has passed.
 func (p *Process) Wait(limit time.Duration) error {
 	select {
 	case <-p.done:
 		return nil
 	case <-time.After(limit):
-		return errors.New("the program has not ended")
+		return errors.New("the program has not exited in time")
 	}
 }
 
-// Kill ends it at once.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
--- a/internal/lab/program/usage.go
+++ b/internal/lab/program/usage.go
@@ -10,39 +10,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, as the system counts it from outside.
+// Usage is the CPU time and memory use of a process as the kernel counts it.
 type Usage struct {
-	CPU           time.Duration // since its start, of all its threads
-	ResidentBytes int64         // bytes
+	CPU           time.Duration // of all threads since the process started
+	ResidentBytes int64         // resident set size
 }
 
-// ReadUsage reads the usage of a process. Processor time comes from the process's clock, which counts what
-// /proc/PID/stat counts, in nanoseconds: its ticks of 10 ms are too coarse for windows of seconds. Resident memory is
-// that of /proc/PID/statm.
+// ReadUsage reads the usage of a process. The CPU time is read from the process's CPU clock in nanoseconds, because the
+// 10 ms ticks of /proc/PID/stat are too coarse for windows of a few seconds. The resident memory is read from
+// /proc/PID/statm.
 func ReadUsage(pid int) (Usage, error) {
-	var spent unix.Timespec
-	if err := unix.ClockGettime(processClock(pid), &spent); err != nil {
-		return Usage{}, fmt.Errorf("process %d: its clock: %w", pid, err)
+	var cpuTime unix.Timespec
+	if err := unix.ClockGettime(processClock(pid), &cpuTime); err != nil {
+		return Usage{}, fmt.Errorf("process %d: reading its CPU clock: %w", pid, err)
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return Usage{}, err
 	}
-	fields := strings.Fields(string(text))
+	fields := strings.Fields(string(statm))
 	if len(fields) < 2 {
-		return Usage{}, fmt.Errorf("process %d: its statm has %d fields", pid, len(fields))
+		return Usage{}, fmt.Errorf("process %d: statm has only %d fields", pid, len(fields))
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
-	return Usage{CPU: time.Duration(spent.Nano()), ResidentBytes: pages * int64(os.Getpagesize())}, err
+	return Usage{CPU: time.Duration(cpuTime.Nano()), ResidentBytes: pages * int64(os.Getpagesize())}, err
 }
 
-// processClock is the clock of a process's processor time, as clock_getcpuclockid(3) makes it.
+// processClock returns the id of a process's CPU clock, encoded as by clock_getcpuclockid(3).
 func processClock(pid int) int32 {
-	const scheduled = 2 // time on a processor, by the scheduler's count
-	return int32(^pid<<3 | scheduled)
+	const schedulerClock = 2 // CPUCLOCK_SCHED: CPU time as counted by the scheduler
+	return int32(^pid<<3 | schedulerClock)
 }
 
-// OpenDescriptors is how many the process has open.
+// OpenDescriptors returns the number of open file descriptors of the process.
 func (p *Process) OpenDescriptors() (int, error) {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.PID()))
 	return len(names), err
--- a/internal/lab/program/usage_test.go
+++ b/internal/lab/program/usage_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What this process burns shows in its usage, and what it allocates in its resident memory.
-func TestUsageOf(t *testing.T) {
+// CPU time and memory that this process uses show up in its usage; a process that does not exist has none.
+func TestReadUsage(t *testing.T) {
 	before, err := ReadUsage(os.Getpid())
 	require.NoError(t, err)
 	block := make([]byte, 64<<20)
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig runs several real processes of the program as one installation, with a link of its own for each
-// ordered pair of them, so that faults can be put between any two; and stops, wakes, kills, restarts and replaces
-// the processes.
+// Package rig runs several processes of a program (dispatchers or agents) as one installation. Each ordered pair of
+// processes is connected through its own link, so that faults can be injected between any two. The rig can also freeze,
+// kill, restart and replace processes.
 package rig
 
 import (
@@ -18,46 +18,49 @@
 	"topazfall/internal/lab/program"
 )
 
-// leaveTime bounds the wait for a process that was told to end: the longest wait of a client, and some.
-const leaveTime = 30 * time.Second
+// exitTimeout bounds the wait for a process to exit after SIGTERM: the longest time that a client waits for an answer,
+// with some reserve.
+const exitTimeout = 30 * time.Second
 
-// Options say what is run.
+// Options configure an installation.
 type Options struct {
-	Program program.Options                // of each process; Name, Dir, Listen and Args are the rig's
-	Dir     string                         // for all files; a folder for each member is made in it
+	Program program.Options                // of each process; the rig sets Name, Dir, Listen and Args
+	Dir     string                         // for all files, with a subfolder for each member
 	Names   []string                       // of the members
-	Args    func(Member) ([]string, error) // of a member's process; called for each start
-	Split   bufio.SplitFunc                // of the links' streams into frames; nil for bytes
-	Seed    uint64                         // of the links' faults
+	Args    func(Member) ([]string, error) // returns the arguments of a member's process; called at each start
+	Split   bufio.SplitFunc                // splits the streams of the links into frames; nil to treat them as bytes
+	Seed    uint64                         // of the links' random frame faults
 }
 
-// Member is what a process is told of its place.
+// Member is the identity and the addresses of one member of the installation. Options.Args turns it into arguments.
 type Member struct {
 	Name       string
-	StateDir   string            // folder that outlives a restart
-	PeerListen string            // IP:port where it listens for the others
-	PeerLinks  map[string]string // by name: IP:port of the link that leads to each of the others
+	StateDir   string            // folder that is kept across restarts
+	PeerListen string            // IP:port on which it listens for its peers
+	PeerLinks  map[string]string // by the peer's name, the IP:port of the link to it
 }
 
 // Rig is a running installation.
 type Rig struct {
 	options Options
-	members map[string]*member
-	links   map[pair]*link.Link
+	members map[string]*runningMember
+	links   map[linkKey]*link.Link
 }
 
-type pair struct{ from, to string }
+// linkKey identifies the link on which one member dials another.
+type linkKey struct{ from, to string }
 
-type member struct {
+// runningMember is a member and its processes.
+type runningMember struct {
 	Member
-	clients string // where it listens for clients
-	files   string // shared by all its processes
+	clientAddress string // on which it listens for clients
+	dir           string // folder of its processes
 
 	mu        sync.Mutex
-	processes []*program.Process // all that ever ran; the last is the present one
+	processes []*program.Process // every process started so far; the last is the current one
 }
 
-func (m *member) now() *program.Process {
+func (m *runningMember) currentProcess() *program.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.processes) == 0 {
@@ -66,29 +69,29 @@
 	return m.processes[len(m.processes)-1]
 }
 
-// Start starts the links and all processes at once, and waits until all take clients.
+// Start starts the links, then all processes in parallel, and waits until all are ready for clients.
 func Start(o Options) (*Rig, error) {
-	r := &Rig{options: o, members: map[string]*member{}, links: map[pair]*link.Link{}}
+	r := &Rig{options: o, members: map[string]*runningMember{}, links: map[linkKey]*link.Link{}}
 	if err := r.prepare(); err != nil {
 		r.Close()
 		return nil, err
 	}
-	if err := r.each(o.Names, r.launch); err != nil {
+	if err := r.forEach(o.Names, r.startProcess); err != nil {
 		r.Close()
 		return nil, err
 	}
 	return r, nil
 }
 
-// prepare makes the members' folders and addresses, and the links between them.
+// prepare creates the members' folders, chooses their addresses and starts the links between them.
 func (r *Rig) prepare() error {
 	for _, name := range r.options.Names {
-		free, err := program.FreeAddresses(2)
+		freeAddresses, err := program.FreeAddresses(2)
 		if err != nil {
 			return err
 		}
-		m := &member{clients: free[0], files: filepath.Join(r.options.Dir, name)}
-		m.Member = Member{Name: name, StateDir: filepath.Join(m.files, "state"), PeerListen: free[1],
+		m := &runningMember{clientAddress: freeAddresses[0], dir: filepath.Join(r.options.Dir, name)}
+		m.Member = Member{Name: name, StateDir: filepath.Join(m.dir, "state"), PeerListen: freeAddresses[1],
 			PeerLinks: map[string]string{}}
 		if err := os.MkdirAll(m.StateDir, 0o700); err != nil {
 			return err
@@ -105,23 +108,23 @@
 			if err != nil {
 				return err
 			}
-			r.links[pair{from, to}] = l
+			r.links[linkKey{from, to}] = l
 			r.members[from].PeerLinks[to] = l.Address()
 		}
 	}
 	return nil
 }
 
-// launch starts a process of a member, beside those that run.
-func (r *Rig) launch(name string) error {
+// startProcess starts a new process of a member, which becomes the current one. Earlier processes may still run.
+func (r *Rig) startProcess(name string) error {
 	m := r.members[name]
 	args, err := r.options.Args(m.Member)
 	if err != nil {
 		return err
 	}
-	o := r.options.Program
-	o.Name, o.Dir, o.Listen, o.Args = name, m.files, m.clients, args
-	p, err := program.Start(o)
+	options := r.options.Program
+	options.Name, options.Dir, options.Listen, options.Args = name, m.dir, m.clientAddress, args
+	p, err := program.Start(options)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -131,27 +134,27 @@
 	return nil
 }
 
-// each does something for several members at once and joins what failed.
-func (r *Rig) each(names []string, do func(name string) error) error {
-	faults := make([]error, len(names))
-	var wait sync.WaitGroup
+// forEach calls do for several members in parallel and joins the errors.
+func (r *Rig) forEach(names []string, do func(name string) error) error {
+	errs := make([]error, len(names))
+	var group sync.WaitGroup
 	for i, name := range names {
-		wait.Go(func() { faults[i] = do(name) })
+		group.Go(func() { errs[i] = do(name) })
 	}
-	wait.Wait()
-	return errors.Join(faults...)
+	group.Wait()
+	return errors.Join(errs...)
 }
 
-// Names are the members, sorted.
+// Names returns the sorted names of the members.
 func (r *Rig) Names() []string { return slices.Sorted(maps.Keys(r.members)) }
 
-// Member is what a member was told of its place.
+// Member returns the identity and the addresses of a member.
 func (r *Rig) Member(name string) Member { return r.members[name].Member }
 
-// Process is a member's present process, which may have ended.
-func (r *Rig) Process(name string) *program.Process { return r.members[name].now() }
+// Process returns a member's current process, which may have exited.
+func (r *Rig) Process(name string) *program.Process { return r.members[name].currentProcess() }
 
-// Log is all that the processes of a member have logged.
+// Log returns the logs of all processes of a member.
 func (r *Rig) Log(name string) (text string) {
 	m := r.members[name]
 	m.mu.Lock()
@@ -162,10 +165,10 @@
 	return text
 }
 
-// Link is the one on which a member dials another.
-func (r *Rig) Link(from, to string) *link.Link { return r.links[pair{from, to}] }
+// Link returns the link on which one member dials another.
+func (r *Rig) Link(from, to string) *link.Link { return r.links[linkKey{from, to}] }
 
-// Partition cuts both links between each of some members and each of the rest, both ways.
+// Partition separates the named members from the rest: it cuts all links between the two groups in both directions.
 func (r *Rig) Partition(names ...string) {
 	for p, l := range r.links {
 		if slices.Contains(names, p.from) != slices.Contains(names, p.to) {
@@ -174,7 +177,7 @@
 	}
 }
 
-// CutOutgoing loses what a member says, and passes on what it is told.
+// CutOutgoing drops everything that a member sends to its peers. What its peers send still arrives.
 func (r *Rig) CutOutgoing(name string) {
 	for p, l := range r.links {
 		switch name {
@@ -186,59 +189,59 @@
 	}
 }
 
-// SetFrameFaults makes faults happen to the frames of all links.
+// SetFrameFaults sets the frame faults of all links.
 func (r *Rig) SetFrameFaults(f link.FrameFaults) {
 	for _, l := range r.links {
 		l.SetFrameFaults(f)
 	}
 }
 
-// Heal ends the faults of all links.
+// Heal ends all faults of all links.
 func (r *Rig) Heal() {
 	for _, l := range r.links {
 		l.Heal()
 	}
 }
 
-// Freeze stops a member's process where it is (SIGSTOP), and returns when it stands still.
+// Freeze stops a member's process (SIGSTOP) and waits until all of its threads have stopped.
 func (r *Rig) Freeze(name string) error { return r.Process(name).Freeze() }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (r *Rig) Thaw(name string) error { return r.Process(name).Thaw() }
 
-// Kill ends the processes of some members within one moment (SIGKILL).
+// Kill kills the processes of several members in parallel (SIGKILL).
 func (r *Rig) Kill(names ...string) {
-	r.each(names, func(name string) error {
+	r.forEach(names, func(name string) error {
 		r.Process(name).Kill()
 		return nil
 	})
 }
 
-// WipeState removes what a member's process has kept; none of its processes may run.
+// WipeState deletes the stored state of a member. None of its processes may be running.
 func (r *Rig) WipeState(name string) error {
 	state := r.members[name].StateDir
 	return errors.Join(os.RemoveAll(state), os.MkdirAll(state, 0o700))
 }
 
-// Restart starts processes of members whose processes have ended, with what those have kept.
-func (r *Rig) Restart(names ...string) error { return r.each(names, r.launch) }
+// Restart starts new processes of members whose processes have exited. The stored state is kept.
+func (r *Rig) Restart(names ...string) error { return r.forEach(names, r.startProcess) }
 
-// Replace starts a second process of a member beside the present one, and returns that when the second takes
-// clients. The first is then to be told to end.
+// Replace starts a second process of a member while the current one runs. When the second is ready for clients, Replace
+// returns the first, which the caller must then terminate.
 func (r *Rig) Replace(name string) (old *program.Process, err error) {
 	old = r.Process(name)
-	return old, r.launch(name)
+	return old, r.startProcess(name)
 }
 
-// Terminate tells a process to end (SIGTERM) and waits for that.
+// Terminate asks a process to exit (SIGTERM) and waits until it has exited.
 func (r *Rig) Terminate(p *program.Process) error {
 	if err := p.Terminate(); err != nil {
 		return err
 	}
-	return p.Wait(leaveTime)
+	return p.Wait(exitTimeout)
 }
 
-// Close kills all processes that still run, by their id, and ends the links.
+// Close kills the processes that still run, each by its process id, and closes the links.
 func (r *Rig) Close() {
 	for _, m := range r.members {
 		m.mu.Lock()
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -14,7 +14,7 @@
 	"topazfall/internal/lab/program"
 )
 
-// The program is this test's own binary, started again: the bare dispatcher.
+// The dispatcher processes are this test binary, started again with TOPAZFALL_PLAYED set.
 func TestMain(m *testing.M) {
 	if os.Getenv("TOPAZFALL_PLAYED") != "" {
 		if instance.Run(nil) != nil {
@@ -25,21 +25,23 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func start(t *testing.T, names ...string) *Rig {
-	list, err := discoveryserver.Start()
+func startRig(t *testing.T, names ...string) *Rig {
+	discovery, err := discoveryserver.Start()
 	require.NoError(t, err)
-	t.Cleanup(list.Close)
-	list.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
+	t.Cleanup(discovery.Close)
+	discovery.Update(discoveryserver.Entry{Host: "h", Dial: "127.0.0.1:9", Site: "hall-a", Class: "small", Share: 1})
 	r, err := Start(Options{Dir: t.TempDir(), Names: names, Args: func(Member) ([]string, error) { return nil, nil },
-		Program: program.Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"}, Discovery: list.Address()}})
+		Program: program.Options{ProgramPath: os.Args[0], Env: []string{"TOPAZFALL_PLAYED=1"},
+			Discovery: discovery.Address()}})
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
 	return r
 }
 
-func answers(r *Rig, name string) bool {
+// isAnswering reports whether a member's process answers a request.
+func isAnswering(r *Rig, name string) bool {
 	c, err := net.DialTimeout("tcp", r.Process(name).Address(), time.Second)
 	if err != nil {
 		return false
@@ -53,19 +55,19 @@
 	return err == nil
 }
 
-// A frozen process says nothing and one that is woken goes on; a killed one comes back under its name and address, with
-// what it kept or without.
-func TestProcesses(t *testing.T) {
-	r := start(t, "a", "b", "c")
+// A frozen process does not answer until it is thawed. A killed process can be restarted under the same name and
+// address, with its stored state or, after WipeState, without it.
+func TestFreezeKillAndRestart(t *testing.T) {
+	r := startRig(t, "a", "b", "c")
 	require.Equal(t, []string{"a", "b", "c"}, r.Names())
 	for _, name := range r.Names() {
-		require.True(t, answers(r, name))
+		require.True(t, isAnswering(r, name))
 	}
 	require.NoError(t, r.Freeze("a"))
-	require.False(t, answers(r, "a"))
-	require.True(t, answers(r, "b"))
+	require.False(t, isAnswering(r, "a"))
+	require.True(t, isAnswering(r, "b"))
 	require.NoError(t, r.Thaw("a"))
-	require.Eventually(t, func() bool { return answers(r, "a") }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return isAnswering(r, "a") }, testTimeout, 10*time.Millisecond)
 
 	kept := filepath.Join(r.Member("b").StateDir, "kept")
 	require.NoError(t, os.WriteFile(kept, nil, 0o600))
@@ -79,28 +81,29 @@
 	require.NoError(t, r.WipeState("b"))
 	require.NoError(t, r.Restart("b"))
 	require.NoFileExists(t, kept)
-	require.True(t, answers(r, "b"))
+	require.True(t, isAnswering(r, "b"))
 }
 
-// A second process takes the first one's place under the same address, and the first one ends when it is told to.
+// A second process takes over from the first under the same address, and the first one exits on SIGTERM.
 func TestReplace(t *testing.T) {
-	r := start(t, "a")
+	r := startRig(t, "a")
 	old, err := r.Replace("a")
 	require.NoError(t, err)
 	require.False(t, old.HasExited())
 	require.Equal(t, old.Address(), r.Process("a").Address())
 	require.NoError(t, r.Terminate(old))
-	require.True(t, answers(r, "a"))
+	require.True(t, isAnswering(r, "a"))
 	require.Contains(t, r.Log("a"), "young=here")
 }
 
-// A link carries what one member dials to another, and what is cut does not come.
-func TestLinks(t *testing.T) {
-	r := start(t, "a", "b", "c")
+// A link carries the connections from one member to another. A partition holds them back, but not those between members
+// on the same side of it.
+func TestPartition(t *testing.T) {
+	r := startRig(t, "a", "b", "c")
 	listener, err := net.Listen("tcp", r.Member("b").PeerListen)
 	require.NoError(t, err)
 	defer listener.Close()
-	came := make(chan string, 1)
+	received := make(chan string, 1)
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -109,7 +112,7 @@
 			}
 			text := make([]byte, 1)
 			if _, err := c.Read(text); err == nil {
-				came <- string(text)
+				received <- string(text)
 			}
 			c.Close()
 		}
@@ -123,8 +126,8 @@
 	require.NoError(t, err)
 	defer d.Close()
 	d.Write([]byte("2"))
-	require.Equal(t, "2", <-came, "on the same side of the cut")
+	require.Equal(t, "2", <-received, "only the member on the same side of the partition gets through")
 	require.Zero(t, r.Link("a", "b").Bytes(0))
 	r.Heal()
-	require.Equal(t, "1", <-came)
+	require.Equal(t, "1", <-received)
 }
