--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -12,145 +12,145 @@
 )
 
 const (
-	leastDeadline = 3 * time.Second        // that the platform counts
-	killAfter     = 700 * time.Millisecond // beyond the longest deadline
-	firstHangup   = time.Second            // no SIGHUP comes sooner after a process is ready
-	hangups       = 3                      // of a series
+	minPlatformDeadline = 3 * time.Second        // assumed by the platform where all deadlines are shorter
+	killGrace           = 700 * time.Millisecond // from the longest deadline to the kill
+	minHangupDelay      = time.Second            // from the time a process is ready to its first SIGHUP
+	hangupCount         = 3                      // SIGHUPs in a series
 )
 
-// killTime is how long after SIGTERM the kill comes at the earliest.
-func (i *installation) killTime() time.Duration {
-	return max(i.plan.Deadline, leastDeadline) + killAfter
+// killTime returns the shortest time from SIGTERM to the kill.
+func (inst *installation) killTime() time.Duration {
+	return max(inst.plan.Deadline, minPlatformDeadline) + killGrace
 }
 
-// act does the steps of a member one after the other.
-func (m *member) act(ctx context.Context) error {
+// runSteps runs the steps of a member one after the other.
+func (m *member) runSteps(ctx context.Context) error {
 	for _, s := range m.plan.ProcessSteps[m.index] {
 		if sleep(ctx, s.Delay); ctx.Err() != nil {
 			return nil
 		}
-		if err := m.step(s); err != nil {
+		if err := m.runStep(s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// step does one step, while nobody else does anything to the member's processes.
-func (m *member) step(s ProcessStep) error {
-	m.acting.Lock()
-	defer m.acting.Unlock()
+// runStep runs one step. No other step acts on the member's processes at the same time.
+func (m *member) runStep(s ProcessStep) error {
+	m.stepMutex.Lock()
+	defer m.stepMutex.Unlock()
 	p := m.rig.Process(m.name)
 	if p.HasExited() { // by itself
-		m.ended(p)
-		return m.launch(false)
+		m.recordExit(p)
+		return m.startProcess(false)
 	}
 	switch s.Action {
 	case Terminate, TerminateTwice, HangupThenTerminate, TerminateThenHangup:
-		return m.endAndStart(p, s)
+		return m.restart(p, s)
 	case Reload:
-		m.hangups(s, p)
+		m.sendHangups(s, p)
 		return nil
 	case Freeze:
-		held(p, func() {})
+		whileFrozen(p, func() {})
 		return nil
 	case Kill:
 		m.kill(p)
-		return m.launch(false)
+		return m.startProcess(false)
 	}
 	return m.replace(p, s)
 }
 
-// life notes something of the life of a process.
-func (m *member) life(p *program.Process, change func(l *ProcessRecord, now time.Time)) {
-	m.note(func(now time.Time) { change(m.lives[p], now) })
+// updateRecord changes the record of a process.
+func (m *member) updateRecord(p *program.Process, change func(r *ProcessRecord, now time.Time)) {
+	m.record(func(now time.Time) { change(m.processes[p], now) })
 }
 
-// launch starts a process of the member and waits until it is ready.
-func (m *member) launch(successor bool) error {
-	l := &ProcessRecord{Process: m.name, Started: time.Now(), Successor: successor}
+// startProcess starts a process of the member and waits until it is ready.
+func (m *member) startProcess(successor bool) error {
+	record := &ProcessRecord{Process: m.name, Started: time.Now(), Successor: successor}
 	err := m.rig.Restart(m.name)
 	if err != nil {
 		return err
 	}
-	l.Ready = time.Now()
-	m.note(func(time.Time) { m.lives[m.rig.Process(m.name)] = l })
+	record.Ready = time.Now()
+	m.record(func(time.Time) { m.processes[m.rig.Process(m.name)] = record })
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.closedFor = time.Time{}
+	m.connectableUntil = time.Time{}
 	return nil
 }
 
-// held does something while a process stands still, as one that is off its core does for a moment, and lets it run
-// again before anything else can hold it: the operators' bounds allow for one such moment, not for two in a row. One
-// that has ended does not mind.
-func held(p *program.Process, do func()) {
+// whileFrozen calls do while a process is frozen, as if it got no CPU for a moment. Then it lets the process run for
+// some time before it can be frozen again: the operators' limits allow for one such pause, but not for two in a row. A
+// process that has exited is not affected.
+func whileFrozen(p *program.Process, do func()) {
 	p.Freeze()
 	do()
-	time.Sleep(frozenFor)
+	time.Sleep(freezeTime)
 	p.Thaw()
-	time.Sleep(thawedFor)
+	time.Sleep(thawTime)
 }
 
-// signal sends a process a signal, as the step says.
-func (s ProcessStep) signal(p *program.Process, send func()) {
+// sendSignal calls send, which signals the process. The process is frozen meanwhile if the step says so.
+func (s ProcessStep) sendSignal(p *program.Process, send func()) {
 	if s.FreezeOnSignal {
-		held(p, send)
+		whileFrozen(p, send)
 		return
 	}
 	send()
 }
 
-// terminate tells a process to end.
+// terminate sends SIGTERM to a process.
 func (m *member) terminate(p *program.Process, s ProcessStep) {
-	s.signal(p, func() {
-		m.life(p, func(l *ProcessRecord, now time.Time) {
-			if l.Terminated.IsZero() {
-				l.Terminated = now
+	s.sendSignal(p, func() {
+		m.updateRecord(p, func(r *ProcessRecord, now time.Time) {
+			if r.Terminated.IsZero() {
+				r.Terminated = now
 			}
 		})
 		p.Terminate()
 	})
 }
 
-// hangup tells a process to read its configuration again, which names the other address of discovery.
-func (m *member) hangup(p *program.Process, s ProcessStep) {
+// sendHangup changes the discovery address in a process's configuration and sends SIGHUP, so that the process reads it.
+func (m *member) sendHangup(p *program.Process, s ProcessStep) {
 	ready := time.Time{}
-	m.life(p, func(l *ProcessRecord, _ time.Time) { ready = l.Ready })
-	time.Sleep(time.Until(ready.Add(firstHangup)))
+	m.updateRecord(p, func(r *ProcessRecord, _ time.Time) { ready = r.Ready })
+	time.Sleep(time.Until(ready.Add(minHangupDelay)))
 	p.Configure(func(config map[string]any) {
-		config["discovery"] = m.otherDoor(config["discovery"].(string))
+		config["discovery"] = m.otherEndpoint(config["discovery"].(string))
 	})
-	s.signal(p, func() {
-		m.life(p, func(l *ProcessRecord, now time.Time) { l.DiscoveryMoves = append(l.DiscoveryMoves, now) })
+	s.sendSignal(p, func() {
+		m.updateRecord(p, func(r *ProcessRecord, now time.Time) { r.DiscoveryMoves = append(r.DiscoveryMoves, now) })
 		p.Reload()
 	})
 }
 
-func (m *member) otherDoor(address string) string {
-	if address == m.doors[0].Address() {
-		return m.doors[1].Address()
+func (m *member) otherEndpoint(address string) string {
+	if address == m.endpoints[0].Address() {
+		return m.endpoints[1].Address()
 	}
-	return m.doors[0].Address()
+	return m.endpoints[0].Address()
 }
 
-// hangups sends a series of SIGHUP to processes.
-func (m *member) hangups(s ProcessStep, processes ...*program.Process) {
-	for range hangups {
+// sendHangups sends a series of SIGHUPs to each process.
+func (m *member) sendHangups(s ProcessStep, processes ...*program.Process) {
+	for range hangupCount {
 		for _, p := range processes {
-			m.hangup(p, s)
+			m.sendHangup(p, s)
 		}
 		time.Sleep(s.SignalGap)
 	}
 }
 
-// endAndStart ends a process as a planned restart does, and starts one from nothing.
-func (m *member) endAndStart(p *program.Process, s ProcessStep) error {
+// restart terminates a process as in a planned restart, and starts a new one after it has exited.
+func (m *member) restart(p *program.Process, s ProcessStep) error {
 	if s.Action == HangupThenTerminate {
-		m.hangup(p, s)
+		m.sendHangup(p, s)
 	}
 	m.mu.Lock()
-	m.closedFor = time.Now().Add(s.AcceptAfterTerm)
+	m.connectableUntil = time.Now().Add(s.AcceptAfterTerm)
 	m.mu.Unlock()
 	m.terminate(p, s)
 	time.Sleep(s.SignalGap)
@@ -158,46 +158,46 @@
 	case TerminateTwice:
 		m.terminate(p, s)
 	case TerminateThenHangup:
-		m.hangup(p, s)
+		m.sendHangup(p, s)
 	}
-	m.awaitEnd(p)
-	return m.launch(false)
+	m.awaitExit(p)
+	return m.startProcess(false)
 }
 
-// awaitEnd waits for the end of a process that was told to end, and kills it at the earliest moment.
-func (m *member) awaitEnd(p *program.Process) {
-	told := time.Time{}
-	m.life(p, func(l *ProcessRecord, _ time.Time) { told = l.Terminated })
-	if p.Wait(time.Until(told.Add(m.killTime()))) != nil {
+// awaitExit waits for a terminated process to exit, and kills it at the earliest time.
+func (m *member) awaitExit(p *program.Process) {
+	terminated := time.Time{}
+	m.updateRecord(p, func(r *ProcessRecord, _ time.Time) { terminated = r.Terminated })
+	if p.Wait(time.Until(terminated.Add(m.killTime()))) != nil {
 		m.kill(p)
 		return
 	}
-	m.ended(p)
+	m.recordExit(p)
 }
 
-// kill kills a process.
+// kill kills a process and records that, unless it has already exited.
 func (m *member) kill(p *program.Process) {
 	if p.HasExited() {
-		m.ended(p)
+		m.recordExit(p)
 		return
 	}
-	m.life(p, func(l *ProcessRecord, now time.Time) { l.Killed = now })
+	m.updateRecord(p, func(r *ProcessRecord, now time.Time) { r.Killed = now })
 	p.Kill()
-	m.ended(p)
+	m.recordExit(p)
 }
 
-// ended notes how a process ended.
-func (m *member) ended(p *program.Process) {
-	m.life(p, func(l *ProcessRecord, now time.Time) {
-		l.Ended, l.ExitCode, l.CrashLine = now, p.ExitCode(), fatal(p.Log())
+// recordExit records when and how a process exited.
+func (m *member) recordExit(p *program.Process) {
+	m.updateRecord(p, func(r *ProcessRecord, now time.Time) {
+		r.Ended, r.ExitCode, r.CrashLine = now, p.ExitCode(), crashLine(p.Log())
 	})
 }
 
-// fatal is the line of a log that tells of a crash, if one does.
-func fatal(log string) string {
+// crashLine returns the first line of a log that shows a crash, or "".
+func crashLine(log string) string {
 	for line := range strings.Lines(log) {
-		for _, sign := range []string{"panic:", "fatal error:", "SIGABRT", "DATA RACE"} {
-			if strings.Contains(line, sign) {
+		for _, marker := range []string{"panic:", "fatal error:", "SIGABRT", "DATA RACE"} {
+			if strings.Contains(line, marker) {
 				return strings.TrimSpace(line)
 			}
 		}
@@ -205,53 +205,53 @@
 	return ""
 }
 
-// replace has other processes take the place of one, as the act says, and ends all but the last.
+// replace starts one or two successors of a process, as the action says, and terminates all but the last.
 func (m *member) replace(p *program.Process, s ProcessStep) error {
-	var leaving sync.WaitGroup
-	end := func(p *program.Process) {
+	var exits sync.WaitGroup
+	terminate := func(p *program.Process) {
 		m.terminate(p, s)
-		leaving.Go(func() { m.awaitEnd(p) })
+		exits.Go(func() { m.awaitExit(p) })
 	}
 	switch s.Action {
 	case TerminateDuringReplace:
-		leaving.Go(func() {
+		exits.Go(func() {
 			time.Sleep(s.SignalGap)
 			m.terminate(p, s)
 		})
 	case HangupDuringReplace:
-		m.hangup(p, s)
+		m.sendHangup(p, s)
 	}
-	if err := m.launch(true); err != nil {
+	if err := m.startProcess(true); err != nil {
 		return err
 	}
 	second := m.rig.Process(m.name)
 	switch s.Action {
 	case HangupDuringReplace:
-		m.hangups(s, p, second)
+		m.sendHangups(s, p, second)
 	case ReplaceTwice:
-		if err := m.launch(true); err != nil {
+		if err := m.startProcess(true); err != nil {
 			return err
 		}
-		end(second)
+		terminate(second)
 	}
-	end(p)
-	leaving.Wait()
+	terminate(p)
+	exits.Wait()
 	return nil
 }
 
-// joint does the joint steps of the plan.
-func (i *installation) joint(ctx context.Context) error {
+// runJointSteps runs the joint steps of the plan.
+func (inst *installation) runJointSteps(ctx context.Context) error {
 	began := time.Now()
-	for _, j := range i.plan.JointSteps {
+	for _, j := range inst.plan.JointSteps {
 		if sleep(ctx, time.Until(began.Add(j.At))); ctx.Err() != nil {
 			return nil
 		}
-		faults := make(chan error, len(j.Processes))
+		errs := make(chan error, len(j.Processes))
 		for _, k := range j.Processes {
-			go func() { faults <- i.members[k].step(j.Step) }()
+			go func() { errs <- inst.members[k].runStep(j.Step) }()
 		}
 		for range j.Processes {
-			if err := <-faults; err != nil {
+			if err := <-errs; err != nil {
 				return err
 			}
 		}
@@ -259,59 +259,59 @@
 	return nil
 }
 
-// trouble does the steps of the workers.
-func (i *installation) trouble(ctx context.Context) error {
+// runWorkerSteps runs the steps of the workers.
+func (inst *installation) runWorkerSteps(ctx context.Context) error {
 	began := time.Now()
-	var wait sync.WaitGroup
-	defer wait.Wait()
-	for _, s := range i.plan.WorkerSteps {
+	var running sync.WaitGroup
+	defer running.Wait()
+	for _, s := range inst.plan.WorkerSteps {
 		if sleep(ctx, time.Until(began.Add(s.At))); ctx.Err() != nil {
 			return nil
 		}
-		wait.Go(func() { i.troubled(ctx, s) })
+		running.Go(func() { inst.runWorkerStep(ctx, s) })
 	}
 	return nil
 }
 
-// troubled does one step of a worker, to its end.
-func (i *installation) troubled(ctx context.Context, s WorkerStep) {
-	h := i.workers[s.Worker]
+// runWorkerStep runs one step of a worker and returns when it has ended.
+func (inst *installation) runWorkerStep(ctx context.Context, s WorkerStep) {
+	h := inst.workers[s.Worker]
 	switch s.Disruption {
 	case DrainWorker:
-		i.listed(s.Worker, "draining", time.Time{})
+		inst.setWorkerHealth(s.Worker, "draining", time.Time{})
 		sleep(ctx, s.Duration)
-		i.listed(s.Worker, "up", time.Time{})
+		inst.setWorkerHealth(s.Worker, "up", time.Time{})
 	case RestartWorker:
-		i.listed(s.Worker, "removed", time.Time{})
-		h.Crash(onAddress)
+		inst.setWorkerHealth(s.Worker, "removed", time.Time{})
+		h.Crash(workerAddress)
 		sleep(ctx, s.Duration)
-		h.SetFault(onAddress, host.Serve)
-		i.listed(s.Worker, "up", time.Now())
+		h.SetFault(workerAddress, host.Serve)
+		inst.setWorkerHealth(s.Worker, "up", time.Now())
 	case CloseIdleConnections:
-		h.CloseIdle(onAddress, s.Reset)
+		h.CloseIdle(workerAddress, s.Reset)
 	case FaultyWorker:
 		if s.Fault == host.Refuse {
-			h.Crash(onAddress)
+			h.Crash(workerAddress)
 		} else {
-			h.SetFault(onAddress, s.Fault)
+			h.SetFault(workerAddress, s.Fault)
 		}
 		sleep(ctx, s.Duration)
-		h.SetFault(onAddress, host.Serve)
+		h.SetFault(workerAddress, host.Serve)
 	}
 }
 
-// outages does the faults of discovery.
-func (i *installation) outages(ctx context.Context) error {
+// runDiscoverySteps runs the faults of discovery.
+func (inst *installation) runDiscoverySteps(ctx context.Context) error {
 	began := time.Now()
-	for _, s := range i.plan.DiscoverySteps {
+	for _, s := range inst.plan.DiscoverySteps {
 		if sleep(ctx, time.Until(began.Add(s.At))); ctx.Err() != nil {
 			return nil
 		}
 		from := time.Now()
-		i.list.SetFault(s.Fault)
+		inst.discovery.SetFault(s.Fault)
 		sleep(ctx, s.Duration)
-		i.list.SetFault(discoveryserver.NoFault)
-		i.note(func(now time.Time) { i.history.Outages = append(i.history.Outages, Outage{from, now}) })
+		inst.discovery.SetFault(discoveryserver.NoFault)
+		inst.record(func(now time.Time) { inst.history.Outages = append(inst.history.Outages, Outage{from, now}) })
 	}
 	return nil
 }
--- a/internal/lab/soak/audit.go
+++ b/internal/lab/soak/audit.go
@@ -10,60 +10,60 @@
 	"topazfall/internal/lab/client"
 )
 
-// The bounds, as the operators' pages have them.
+// The bounds from the operators' pages.
 const (
-	wireSlack    = 50 * time.Millisecond  // every time limit is longer by that on sockets
-	answerGrace  = 500 * time.Millisecond // beyond its time a request earns nothing; from then on it is lost
-	departure    = 100 * time.Millisecond // from a client's close until no attempt begins any more
-	timeoutSlack = 150 * time.Millisecond // by which the time that an attempt tells may be over what is left
-	errorOwed    = 3 * time.Second        // to who does what the protocol does not allow
-	toldAsked    = 6 * time.Second        // lists that are asked for count as told
-	toldMoved    = 4 * time.Second        // after a new address of discovery
-	toldReplaced = 2 * time.Second        // after a successor is ready
-	readySoon    = 10 * time.Second       // for nine processes in ten
-	readyAtAll   = 30 * time.Second       // for all
-	lateArrival  = 700 * time.Millisecond // after SIGTERM: what comes later is lost where the kill finds it
-	killSeen     = 500 * time.Millisecond // by which a client sees a kill later
+	wireSlack            = 50 * time.Millisecond  // added to every time limit, as times are taken on sockets
+	answerGrace          = 500 * time.Millisecond // past its timeout a request earns nothing; past this too it is lost
+	departureBound       = 100 * time.Millisecond // from a client's close until no attempt may begin any more
+	timeoutSlack         = 150 * time.Millisecond // by which the timeout of an attempt may exceed the time left
+	errorDeadline        = 3 * time.Second        // for the error or close after a client violated the protocol
+	subscribedListBound  = 6 * time.Second        // for a change to arrive where lists must be requested
+	movedListBound       = 4 * time.Second        // the same after a move to another discovery address
+	successorListBound   = 2 * time.Second        // the same after a successor is ready
+	readyBoundP90        = 10 * time.Second       // start time of nine processes in ten
+	readyBoundMax        = 30 * time.Second       // start time of every process
+	lateArrivalAfterTerm = 700 * time.Millisecond // after SIGTERM; a later request that the kill ends is lost
+	killDetectionTime    = 500 * time.Millisecond // from a kill until clients have noticed it
 )
 
-// Rule is a term that a run may break.
+// Rule is a rule of the operators that a run may violate.
 type Rule string
 
 // The rules.
 const (
-	RuleLost      Rule = "lost"      // a request without its one final answer in time
-	RuleClosed    Rule = "closed"    // a request that was read and whose connection was closed without an answer
-	RuleDuplicate Rule = "duplicate" // an attempt beside one that may run, or outside its window or class
-	RuleRefused   Rule = "refused"   // a refusal of what may have run, and must not run again
-	RuleInvented  Rule = "invented"  // a served body that no worker made
-	RuleDrain     Rule = "drain"     // new work for a worker that wants none
-	RuleDeparted  Rule = "departed"  // an attempt for a client that had gone
-	RuleTimeout   Rule = "timeout"   // an attempt that tells its worker more time than is left
-	RuleErrorOwed Rule = "owed"      // neither error nor close for who does what the protocol does not allow
-	RuleCrash     Rule = "crash"     // a process that ended by itself, or badly
+	RuleLost      Rule = "lost"      // a request without exactly one final answer in time
+	RuleClosed    Rule = "closed"    // a request that was read, but its connection was closed without an answer
+	RuleDuplicate Rule = "duplicate" // an attempt that the class does not allow, or while another one may be running
+	RuleRefused   Rule = "refused"   // a refusal of a request that may have run and must run at most once
+	RuleInvented  Rule = "invented"  // an answer that no worker sent, or an attempt for a request that no client sent
+	RuleDrain     Rule = "drain"     // new work for a worker that is draining or removed
+	RuleDeparted  Rule = "departed"  // an attempt for a client that has disconnected
+	RuleTimeout   Rule = "timeout"   // an attempt whose timeout exceeds the time left
+	RuleErrorOwed Rule = "owed"      // neither an error nor a close in time for a client that violated the protocol
+	RuleCrash     Rule = "crash"     // a process that exited by itself or with an error
 	RuleReady     Rule = "ready"     // a start that took too long
-	RuleLeak      Rule = "leak"      // something left over
+	RuleLeak      Rule = "leak"      // descriptors, requests or goroutines that were not released
 )
 
-// Violation is a broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule    Rule      `json:"rule"`
 	Process string    `json:"process,omitempty"`
 	ID      string    `json:"id,omitempty"` // of the request
 	At      time.Time `json:"at"`
 	Message string    `json:"what"`
-	Events  []string  `json:"around"` // the events round it
+	Events  []string  `json:"around"` // events of the request, and others near that time
 }
 
-// auditor judges one history.
+// auditor checks one history against the rules.
 type auditor struct {
 	*History
-	requests map[string][]Request
-	attempts map[string][]Attempt
-	breaks   []Violation
+	requests   map[string][]Request
+	attempts   map[string][]Attempt
+	violations []Violation
 }
 
-// Audit names the broken rules of a history, in the order of time.
+// Audit returns the violations in a history, in order of time.
 func Audit(h *History) []Violation {
 	a := &auditor{History: h, requests: map[string][]Request{}, attempts: map[string][]Attempt{}}
 	for _, r := range h.Requests {
@@ -76,89 +76,95 @@
 		slices.SortFunc(list, func(s, t Attempt) int { return s.FirstByteAt.Compare(t.FirstByteAt) })
 	}
 	for _, r := range h.Requests {
-		a.answer(r)
+		a.checkOutcome(r)
 	}
 	for id, list := range a.attempts {
-		a.repeats(id, list)
+		a.checkRepeats(id, list)
 		for _, t := range list {
-			a.attempt(t)
+			a.checkAttempt(t)
 		}
 	}
-	a.lives()
-	a.leftovers()
-	slices.SortFunc(a.breaks, func(b, c Violation) int {
+	a.checkProcesses()
+	a.checkLeftovers()
+	slices.SortFunc(a.violations, func(b, c Violation) int {
 		return cmp.Or(b.At.Compare(c.At), cmp.Compare(b.Rule, c.Rule), cmp.Compare(b.ID, c.ID))
 	})
-	return a.breaks
+	return a.violations
 }
 
-// broken notes a broken rule.
-func (a *auditor) broken(rule Rule, process, id string, at time.Time, what string, values ...any) {
-	a.breaks = append(a.breaks, Violation{rule, process, id, at, fmt.Sprintf(what, values...), a.around(process, id, at)})
+// addViolation records a violation and the events around it.
+func (a *auditor) addViolation(rule Rule, process, id string, at time.Time, format string, values ...any) {
+	a.violations = append(a.violations,
+		Violation{rule, process, id, at, fmt.Sprintf(format, values...), a.eventsNear(process, id, at)})
 }
 
-// answer judges what a client got.
-func (a *auditor) answer(r Request) {
+// checkOutcome checks the outcome of a request.
+func (a *auditor) checkOutcome(r Request) {
 	if r.Behavior.ViolatesProtocol() {
-		a.owed(r)
+		a.checkProtocolError(r)
 		return
 	}
-	limit := r.Sent.Add(r.Timeout + answerGrace + wireSlack + a.stalled(r.Sent, r.Ended))
+	limit := r.Sent.Add(r.Timeout + answerGrace + wireSlack + a.stalledWithin(r.Sent, r.Ended))
 	switch {
 	case r.Outcome == client.Disconnected:
-	case a.killed(r):
+	case a.isLostToKill(r):
 	case r.Outcome == client.ClosedAfterRead:
-		a.broken(RuleClosed, r.Process, r.ID, r.Ended, "the whole request was read and its connection closed: %v", r.Err)
+		a.addViolation(RuleClosed, r.Process, r.ID, r.Ended, "the whole request was read and its connection closed: %v",
+			r.Err)
 	case r.Outcome == client.TimedOut:
-		a.broken(RuleLost, r.Process, r.ID, r.Ended, "no answer %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Timeout)
+		a.addViolation(RuleLost, r.Process, r.ID, r.Ended, "no answer %v after it was sent, of %v", r.Ended.Sub(r.Sent),
+			r.Timeout)
 	case r.Outcome == client.Answered && r.Ended.After(limit):
-		a.broken(RuleLost, r.Process, r.ID, r.Ended, "answered %v after it was sent, of %v", r.Ended.Sub(r.Sent), r.Timeout)
+		a.addViolation(RuleLost, r.Process, r.ID, r.Ended, "answered %v after it was sent, of %v", r.Ended.Sub(r.Sent),
+			r.Timeout)
 	case r.Outcome == client.Answered:
-		a.said(r)
+		a.checkAnswer(r)
 	}
 }
 
-// said judges what an answer says.
-func (a *auditor) said(r Request) {
+// checkAnswer checks the status and the body of an answer in time.
+func (a *auditor) checkAnswer(r Request) {
 	ran := slices.ContainsFunc(a.attempts[r.ID], func(t Attempt) bool { return t.mayHaveRun() })
-	made := slices.ContainsFunc(a.attempts[r.ID], func(t Attempt) bool { return r.Body == t.Worker+" "+r.ID })
+	isFromWorker := slices.ContainsFunc(a.attempts[r.ID], func(t Attempt) bool { return r.Body == t.Worker+" "+r.ID })
 	switch {
 	case r.ExtraBytes > 0:
-		a.broken(RuleLost, r.Process, r.ID, r.Ended, "%d bytes came behind its final answer", r.ExtraBytes)
-	case r.Status == 200 && !made:
-		a.broken(RuleInvented, r.Process, r.ID, r.Ended, "served with %q", r.Body)
+		a.addViolation(RuleLost, r.Process, r.ID, r.Ended, "%d bytes came behind its final answer", r.ExtraBytes)
+	case r.Status == 200 && !isFromWorker:
+		a.addViolation(RuleInvented, r.Process, r.ID, r.Ended, "served with %q", r.Body)
 	case (r.Status == 429 || r.Status == 503) && ran && a.Terms.class(r.Class).Repeat == AtMostOnce:
-		a.broken(RuleRefused, r.Process, r.ID, r.Ended, "refused with %d though it may have run", r.Status)
+		a.addViolation(RuleRefused, r.Process, r.ID, r.Ended, "refused with %d though it may have run", r.Status)
 	}
 }
 
-// owed judges what somebody got who did what the protocol does not allow.
-func (a *auditor) owed(r Request) {
-	within := errorOwed
-	if r.Behavior == client.TwoRequests { // the first of the two may be taken
-		within = max(within, r.Timeout+answerGrace)
+// checkProtocolError checks that a client that violated the protocol got an error or a close in time.
+func (a *auditor) checkProtocolError(r Request) {
+	bound := errorDeadline
+	if r.Behavior == client.TwoRequests { // the first of the two requests may be served
+		bound = max(bound, r.Timeout+answerGrace)
 	}
-	took := r.Ended.Sub(r.Sent)
-	if (r.Outcome == client.TimedOut || took > within+wireSlack+a.stalled(r.Sent, r.Ended)) && !a.killed(r) {
-		a.broken(RuleErrorOwed, r.Process, r.ID, r.Ended, "%v: %v after %v", r.Behavior, r.Outcome, took)
+	elapsed := r.Ended.Sub(r.Sent)
+	if (r.Outcome == client.TimedOut || elapsed > bound+wireSlack+a.stalledWithin(r.Sent, r.Ended)) &&
+		!a.isLostToKill(r) {
+		a.addViolation(RuleErrorOwed, r.Process, r.ID, r.Ended, "%v: %v after %v", r.Behavior, r.Outcome, elapsed)
 	}
 }
 
-// killed tells whether a request has no answer because its process was killed. What a planned kill finds is lost if it
-// came too late after SIGTERM; what came sooner had its time.
-func (a *auditor) killed(r Request) bool {
-	return r.Outcome != client.Answered && slices.ContainsFunc(a.Processes, func(l ProcessRecord) bool {
-		planned := !l.Terminated.IsZero() && l.Killed.After(l.Terminated)
-		return l.Process == r.Process && !l.Killed.IsZero() && !l.Killed.Before(r.Started) &&
-			r.Ended.Sub(l.Killed) < killSeen && !(planned && r.Sent.Sub(l.Terminated) > lateArrival)
+// isLostToKill reports whether a request has no answer because its process was killed, which is no violation. A request
+// that was sent more than lateArrivalAfterTerm after SIGTERM is an exception: if the planned kill ends it, it counts as
+// lost. Earlier requests had their full time before the kill.
+func (a *auditor) isLostToKill(r Request) bool {
+	return r.Outcome != client.Answered && slices.ContainsFunc(a.Processes, func(p ProcessRecord) bool {
+		planned := !p.Terminated.IsZero() && p.Killed.After(p.Terminated)
+		return p.Process == r.Process && !p.Killed.IsZero() && !p.Killed.Before(r.Started) &&
+			r.Ended.Sub(p.Killed) < killDetectionTime && !(planned && r.Sent.Sub(p.Terminated) > lateArrivalAfterTerm)
 	})
 }
 
-// mayHaveRun tells whether the worker may have begun the job.
+// mayHaveRun reports whether the worker may have begun the job.
 func (t Attempt) mayHaveRun() bool { return !t.LastByteAt.IsZero() && !t.Rejected }
 
-// over is when the attempt had ended or was given up, zero where neither.
-func (t Attempt) over() time.Time {
+// finishedAt returns when the attempt ended or was cancelled, whichever was first, or zero if neither happened.
+func (t Attempt) finishedAt() time.Time {
 	switch {
 	case t.EndedAt.IsZero(), !t.CancelledAt.IsZero() && t.CancelledAt.Before(t.EndedAt):
 		return t.CancelledAt
@@ -166,11 +172,11 @@
 	return t.EndedAt
 }
 
-// repeats judges the attempts of one request, the first first.
-func (a *auditor) repeats(id string, list []Attempt) {
+// checkRepeats checks the attempts of one request, which are in order of time.
+func (a *auditor) checkRepeats(id string, list []Attempt) {
 	class, process := Class{Repeat: AtMostOnce}, ""
-	if of := a.requests[id]; len(of) > 0 {
-		class, process = a.Terms.class(of[0].Class), of[0].Process
+	if requests := a.requests[id]; len(requests) > 0 {
+		class, process = a.Terms.class(requests[0].Class), requests[0].Process
 	}
 	var ran []Attempt
 	for _, t := range list {
@@ -178,15 +184,16 @@
 			continue
 		}
 		for _, before := range ran {
-			slack := wireSlack + a.stalled(before.FirstByteAt, t.LastByteAt)
-			over := before.over()
+			slack := wireSlack + a.stalledWithin(before.FirstByteAt, t.LastByteAt)
+			finished := before.finishedAt()
 			switch {
 			case class.Repeat == AtMostOnce:
-				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it after %s", t.Worker, before.Worker)
-			case over.IsZero() || over.Sub(t.LastByteAt) > slack:
-				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it beside %s", t.Worker, before.Worker)
+				a.addViolation(RuleDuplicate, process, id, t.LastByteAt, "%s has it after %s", t.Worker, before.Worker)
+			case finished.IsZero() || finished.Sub(t.LastByteAt) > slack:
+				a.addViolation(RuleDuplicate, process, id, t.LastByteAt, "%s has it beside %s", t.Worker, before.Worker)
 			case class.Repeat == Keyed && t.FirstByteAt.Sub(ran[0].FirstByteAt) > class.Window+slack:
-				a.broken(RuleDuplicate, process, id, t.LastByteAt, "%s has it %v after the first, the window is %v", t.Worker,
+				a.addViolation(RuleDuplicate, process, id, t.LastByteAt,
+					"%s has it %v after the first, the window is %v", t.Worker,
 					t.FirstByteAt.Sub(ran[0].FirstByteAt), class.Window)
 			}
 		}
@@ -196,38 +203,41 @@
 	}
 }
 
-// attempt judges one attempt by itself.
-func (a *auditor) attempt(t Attempt) {
+// checkAttempt checks one attempt on its own.
+func (a *auditor) checkAttempt(t Attempt) {
 	r, known := a.requestOf(t)
 	if !known {
-		a.broken(RuleInvented, "", t.ID, t.FirstByteAt, "%s has a request that no client sent", t.Worker)
+		a.addViolation(RuleInvented, "", t.ID, t.FirstByteAt, "%s has a request that no client sent", t.Worker)
 		return
 	}
-	slack := wireSlack + a.stalled(t.FirstByteAt.Add(-departure), t.FirstByteAt)
-	if gone := t.FirstByteAt.Sub(r.Ended); r.Outcome == client.Disconnected && gone > departure+slack {
-		a.broken(RuleDeparted, r.Process, t.ID, t.FirstByteAt, "an attempt at %s %v after its client had gone", t.Worker, gone)
+	slack := wireSlack + a.stalledWithin(t.FirstByteAt.Add(-departureBound), t.FirstByteAt)
+	if gone := t.FirstByteAt.Sub(r.Ended); r.Outcome == client.Disconnected && gone > departureBound+slack {
+		a.addViolation(RuleDeparted, r.Process, t.ID, t.FirstByteAt, "an attempt at %s %v after its client had gone",
+			t.Worker, gone)
 	}
 	left := r.Sent.Add(r.Timeout).Sub(t.FirstByteAt)
 	if !t.LastByteAt.IsZero() && t.Timeout > max(left, 0)+timeoutSlack+slack {
-		a.broken(RuleTimeout, r.Process, t.ID, t.FirstByteAt, "%s is told %v, %v are left", t.Worker, t.Timeout, left)
+		a.addViolation(RuleTimeout, r.Process, t.ID, t.FirstByteAt, "%s is told %v, %v are left", t.Worker,
+			t.Timeout, left)
 	}
-	if told, unwanted := a.unwanted(t, r.Process); unwanted {
-		a.broken(RuleDrain, r.Process, t.ID, t.FirstByteAt, "%s had told %v before that it wants nothing", t.Worker,
-			t.FirstByteAt.Sub(told))
+	if notified, isLate := a.isSentAfterDrain(t, r.Process); isLate {
+		a.addViolation(RuleDrain, r.Process, t.ID, t.FirstByteAt, "%s had told %v before that it wants nothing",
+			t.Worker, t.FirstByteAt.Sub(notified))
 	}
 }
 
-// requestOf finds the request of an attempt: the last that was brought before it.
-func (a *auditor) requestOf(t Attempt) (of Request, known bool) {
+// requestOf returns the request of an attempt. If it was sent on two connections, it is the last one that was begun
+// before the attempt.
+func (a *auditor) requestOf(t Attempt) (request Request, known bool) {
 	for _, r := range a.requests[t.ID] {
 		if !known || !r.Started.After(t.FirstByteAt) {
-			of, known = r, true
+			request, known = r, true
 		}
 	}
 	if known {
-		return of, true
+		return request, true
 	}
-	for _, r := range a.Requests { // the second of a doubled one
+	for _, r := range a.Requests { // the second of two requests in one write
 		if r.SecondID == t.ID {
 			return r, true
 		}
@@ -235,51 +245,53 @@
 	return Request{}, false
 }
 
-// unwanted tells whether a worker wanted no new work when an attempt began, and when the dispatcher was told so.
-func (a *auditor) unwanted(t Attempt, process string) (told time.Time, is bool) {
-	for _, l := range a.WorkerUpdates {
-		if l.Worker != t.Worker || l.At.After(t.FirstByteAt) {
+// isSentAfterDrain reports whether an attempt began too late after its worker stopped accepting new work, and by when
+// the dispatcher must have learned of that.
+func (a *auditor) isSentAfterDrain(t Attempt, process string) (notified time.Time, isViolation bool) {
+	for _, update := range a.WorkerUpdates {
+		if update.Worker != t.Worker || update.At.After(t.FirstByteAt) {
 			continue
 		}
-		told = time.Time{}
-		if !l.AcceptsWork {
-			told = a.told(l.At, process)
+		notified = time.Time{}
+		if !update.AcceptsWork {
+			notified = a.notifiedBy(update.At, process)
 		}
 	}
-	late := told.Add(a.Terms.DrainGrace + wireSlack + a.stalled(told, t.FirstByteAt))
-	return told, !told.IsZero() && t.FirstByteAt.After(late)
+	limit := notified.Add(a.Terms.DrainGrace + wireSlack + a.stalledWithin(notified, t.FirstByteAt))
+	return notified, !notified.IsZero() && t.FirstByteAt.After(limit)
 }
 
-// told is when a change counts as told to a dispatcher at the latest.
-func (a *auditor) told(at time.Time, process string) time.Time {
+// notifiedBy returns the time by which a dispatcher must have received a change of the worker list.
+func (a *auditor) notifiedBy(at time.Time, process string) time.Time {
 	for _, o := range a.Outages {
 		if !at.Before(o.From) && at.Before(o.To) {
 			at = o.To
 		}
 	}
 	if a.Terms.Subscribe {
-		return at.Add(toldAsked)
+		return at.Add(subscribedListBound)
 	}
-	told := at
-	until := func(from time.Time, later time.Duration) {
-		if !from.IsZero() && from.After(at.Add(-later)) && from.Before(at.Add(a.Terms.DrainGrace)) {
-			told = latest(told, from.Add(later))
+	notified := at
+	extend := func(from time.Time, bound time.Duration) {
+		if !from.IsZero() && from.After(at.Add(-bound)) && from.Before(at.Add(a.Terms.DrainGrace)) {
+			notified = latest(notified, from.Add(bound))
 		}
 	}
-	for _, l := range a.Processes {
-		if l.Process != process {
+	for _, p := range a.Processes {
+		if p.Process != process {
 			continue
 		}
-		for _, moved := range l.DiscoveryMoves {
-			until(moved, toldMoved)
+		for _, movedAt := range p.DiscoveryMoves {
+			extend(movedAt, movedListBound)
 		}
-		if l.Successor {
-			until(l.Ready, toldReplaced)
+		if p.Successor {
+			extend(p.Ready, successorListBound)
 		}
 	}
-	return told
+	return notified
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -287,51 +299,54 @@
 	return b
 }
 
-// lives judges the starts and the ends of the processes.
-func (a *auditor) lives() {
+// checkProcesses checks the starts and the exits of the processes.
+func (a *auditor) checkProcesses() {
 	late, started := 0, 0
-	for _, l := range a.Processes {
-		took := l.Ready.Sub(l.Started)
-		interrupted := l.Ready.IsZero() && (!l.Terminated.IsZero() || !l.Killed.IsZero())
+	for _, p := range a.Processes {
+		startTime := p.Ready.Sub(p.Started)
+		interrupted := p.Ready.IsZero() && (!p.Terminated.IsZero() || !p.Killed.IsZero())
 		switch {
-		case l.CrashLine != "":
-			a.broken(RuleCrash, l.Process, "", l.Ended, "its log has %q", l.CrashLine)
-		case !l.Ended.IsZero() && l.Terminated.IsZero() && l.Killed.IsZero():
-			a.broken(RuleCrash, l.Process, "", l.Ended, "ended by itself with %d", l.ExitCode)
-		case !l.Ended.IsZero() && l.Killed.IsZero() && l.ExitCode != 0 && !l.Ready.IsZero():
-			a.broken(RuleCrash, l.Process, "", l.Ended, "told to end, it ended with %d", l.ExitCode)
+		case p.CrashLine != "":
+			a.addViolation(RuleCrash, p.Process, "", p.Ended, "its log has %q", p.CrashLine)
+		case !p.Ended.IsZero() && p.Terminated.IsZero() && p.Killed.IsZero():
+			a.addViolation(RuleCrash, p.Process, "", p.Ended, "ended by itself with %d", p.ExitCode)
+		case !p.Ended.IsZero() && p.Killed.IsZero() && p.ExitCode != 0 && !p.Ready.IsZero():
+			a.addViolation(RuleCrash, p.Process, "", p.Ended, "told to end, it ended with %d", p.ExitCode)
 		}
 		if interrupted {
 			continue
 		}
 		started++
-		if l.Ready.IsZero() || took > readyAtAll+a.stalled(l.Started, l.Ready) {
-			a.broken(RuleReady, l.Process, "", l.Started, "ready after %v", took)
+		if p.Ready.IsZero() || startTime > readyBoundMax+a.stalledWithin(p.Started, p.Ready) {
+			a.addViolation(RuleReady, p.Process, "", p.Started, "ready after %v", startTime)
 		}
-		if took > readySoon+a.stalled(l.Started, l.Ready) {
+		if startTime > readyBoundP90+a.stalledWithin(p.Started, p.Ready) {
 			late++
 		}
 	}
 	if late*10 > started {
-		a.broken(RuleReady, "", "", time.Time{}, "%d of %d processes were not ready within %v", late, started, readySoon)
+		a.addViolation(RuleReady, "", "", time.Time{}, "%d of %d processes were not ready within %v", late, started,
+			readyBoundP90)
 	}
 }
 
-func (a *auditor) leftovers() {
+// checkLeftovers checks that the processes released their resources.
+func (a *auditor) checkLeftovers() {
 	for _, l := range a.Leftovers {
 		if l.Descriptors > l.AllowedDescriptors || l.Outstanding > 0 || l.Goroutines > l.AllowedGoroutines {
-			a.broken(RuleLeak, l.Process, "", time.Time{},
+			a.addViolation(RuleLeak, l.Process, "", time.Time{},
 				"%d descriptors, %d are allowed; %d requests in hand; %d goroutines, %d are allowed",
 				l.Descriptors, l.AllowedDescriptors, l.Outstanding, l.Goroutines, l.AllowedGoroutines)
 		}
 	}
 }
 
-// near is how far from a break events are told.
-const near = time.Second
+// eventWindow is the time after a violation in which other events are listed; before it, four times as long.
+const eventWindow = time.Second
 
-// around tells the events of a request, and those of the processes and lists near it, in the order of time.
-func (a *auditor) around(process, id string, at time.Time) (lines []string) {
+// eventsNear describes the events of a request, and those of its dispatcher's processes, the worker list and discovery
+// near that time, in order of time.
+func (a *auditor) eventsNear(process, id string, at time.Time) (lines []string) {
 	type event struct {
 		at   time.Time
 		text string
@@ -343,7 +358,8 @@
 		}
 	}
 	for _, r := range a.requests[id] {
-		add(r.Started, "%s: a client begins to send %s, %s, %v, reused %v", r.Process, id, r.Class, r.Behavior, r.Reused)
+		add(r.Started, "%s: a client begins to send %s, %s, %v, reused %v", r.Process, id, r.Class, r.Behavior,
+			r.Reused)
 		add(r.Sent, "%s: %s is sent, with %v to wait", r.Process, id, r.Timeout)
 		add(r.Ended, "%s: %s is %v, %d %q %v", r.Process, id, r.Outcome, r.Status, strings.TrimSpace(r.Body), r.Err)
 	}
@@ -353,31 +369,31 @@
 		add(t.EndedAt, "%s: it ends", t.Worker)
 		add(t.CancelledAt, "%s: it is given up", t.Worker)
 	}
-	nearby := func(t time.Time) time.Time {
-		if t.After(at.Add(near)) || t.Before(at.Add(-4*near)) {
+	ifNear := func(t time.Time) time.Time {
+		if t.After(at.Add(eventWindow)) || t.Before(at.Add(-4*eventWindow)) {
 			return time.Time{}
 		}
 		return t
 	}
-	for _, l := range a.Processes {
-		if l.Process != process {
+	for _, p := range a.Processes {
+		if p.Process != process {
 			continue
 		}
-		add(nearby(l.Started), "%s: a process is started, successor %v", process, l.Successor)
-		add(nearby(l.Ready), "%s: it is ready", process)
-		for _, moved := range l.DiscoveryMoves {
-			add(nearby(moved), "%s: SIGHUP with another address of discovery", process)
+		add(ifNear(p.Started), "%s: a process is started, successor %v", process, p.Successor)
+		add(ifNear(p.Ready), "%s: it is ready", process)
+		for _, movedAt := range p.DiscoveryMoves {
+			add(ifNear(movedAt), "%s: SIGHUP with another address of discovery", process)
 		}
-		add(nearby(l.Terminated), "%s: SIGTERM", process)
-		add(nearby(l.Killed), "%s: SIGKILL", process)
-		add(nearby(l.Ended), "%s: it has ended with %d", process, l.ExitCode)
+		add(ifNear(p.Terminated), "%s: SIGTERM", process)
+		add(ifNear(p.Killed), "%s: SIGKILL", process)
+		add(ifNear(p.Ended), "%s: it has ended with %d", process, p.ExitCode)
 	}
-	for _, l := range a.WorkerUpdates {
-		add(nearby(l.At), "discovery: %s wants new work: %v", l.Worker, l.AcceptsWork)
+	for _, update := range a.WorkerUpdates {
+		add(ifNear(update.At), "discovery: %s wants new work: %v", update.Worker, update.AcceptsWork)
 	}
 	for _, o := range a.Outages {
-		add(nearby(o.From), "discovery: tells nothing")
-		add(nearby(o.To), "discovery: tells again")
+		add(ifNear(o.From), "discovery: tells nothing")
+		add(ifNear(o.To), "discovery: tells again")
 	}
 	slices.SortStableFunc(events, func(e, f event) int { return e.at.Compare(f.at) })
 	for _, e := range events {
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	connectTime = time.Second
-	againAfter  = 50 * time.Millisecond // until a client that could not connect tries again
-	listenOn    = time.Second           // beyond its time a client still listens
-	hurried     = 10                    // one request in so many has very little time left
-	leastWait   = 5 * time.Millisecond
-	littleWait  = 60 * time.Millisecond
-	restOneIn   = 20 // pauses that are long
-	longRest    = 3 * time.Second
+	connectTimeout = time.Second
+	reconnectDelay = 50 * time.Millisecond // until a client that could not connect retries
+	extraReadTime  = time.Second           // for which a client still reads after the request's timeout
+	shortWaitOneIn = 10                    // one request in so many has a very short timeout
+	minShortWait   = 5 * time.Millisecond
+	maxShortWait   = 60 * time.Millisecond
+	longPauseOneIn = 20 // one pause in so many is long
+	maxLongPause   = 3 * time.Second
 )
 
-// caller is one client of a dispatcher, which keeps its connection for as long as that is open.
-type caller struct {
+// loadClient is one client of a dispatcher. It reuses its connection for as long as that is open.
+type loadClient struct {
 	*member
-	drawer
+	generator
 	prefix     string
-	number     int
+	requests   int // ids given so far
 	connection *client.Connection
 }
 
-// call brings requests until the context ends.
-func (m *member) call(ctx context.Context, number int) {
+// runClient sends requests until the context ends.
+func (m *member) runClient(ctx context.Context, number int) {
 	seed := m.plan.Seed<<16 | uint64(m.index)<<8 | uint64(number)
-	c := &caller{member: m, drawer: drawer{rand.New(rand.NewPCG(seed, 40))},
+	c := &loadClient{member: m, generator: generator{rand.New(rand.NewPCG(seed, 40))},
 		prefix: fmt.Sprintf("%s-%d-%d", m.name, m.plan.Seed, number)}
 	defer func() {
 		if c.connection != nil {
@@ -40,21 +40,21 @@
 		}
 	}()
 	for ctx.Err() == nil {
-		if !c.connect() {
-			sleep(ctx, againAfter)
+		if !c.ensureConnected() {
+			sleep(ctx, reconnectDelay)
 			continue
 		}
-		c.bring(c.delivery())
+		c.deliver(c.drawDelivery())
 		pause := time.Duration(c.ExpFloat64() * float64(m.plan.MeanPause))
-		if c.oneIn(restOneIn) {
-			pause = c.between(0, longRest)
+		if c.oneIn(longPauseOneIn) {
+			pause = c.between(0, maxLongPause)
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// connect makes sure of a connection, and tells whether there is one.
-func (c *caller) connect() bool {
+// ensureConnected opens a connection if there is no usable one, and reports whether there is one now.
+func (c *loadClient) ensureConnected() bool {
 	if c.connection != nil && !c.connection.IsUnusable() {
 		return true
 	}
@@ -62,10 +62,10 @@
 		c.connection.Close()
 		c.connection = nil
 	}
-	if !c.open() {
+	if !c.acceptsConnections() {
 		return false
 	}
-	connection, err := client.Connect(c.rig.Process(c.name).Address(), connectTime)
+	connection, err := client.Connect(c.rig.Process(c.name).Address(), connectTimeout)
 	if err != nil {
 		return false
 	}
@@ -73,55 +73,58 @@
 	return true
 }
 
-// open tells whether the front still brings new connections to the dispatcher.
-func (m *member) open() bool {
+// acceptsConnections reports whether clients may open new connections. For a while after SIGTERM they may, as with a
+// load balancer in front of the dispatchers that has not noticed it yet.
+func (m *member) acceptsConnections() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.closedFor.IsZero() || time.Now().Before(m.closedFor)
+	return m.connectableUntil.IsZero() || time.Now().Before(m.connectableUntil)
 }
 
-// delivery draws the next request.
-func (c *caller) delivery() client.Delivery {
+// drawDelivery draws the next request.
+func (c *loadClient) drawDelivery() client.Delivery {
 	classes := c.history.Terms.Classes
-	wait := c.between(c.plan.Deadline/2, c.plan.Deadline)
-	if c.oneIn(hurried) {
-		wait = c.between(leastWait, littleWait)
+	timeout := c.between(c.plan.Deadline/2, c.plan.Deadline)
+	if c.oneIn(shortWaitOneIn) {
+		timeout = c.between(minShortWait, maxShortWait)
 	}
-	d := client.Delivery{Behavior: c.manner(), Pause: c.between(time.Millisecond, 80*time.Millisecond), ReadGrace: listenOn,
-		SecondID: c.id()}
-	d.Message = client.Message{ID: c.id(), Class: classes[c.IntN(len(classes))].Name, Tenant: "delta-mobile",
-		Body: []byte("a request of the soak"), Timeout: wait.Truncate(time.Millisecond)}
+	d := client.Delivery{Behavior: c.clientBehavior(), Pause: c.between(time.Millisecond, 80*time.Millisecond),
+		ReadGrace: extraReadTime, SecondID: c.nextID()}
+	d.Message = client.Message{ID: c.nextID(), Class: classes[c.IntN(len(classes))].Name, Tenant: "delta-mobile",
+		Body: []byte("a request of the soak"), Timeout: timeout.Truncate(time.Millisecond)}
 	d.Key = d.ID
 	if d.Behavior.ViolatesProtocol() {
-		d.ReadGrace = errorOwed + listenOn
+		d.ReadGrace = errorDeadline + extraReadTime
 	}
 	return d
 }
 
-func (c *caller) id() string {
-	c.number++
-	return fmt.Sprintf("%s-%d", c.prefix, c.number)
+func (c *loadClient) nextID() string {
+	c.requests++
+	return fmt.Sprintf("%s-%d", c.prefix, c.requests)
 }
 
-// bring brings a request. One that nobody has read it brings once more, on a new connection.
-func (c *caller) bring(d client.Delivery) {
-	if c.once(d) != client.ResetUnread || !c.connect() {
+// deliver sends a request. If the connection was reset before the request was read, it sends it once more on a new
+// connection.
+func (c *loadClient) deliver(d client.Delivery) {
+	if c.deliverOnce(d) != client.ResetUnread || !c.ensureConnected() {
 		return
 	}
-	c.once(d)
+	c.deliverOnce(d)
 }
 
-func (c *caller) once(d client.Delivery) client.Outcome {
+// deliverOnce sends a request on the current connection and records the result.
+func (c *loadClient) deliverOnce(d client.Delivery) client.Outcome {
 	reused := c.connection.HasServed()
 	result := c.connection.Do(d)
-	c.note(func(time.Time) {
+	c.record(func(time.Time) {
 		c.history.Requests = append(c.history.Requests, Request{Delivery: d, Result: result, Process: c.name,
 			Reused: reused, DescriptorsExhausted: c.plan.IdleClients > 0 && c.index == 0})
 	})
 	return result.Outcome
 }
 
-// sleep waits for so long, or until the context ends.
+// sleep waits for the pause, or until the context ends.
 func sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/lab/soak/goroutines.go
+++ b/internal/lab/soak/goroutines.go
@@ -12,53 +12,55 @@
 )
 
 const (
-	counted    = 0 // the member whose goroutines are counted at the end
-	dumpTime   = 5 * time.Second
-	unusedTime = 500 * time.Millisecond // for what a start does beside
+	countedMember = 0                      // index of the member whose goroutines are counted at the end of a run
+	dumpTimeout   = 5 * time.Second        // until a process has written its stacks and exited
+	startupTime   = 500 * time.Millisecond // until the extra goroutines of a start have ended
 )
 
-// resting are functions of goroutines that the HTTP library keeps for a while when they have nothing to do, and ends
-// by itself: those of its pool for connections, and one for the connections to each worker.
-var resting = []string{"fasthttp.(*workerPool).workerFunc", "fasthttp.(*HostClient).connsCleaner"}
+// idleFunctions are the functions of goroutines that fasthttp keeps for a while when they are idle, and then ends: the
+// goroutines of its server's worker pool, and one for the connections to each worker.
+var idleFunctions = []string{"fasthttp.(*workerPool).workerFunc", "fasthttp.(*HostClient).connsCleaner"}
 
-// onConnection is in the stacks of goroutines that wait for bytes on a connection from outside. Each has a descriptor,
-// which is counted: the run's own workers keep connections for their next call-back.
-const onConnection = "topazfall/internal/frontend.(*conn)"
+// connectionMethods occurs in the stacks of goroutines that wait for bytes on an accepted connection. They are not
+// counted as goroutines, because their connections are counted as descriptors: the run's own workers keep connections
+// open for their next callback.
+const connectionMethods = "topazfall/internal/frontend.(*conn)"
 
-// running tells of a part of a dump whether it is a goroutine that neither rests in the HTTP library nor waits on an
+// isRunning reports whether a section of a stack dump is a goroutine that is neither idle in fasthttp nor waits on an
 // open connection.
-func running(stack string) bool {
+func isRunning(stack string) bool {
 	head, _, _ := strings.Cut(strings.TrimSpace(stack), "\n")
 	if !strings.HasPrefix(head, "goroutine ") ||
-		strings.Contains(head, "[IO wait") && strings.Contains(stack, onConnection) {
+		strings.Contains(head, "[IO wait") && strings.Contains(stack, connectionMethods) {
 		return false
 	}
-	return !slices.ContainsFunc(resting, func(function string) bool {
+	return !slices.ContainsFunc(idleFunctions, func(function string) bool {
 		return strings.Contains(stack, function) && !strings.Contains(stack, "topazfall/")
 	})
 }
 
-// goroutines ends a process by SIGQUIT and counts what it had running, by the stacks that it writes to its log.
-func goroutines(p *program.Process) (int, error) {
+// countGoroutines ends a process with SIGQUIT and counts its running goroutines in the stacks that it writes to its
+// log.
+func countGoroutines(p *program.Process) (int, error) {
 	if err := p.Signal(syscall.SIGQUIT); err != nil {
 		return 0, err
 	}
-	if err := p.Wait(dumpTime); err != nil {
+	if err := p.Wait(dumpTimeout); err != nil {
 		return 0, err
 	}
 	n := 0
 	for _, stack := range strings.Split(p.Log(), "\n\n") {
-		if running(stack) {
+		if isRunning(stack) {
 			n++
 		}
 	}
 	return n, nil
 }
 
-// countUnused counts the goroutines of a dispatcher that nobody uses.
-func (i *installation) countUnused(o Options, dir string) (int, error) {
-	options := i.program(o)
-	options.Name, options.Dir = processName(i.plan.Processes), filepath.Join(dir, "unused")
+// countUnusedGoroutines counts the goroutines of a dispatcher that was never used.
+func (inst *installation) countUnusedGoroutines(o Options, dir string) (int, error) {
+	options := inst.programOptions(o)
+	options.Name, options.Dir = processName(inst.plan.Processes), filepath.Join(dir, "unused")
 	if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return 0, err
 	}
@@ -66,22 +68,23 @@
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(unusedTime)
-	return goroutines(p)
+	time.Sleep(startupTime)
+	return countGoroutines(p)
 }
 
-// countLeft ends a process that all clients have left, and notes what it still had running.
-func (m *member) countLeft(p *program.Process) {
-	m.life(p, func(l *ProcessRecord, now time.Time) { l.Killed = now })
-	n, err := goroutines(p)
+// countRemainingGoroutines ends a process after all clients have disconnected, and records how many goroutines it still
+// had.
+func (m *member) countRemainingGoroutines(p *program.Process) {
+	m.updateRecord(p, func(r *ProcessRecord, now time.Time) { r.Killed = now })
+	n, err := countGoroutines(p)
 	if err != nil {
 		m.kill(p)
 	}
-	m.ended(p)
-	m.note(func(time.Time) {
+	m.recordExit(p)
+	m.record(func(time.Time) {
 		for k := range m.history.Leftovers {
-			if l := &m.history.Leftovers[k]; l.Process == m.name {
-				l.Goroutines, l.AllowedGoroutines = n, m.unused+spare
+			if left := &m.history.Leftovers[k]; left.Process == m.name {
+				left.Goroutines, left.AllowedGoroutines = n, m.unusedGoroutines+allowedExtra
 			}
 		}
 	})
--- a/internal/lab/soak/goroutines_test.go
+++ b/internal/lab/soak/goroutines_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What rests in the HTTP library, and what waits on a connection that has a descriptor, is not left over; what waits
-// for anything else is.
-func TestRunning(t *testing.T) {
+// Goroutines that are idle in fasthttp, or that wait on an open connection, are not counted. Goroutines that wait for
+// anything else are.
+func TestIsRunning(t *testing.T) {
 	const handler = "topazfall/internal/frontend.(*Server).handle(0x1)\n\tfrontend.go:1\n"
 	for stack, is := range map[string]bool{
 		"goroutine 7 [chan receive]:\ngithub.com/valyala/fasthttp.(*workerPool).workerFunc(0x1)\n": false,
@@ -21,6 +21,6 @@
 		"time=07:28:05.412988 level=INFO at=main state=left":                                                false,
 		"": false,
 	} {
-		require.Equal(t, is, running(stack), stack)
+		require.Equal(t, is, isRunning(stack), stack)
 	}
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -7,84 +7,84 @@
 	"topazfall/internal/lab/host"
 )
 
-// Request is one request of a client, once for each connection that it was brought on.
+// Request is one request of a client on one connection. A request that was sent on two connections is recorded twice.
 type Request struct {
 	client.Delivery
 	client.Result
 	Process              string // name of the dispatcher
-	Reused               bool   // the connection had brought an answer before
-	DescriptorsExhausted bool   // idle clients held the dispatcher's descriptors
+	Reused               bool   // the connection had already served a request
+	DescriptorsExhausted bool   // idle clients exhausted the dispatcher's descriptors
 }
 
-// Attempt is one attempt at a worker.
+// Attempt is one attempt (one try of a request at one worker), as the worker saw it.
 type Attempt struct {
 	host.Attempt
 	Worker string
 }
 
-// WorkerUpdate is a change of the list of workers.
+// WorkerUpdate is a change of the worker list.
 type WorkerUpdate struct {
 	At          time.Time
 	Worker      string
-	AcceptsWork bool // whether it may be sent new work from then on
+	AcceptsWork bool // whether the worker may get new work from then on
 }
 
-// Outage is a time in which discovery told nothing.
+// Outage is a period in which discovery had a fault.
 type Outage struct{ From, To time.Time }
 
-// ProcessRecord is one process of a dispatcher. Times are zero where that did not happen.
+// ProcessRecord is the life of one dispatcher process. The times of events that did not happen are zero.
 type ProcessRecord struct {
 	Process        string // name of the dispatcher
 	Started        time.Time
 	Ready          time.Time
-	Successor      bool        // it was started beside another one, to replace it
-	DiscoveryMoves []time.Time // when it was told to follow discovery at another address
-	Terminated     time.Time   // when it was first told to end
+	Successor      bool        // it was started to take over from a running process
+	DiscoveryMoves []time.Time // when it got a SIGHUP with another discovery address
+	Terminated     time.Time   // when it got its first SIGTERM
 	Killed         time.Time
 	Ended          time.Time
 	ExitCode       int
-	CrashLine      string // line of its log that tells of a crash
+	CrashLine      string // log line that shows a crash, "" for none
 }
 
-// Stall is a time in which the run itself stood still, for want of a processor: what it saw then, it saw late.
+// Stall is a period in which the process that makes the run got no CPU, so that it observed events late.
 type Stall struct{ From, To time.Time }
 
-// Leftover is what a process still held when all clients had gone.
+// Leftover holds the resources that a process still used after all clients had disconnected.
 type Leftover struct {
 	Process            string
-	Descriptors        int // held
+	Descriptors        int // open descriptors
 	AllowedDescriptors int
-	Outstanding        int // requests in hand, by its own count
-	// Goroutines is how many it had, and AllowedGoroutines that of a process that nobody has used, and some; both are 0
-	// where they were not counted.
+	Outstanding        int // unfinished requests by the process's own metric
+	// Goroutines is how many it had. AllowedGoroutines is the number in a process that was never used, plus
+	// allowedExtra. Both are 0 where they were not counted.
 	Goroutines, AllowedGoroutines int
 }
 
-// Terms are the terms that the installation ran under.
+// Terms are the settings of the installation that the auditor needs.
 type Terms struct {
 	Classes    []Class
 	DrainGrace time.Duration
-	Subscribe  bool // lists must be asked for
+	Subscribe  bool // the dispatchers must request the worker list
 }
 
-// Class is what holds for the requests of a class.
+// Class is the repeat policy of a request class.
 type Class struct {
 	Name   string
 	Repeat RepeatPolicy
-	Window time.Duration // of Keyed, from the first attempt that may have run
+	Window time.Duration // of Keyed, measured from the first attempt that may have run
 }
 
-// RepeatPolicy is whether a request may be sent again.
+// RepeatPolicy says whether a request that may have run may be sent to a worker again.
 type RepeatPolicy int
 
-// The kinds of repeats.
+// The repeat policies.
 const (
-	Retryable  RepeatPolicy = iota
-	Keyed                   // within the window
-	AtMostOnce              // never, once it may have run
+	Retryable  RepeatPolicy = iota // always
+	Keyed                          // within the window
+	AtMostOnce                     // never
 )
 
-// History is all that left and reached anybody in a run.
+// History is everything that was sent, received and observed in a run.
 type History struct {
 	Terms         Terms
 	Requests      []Request
@@ -96,9 +96,9 @@
 	Leftovers     []Leftover
 }
 
-// class finds the class of a name.
-func (r Terms) class(name string) Class {
-	for _, c := range r.Classes {
+// class returns the class of a name. An unknown class counts as AtMostOnce.
+func (t Terms) class(name string) Class {
+	for _, c := range t.Classes {
 		if c.Name == name {
 			return c
 		}
@@ -106,19 +106,19 @@
 	return Class{Name: name, Repeat: AtMostOnce}
 }
 
-// stalled is how long the run stood still within a time, with a little before it: what is seen late has happened
-// before.
-func (h *History) stalled(from, to time.Time) (sum time.Duration) {
+// stalledWithin returns how long the run was stalled between two times. The auditor extends its limits by that, because
+// an event that is observed late has happened earlier.
+func (h *History) stalledWithin(from, to time.Time) (sum time.Duration) {
 	for _, s := range h.Stalls {
-		first, last := s.From, s.To
-		if first.Before(from) {
-			first = from
+		start, end := s.From, s.To
+		if start.Before(from) {
+			start = from
 		}
-		if last.After(to) {
-			last = to
+		if end.After(to) {
+			end = to
 		}
-		if last.After(first) {
-			sum += last.Sub(first)
+		if end.After(start) {
+			sum += end.Sub(start)
 		}
 	}
 	return sum
--- a/internal/lab/soak/installation.go
+++ b/internal/lab/soak/installation.go
@@ -19,192 +19,198 @@
 )
 
 const (
-	idleLimit  = 2 * time.Second // of connections to workers
-	drainGrace = 500 * time.Millisecond
-	onAddress  = 0 // the one address of a worker
+	idleTimeout   = 2 * time.Second // after which connections to workers are closed
+	drainGrace    = 500 * time.Millisecond
+	workerAddress = 0 // index of a worker's only address
 )
 
-// installation is what a run is played on.
+// installation holds the processes and servers of a run: discovery, workers and dispatchers.
 type installation struct {
-	plan    Plan
-	list    *discoveryserver.Server
-	doors   [2]*discoveryserver.Endpoint // the addresses of discovery
-	workers []*host.Host
-	rig     *rig.Rig
-	members []*member
-	crowd   *client.IdleClients
-	unused  int // goroutines of a dispatcher that nobody has used
+	plan             Plan
+	discovery        *discoveryserver.Server
+	endpoints        [2]*discoveryserver.Endpoint // two addresses of discovery, between which the dispatchers move
+	workers          []*host.Host
+	rig              *rig.Rig
+	members          []*member
+	idleClients      *client.IdleClients
+	unusedGoroutines int // goroutines of a dispatcher that was never used
 
 	mu      sync.Mutex
 	history History
 }
 
-// member is a dispatcher of the installation.
+// member is one dispatcher of the installation, with its current and earlier processes.
 type member struct {
 	*installation
-	index     int
-	name      string
-	acting    sync.Mutex // held by who does something to its processes
-	idle      int        // descriptors of a process that nobody uses
-	lives     map[*program.Process]*ProcessRecord
-	mu        sync.Mutex
-	closedFor time.Time // from when on no new connections come, until the next process is ready; zero for none
+	index             int
+	name              string
+	stepMutex         sync.Mutex // held while a step acts on its processes
+	unusedDescriptors int        // open descriptors of a process that was never used
+	processes         map[*program.Process]*ProcessRecord
+	mu                sync.Mutex
+	// connectableUntil is the time after which clients open no new connections, until the next process is ready. Zero
+	// means no limit.
+	connectableUntil time.Time
 }
 
-// start starts discovery, workers and dispatchers of a plan.
-func start(ctx context.Context, o Options, p Plan, dir string) (*installation, error) {
-	i := &installation{plan: p}
-	if err := i.prepare(o, dir); err != nil {
-		i.close()
+// startInstallation starts the discovery server, workers and dispatchers of a plan.
+func startInstallation(ctx context.Context, o Options, p Plan, dir string) (*installation, error) {
+	inst := &installation{plan: p}
+	if err := inst.prepare(o, dir); err != nil {
+		inst.close()
 		return nil, err
 	}
-	return i, ctx.Err()
+	return inst, ctx.Err()
 }
 
-func (i *installation) prepare(o Options, dir string) (err error) {
-	if i.list, err = discoveryserver.Start(); err != nil {
+func (inst *installation) prepare(o Options, dir string) (err error) {
+	if inst.discovery, err = discoveryserver.Start(); err != nil {
 		return err
 	}
-	i.list.SetFullLists(i.plan.FullLists)
-	for k := range i.doors {
-		if i.doors[k], err = i.list.AddEndpoint(); err != nil {
+	inst.discovery.SetFullLists(inst.plan.FullLists)
+	for k := range inst.endpoints {
+		if inst.endpoints[k], err = inst.discovery.AddEndpoint(); err != nil {
 			return err
 		}
 	}
-	for k, work := range i.plan.WorkTimes {
-		h, err := host.Start(host.Options{Name: workerName(k), SocketDir: dir, JobDuration: work}, i.callBack, "127.0.0.1:0")
+	for k, work := range inst.plan.WorkTimes {
+		h, err := host.Start(host.Options{Name: workerName(k), SocketDir: dir, JobDuration: work},
+			inst.forwardCallback, "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		i.workers = append(i.workers, h)
-		i.listed(k, "up", time.Time{})
+		inst.workers = append(inst.workers, h)
+		inst.setWorkerHealth(k, "up", time.Time{})
 	}
 	var names []string
-	for k := range i.plan.Processes {
+	for k := range inst.plan.Processes {
 		names = append(names, processName(k))
 	}
-	i.history.Terms = i.rules()
-	if i.unused, err = i.countUnused(o, dir); err != nil {
+	inst.history.Terms = inst.terms()
+	if inst.unusedGoroutines, err = inst.countUnusedGoroutines(o, dir); err != nil {
 		return err
 	}
 	began := time.Now()
-	i.rig, err = rig.Start(rig.Options{Program: i.program(o), Dir: dir, Names: names, Seed: i.plan.Seed,
+	inst.rig, err = rig.Start(rig.Options{Program: inst.programOptions(o), Dir: dir, Names: names, Seed: inst.plan.Seed,
 		Args: func(rig.Member) ([]string, error) { return nil, nil }})
 	if err != nil {
 		return err
 	}
 	for k, name := range names {
-		m := &member{installation: i, index: k, name: name, lives: map[*program.Process]*ProcessRecord{}}
-		p := i.rig.Process(name)
-		m.lives[p] = &ProcessRecord{Process: name, Started: began, Ready: time.Now()}
-		if m.idle, err = p.OpenDescriptors(); err != nil {
+		m := &member{installation: inst, index: k, name: name, processes: map[*program.Process]*ProcessRecord{}}
+		p := inst.rig.Process(name)
+		m.processes[p] = &ProcessRecord{Process: name, Started: began, Ready: time.Now()}
+		if m.unusedDescriptors, err = p.OpenDescriptors(); err != nil {
 			return err
 		}
-		i.members = append(i.members, m)
+		inst.members = append(inst.members, m)
 	}
-	if i.plan.IdleClients > 0 {
-		i.crowd = client.StartIdleClients(i.rig.Process(names[0]).Address(), i.plan.IdleClients)
+	if inst.plan.IdleClients > 0 {
+		inst.idleClients = client.StartIdleClients(inst.rig.Process(names[0]).Address(), inst.plan.IdleClients)
 	}
 	return nil
 }
 
-// rules are the terms that the plan's settings make.
-func (i *installation) rules() Terms {
-	r := Terms{DrainGrace: drainGrace, Subscribe: i.plan.Subscribe}
+// terms returns the terms that follow from the plan.
+func (inst *installation) terms() Terms {
+	t := Terms{DrainGrace: drainGrace, Subscribe: inst.plan.Subscribe}
 	for _, name := range program.Classes {
 		class := Class{Name: name}
 		if program.IsAtMostOnce(name) {
 			class.Repeat = AtMostOnce
 		}
-		r.Classes = append(r.Classes, class)
+		t.Classes = append(t.Classes, class)
 	}
-	if i.plan.KeyWindow > 0 {
-		r.Classes[1].Repeat, r.Classes[1].Window = Keyed, i.plan.KeyWindow
+	if inst.plan.KeyWindow > 0 {
+		t.Classes[1].Repeat, t.Classes[1].Window = Keyed, inst.plan.KeyWindow
 	}
-	return r
+	return t
 }
 
-// program says how the dispatchers are started.
-func (i *installation) program(o Options) program.Options {
-	return program.Options{ProgramPath: o.ProgramPath, Env: o.Env, Discovery: i.doors[0].Address(), MaxSockets: i.plan.MaxSockets,
-		IdleTimeout: idleLimit, Deadline: i.plan.Deadline, Subscribe: i.plan.Subscribe, EditConfig: i.configure}
+// programOptions returns the options that the dispatchers are started with.
+func (inst *installation) programOptions(o Options) program.Options {
+	return program.Options{ProgramPath: o.ProgramPath, Env: o.Env, Discovery: inst.endpoints[0].Address(),
+		MaxSockets: inst.plan.MaxSockets, IdleTimeout: idleTimeout, Deadline: inst.plan.Deadline,
+		Subscribe: inst.plan.Subscribe, EditConfig: inst.configure}
 }
 
-// configure gives a dispatcher its place among the others, and the keyed class.
-func (i *installation) configure(config map[string]any) {
+// configure sets a dispatcher's index, the number of dispatchers, its seed and the keyed class.
+func (inst *installation) configure(config map[string]any) {
 	settings := config["settings"].(map[string]any)
-	settings["replicas_of_me"] = i.plan.Processes
-	for k := range i.plan.Processes {
+	settings["replicas_of_me"] = inst.plan.Processes
+	for k := range inst.plan.Processes {
 		if config["name"] == processName(k) {
 			settings["me"] = k
-			config["seed"] = fmt.Sprint(i.plan.Seed + uint64(k))
+			config["seed"] = fmt.Sprint(inst.plan.Seed + uint64(k))
 		}
 	}
-	if class := settings["classes"].([]any)[1].(map[string]any); i.plan.KeyWindow > 0 {
-		class["repeat"], class["group"], class["window_us"] = "dedup", "all", i.plan.KeyWindow.Microseconds()
+	if class := settings["classes"].([]any)[1].(map[string]any); inst.plan.KeyWindow > 0 {
+		class["repeat"], class["group"], class["window_us"] = "dedup", "all", inst.plan.KeyWindow.Microseconds()
 	}
 }
 
-// callBack brings a call-back to the dispatcher whose client gave the id.
-func (i *installation) callBack(body []byte) error {
+// forwardCallback sends a worker's callback to the dispatcher that is named in the request id.
+func (inst *installation) forwardCallback(body []byte) error {
 	name, _, ok := strings.Cut(jsoniter.Get(body, "id").ToString(), "-")
-	if !ok || i.rig == nil {
-		return errors.New("an id of no dispatcher")
+	if !ok || inst.rig == nil {
+		return errors.New("the request id does not name a dispatcher")
 	}
-	p := i.rig.Process(name)
+	p := inst.rig.Process(name)
 	if p == nil {
 		return errors.New("no such dispatcher")
 	}
 	return p.SendCallback(body)
 }
 
-// listed lists a worker in a state of health, with the time of its last start, and notes what that means for it.
-func (i *installation) listed(worker int, health string, born time.Time) {
-	h, millis := i.workers[worker], int64(0)
-	if !born.IsZero() {
-		millis = born.UnixMilli()
+// setWorkerHealth publishes a worker's health and start time through discovery, and records whether it accepts work
+// from then on.
+func (inst *installation) setWorkerHealth(worker int, health string, startedAt time.Time) {
+	h, millis := inst.workers[worker], int64(0)
+	if !startedAt.IsZero() {
+		millis = startedAt.UnixMilli()
 	}
-	i.note(func(now time.Time) {
-		i.history.WorkerUpdates = append(i.history.WorkerUpdates, WorkerUpdate{At: now, Worker: h.Name(), AcceptsWork: health == "up"})
+	inst.record(func(now time.Time) {
+		inst.history.WorkerUpdates = append(inst.history.WorkerUpdates,
+			WorkerUpdate{At: now, Worker: h.Name(), AcceptsWork: health == "up"})
 	})
-	i.list.Update(discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[onAddress], Site: "hall-a", Class: "small",
-		Share: 1, Health: health, StartedMillis: millis})
+	inst.discovery.Update(discoveryserver.Entry{Host: h.Name(), Dial: h.Addresses()[workerAddress], Site: "hall-a",
+		Class: "small", Share: 1, Health: health, StartedMillis: millis})
 }
 
-// note changes the history.
-func (i *installation) note(change func(now time.Time)) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
+// record changes the history under its lock.
+func (inst *installation) record(change func(now time.Time)) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 	change(time.Now())
 }
 
-// close ends all that was started.
-func (i *installation) close() {
-	if i.crowd != nil {
-		i.crowd.Stop()
+// close stops everything that was started.
+func (inst *installation) close() {
+	if inst.idleClients != nil {
+		inst.idleClients.Stop()
 	}
-	if i.rig != nil {
-		i.rig.Close()
+	if inst.rig != nil {
+		inst.rig.Close()
 	}
-	for _, h := range i.workers {
+	for _, h := range inst.workers {
 		h.Close()
 	}
-	for _, d := range i.doors {
+	for _, d := range inst.endpoints {
 		if d != nil {
 			d.Close()
 		}
 	}
-	if i.list != nil {
-		i.list.Close()
+	if inst.discovery != nil {
+		inst.discovery.Close()
 	}
 }
 
-// keepLogs writes what the dispatchers have logged into a folder.
-func (i *installation) keepLogs(dir string) error {
-	var faults []error
-	for _, name := range i.rig.Names() {
-		path := filepath.Join(dir, fmt.Sprintf("seed-%d-%s.log", i.plan.Seed, name))
-		faults = append(faults, writeFile(path, i.rig.Log(name)))
+// writeLogs writes the logs of the dispatchers to a folder, one file for each.
+func (inst *installation) writeLogs(dir string) error {
+	var errs []error
+	for _, name := range inst.rig.Names() {
+		path := filepath.Join(dir, fmt.Sprintf("seed-%d-%s.log", inst.plan.Seed, name))
+		errs = append(errs, writeFile(path, inst.rig.Log(name)))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,6 @@
-// Package soak plays seeded runs of starts, ends, reloads and replacements of real dispatchers under load, with
-// workers, discovery and clients that fail, and judges the history of each by the operators' rules.
+// Package soak runs long randomized tests of dispatcher processes. In a seeded run, several dispatchers are started,
+// terminated, reloaded and replaced under load while workers, discovery and clients fail. The history of each run is
+// then audited against the operators' rules.
 package soak
 
 import (
@@ -16,103 +17,107 @@
 	"topazfall/internal/lab/report"
 )
 
-// Options say what is played.
+// Options say which runs are made.
 type Options struct {
 	ProgramPath string        // path of the dispatcher
-	Env         []string      // of the dispatchers
+	Env         []string      // added to the environment of the dispatchers
 	FirstSeed   uint64        // seed of the first run
-	Seeds       int           // how many runs, with seeds in a row
-	Parallel    int           // runs at a time
-	MaxLength   time.Duration // bound on the length of a run; 0 for none
-	LogDir      string        // folder for the logs of runs with breaks; "" for none
+	Seeds       int           // number of runs, with consecutive seeds
+	Parallel    int           // number of runs at the same time
+	MaxLength   time.Duration // limit on the length of a run, 0 for none
+	LogDir      string        // folder for the dispatchers' logs, "" to discard them
 }
 
-// errOptions is an option that makes no sense.
-var errOptions = errors.New("soak")
+// errInvalidOptions is wrapped by the errors about invalid options.
+var errInvalidOptions = errors.New("soak")
 
-// UsageError tells that a run cannot be made as it was asked for.
+// UsageError says that a run cannot be made with the given options or on this machine.
 type UsageError struct{ Err error }
 
 func (e UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e UsageError) Unwrap() error { return e.Err }
 
-// check looks at the options before anything is started.
+// check validates the options before anything is started.
 func (o Options) check() error {
 	info, err := os.Stat(o.ProgramPath)
 	switch {
 	case o.Seeds < 1:
-		return UsageError{fmt.Errorf("%w: %d seeds are none", errOptions, o.Seeds)}
+		return UsageError{fmt.Errorf("%w: the number of seeds must be at least 1, not %d", errInvalidOptions, o.Seeds)}
 	case o.Parallel < 1:
-		return UsageError{fmt.Errorf("%w: %d runs at a time are none", errOptions, o.Parallel)}
+		return UsageError{fmt.Errorf("%w: the number of parallel runs must be at least 1, not %d", errInvalidOptions,
+			o.Parallel)}
 	case err != nil:
-		return UsageError{fmt.Errorf("%w: the dispatcher: %w", errOptions, err)}
+		return UsageError{fmt.Errorf("%w: the dispatcher: %w", errInvalidOptions, err)}
 	case info.IsDir() || info.Mode()&0o111 == 0:
-		return UsageError{fmt.Errorf("%w: the dispatcher: %s is no program", errOptions, o.ProgramPath)}
+		return UsageError{fmt.Errorf("%w: the dispatcher: %s is not an executable file", errInvalidOptions,
+			o.ProgramPath)}
 	}
 	if o.LogDir == "" {
 		return nil
 	}
 	if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
-		return UsageError{fmt.Errorf("%w: the folder of logs: %w", errOptions, err)}
+		return UsageError{fmt.Errorf("%w: the log folder: %w", errInvalidOptions, err)}
 	}
 	probe, err := os.CreateTemp(o.LogDir, ".probe-*")
 	if err != nil {
-		return UsageError{fmt.Errorf("%w: the folder of logs: %w", errOptions, err)}
+		return UsageError{fmt.Errorf("%w: the log folder: %w", errInvalidOptions, err)}
 	}
 	probe.Close()
 	return os.Remove(probe.Name())
 }
 
-// Outcome is what a run has shown.
+// Outcome is the result of a run.
 type Outcome struct {
-	Seed                uint64         `json:"seed"`
-	Ends                map[string]int `json:"ends"`     // of the requests
-	Statuses            map[int]int    `json:"statuses"` // of the answers
-	UnreadFirstRequests int            `json:"door"`     // first requests of a connection that nobody read, where no crowd was
-	Attempts            int            `json:"attempts"`
-	Processes           int            `json:"lives"`  // processes
-	KilledAfterTerm     int            `json:"killed"` // of these, at the end of their time
-	Stalled             time.Duration  `json:"stalled"`
-	Violations          []Violation    `json:"breaks"`
-	Failure             string         `json:"fault,omitempty"` // why it could not be played to its end
+	Seed     uint64         `json:"seed"`
+	Ends     map[string]int `json:"ends"`     // requests by outcome
+	Statuses map[int]int    `json:"statuses"` // answers by status
+	// UnreadFirstRequests counts first requests of a connection that was reset before they were read. It leaves out the
+	// dispatcher with idle clients.
+	UnreadFirstRequests int           `json:"door"`
+	Attempts            int           `json:"attempts"`
+	Processes           int           `json:"lives"`  // started in the run
+	KilledAfterTerm     int           `json:"killed"` // of these, killed when their time after SIGTERM was over
+	Stalled             time.Duration `json:"stalled"`
+	Violations          []Violation   `json:"breaks"`
+	Failure             string        `json:"fault,omitempty"` // why the run could not be completed
 }
 
-// Run plays the runs and reports what they have shown. Progress is told to w.
+// Run makes the runs and reports their results. It writes the plans and outcomes to w as it goes.
 func Run(ctx context.Context, o Options, w io.Writer) (*report.Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	outcomes := make([]Outcome, o.Seeds)
-	places := make(chan bool, o.Parallel)
-	var told sync.Mutex
-	var wait sync.WaitGroup
+	slots := make(chan bool, o.Parallel)
+	var output sync.Mutex
+	var runs sync.WaitGroup
 	for k := range outcomes {
-		places <- true
+		slots <- true
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		wait.Go(func() {
-			defer func() { <-places }()
+		runs.Go(func() {
+			defer func() { <-slots }()
 			plan := NewPlan(o.FirstSeed+uint64(k), o.MaxLength)
-			told.Lock()
+			output.Lock()
 			fmt.Fprint(w, plan)
-			told.Unlock()
+			output.Unlock()
 			outcomes[k] = RunPlan(ctx, o, plan)
-			told.Lock()
-			defer told.Unlock()
-			outcomes[k].tell(w)
+			output.Lock()
+			defer output.Unlock()
+			outcomes[k].writeTo(w)
 		})
 	}
-	wait.Wait()
-	return summary(o, outcomes), ctx.Err()
+	runs.Wait()
+	return newReport(o, outcomes), ctx.Err()
 }
 
-// RunPlan plays one run and judges it.
+// RunPlan makes one run and audits it.
 func RunPlan(ctx context.Context, o Options, p Plan) Outcome {
 	out := Outcome{Seed: p.Seed, Ends: map[string]int{}, Statuses: map[int]int{}}
-	history, err := play(ctx, o, p)
+	history, err := executePlan(ctx, o, p)
 	if err != nil {
 		out.Failure = err.Error()
 		return out
@@ -126,8 +131,8 @@
 			out.UnreadFirstRequests++
 		}
 	}
-	for _, l := range history.Processes {
-		if !l.Killed.IsZero() && !l.Terminated.IsZero() {
+	for _, process := range history.Processes {
+		if !process.Killed.IsZero() && !process.Terminated.IsZero() {
 			out.KilledAfterTerm++
 		}
 	}
@@ -139,204 +144,208 @@
 	return out
 }
 
-// play plays one run and returns its history.
-func play(ctx context.Context, o Options, p Plan) (*History, error) {
+// executePlan makes one run and returns its history.
+func executePlan(ctx context.Context, o Options, p Plan) (*History, error) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		return nil, UsageError{err}
 	}
 	defer os.RemoveAll(dir)
-	i, err := start(ctx, o, p, dir)
+	inst, err := startInstallation(ctx, o, p, dir)
 	if err != nil {
 		return nil, err
 	}
-	defer i.close()
-	if err := i.run(ctx); err != nil {
+	defer inst.close()
+	if err := inst.execute(ctx); err != nil {
 		return nil, err
 	}
-	i.collect()
+	inst.collectHistory()
 	if o.LogDir != "" {
-		err = i.keepLogs(o.LogDir)
+		err = inst.writeLogs(o.LogDir)
 	}
-	return &i.history, err
+	return &inst.history, err
 }
 
-// run has all that the plan says happen, and ends the installation in good order.
-func (i *installation) run(ctx context.Context) error {
-	playing, over := context.WithTimeout(ctx, i.plan.Length)
-	defer over()
-	watching, unwatch := context.WithCancel(ctx)
+// execute runs all steps and clients of the plan, and then ends the installation in good order.
+func (inst *installation) execute(ctx context.Context) error {
+	stepsContext, cancelSteps := context.WithTimeout(ctx, inst.plan.Length)
+	defer cancelSteps()
+	watchContext, cancelWatch := context.WithCancel(ctx)
 	var watch sync.WaitGroup
-	watch.Go(func() { i.watchStalls(watching) })
+	watch.Go(func() { inst.watchStalls(watchContext) })
 	defer watch.Wait()
-	defer unwatch()
-	var wait sync.WaitGroup
-	var faults sync.Map
-	do := func(what func(context.Context) error) {
-		wait.Go(func() {
-			if err := what(playing); err != nil {
-				faults.Store(err, true)
+	defer cancelWatch()
+	var steps sync.WaitGroup
+	var failures sync.Map
+	start := func(run func(context.Context) error) {
+		steps.Go(func() {
+			if err := run(stepsContext); err != nil {
+				failures.Store(err, true)
 			}
 		})
 	}
-	calling, hangUp := context.WithCancel(ctx)
-	var calls sync.WaitGroup
-	for _, m := range i.members {
-		do(m.act)
-		for number := range i.plan.Clients {
-			calls.Go(func() { m.call(calling, number) })
+	clientContext, stopClients := context.WithCancel(ctx)
+	var clients sync.WaitGroup
+	for _, m := range inst.members {
+		start(m.runSteps)
+		for number := range inst.plan.Clients {
+			clients.Go(func() { m.runClient(clientContext, number) })
 		}
 	}
-	do(i.joint)
-	do(i.trouble)
-	do(i.outages)
-	wait.Wait()
-	hangUp()
-	calls.Wait()
-	var all []error
-	faults.Range(func(err, _ any) bool {
-		all = append(all, err.(error))
+	start(inst.runJointSteps)
+	start(inst.runWorkerSteps)
+	start(inst.runDiscoverySteps)
+	steps.Wait()
+	stopClients()
+	clients.Wait()
+	var errs []error
+	failures.Range(func(err, _ any) bool {
+		errs = append(errs, err.(error))
 		return true
 	})
-	if err := errors.Join(append(all, ctx.Err())...); err != nil {
+	if err := errors.Join(append(errs, ctx.Err())...); err != nil {
 		return err
 	}
-	return i.finish()
+	return inst.finish()
 }
 
 const (
-	heartbeat = 5 * time.Millisecond
-	stall     = 25 * time.Millisecond // between two heartbeats
+	stallCheckInterval = 5 * time.Millisecond
+	minStall           = 25 * time.Millisecond // from one check to the next, to count as a stall
 )
 
-// watchStalls notes when the run itself stood still.
-func (i *installation) watchStalls(ctx context.Context) {
+// watchStalls records when the process that makes the run was stalled.
+func (inst *installation) watchStalls(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
-		time.Sleep(heartbeat)
+		time.Sleep(stallCheckInterval)
 		now := time.Now()
-		if now.Sub(last) > stall {
-			i.note(func(time.Time) { i.history.Stalls = append(i.history.Stalls, Stall{last, now}) })
+		if now.Sub(last) > minStall {
+			inst.record(func(time.Time) { inst.history.Stalls = append(inst.history.Stalls, Stall{last, now}) })
 		}
 		last = now
 	}
 }
 
 const (
-	settleTime = 10 * time.Second // for connections to be closed when nobody uses them
-	settleLook = 50 * time.Millisecond
-	spare      = 3 // descriptors, and goroutines, beyond those of a process that nobody has used
+	settleTimeout      = 10 * time.Second // for unused connections to be closed
+	settlePollInterval = 50 * time.Millisecond
+	allowedExtra       = 3 // descriptors, and goroutines, beyond those of a process that was never used
 )
 
-// finish looks what the processes still hold when all clients have gone, and ends them.
-func (i *installation) finish() error {
-	if i.crowd != nil {
-		i.crowd.Stop()
+// finish records what the processes still hold after all clients have disconnected, and ends them.
+func (inst *installation) finish() error {
+	if inst.idleClients != nil {
+		inst.idleClients.Stop()
 	}
-	var wait sync.WaitGroup
-	for _, m := range i.members {
-		wait.Go(func() { m.settle() })
+	var group sync.WaitGroup
+	for _, m := range inst.members {
+		group.Go(func() { m.awaitRelease() })
 	}
-	wait.Wait()
-	for _, m := range i.members {
-		wait.Go(func() {
-			p := i.rig.Process(m.name)
-			if m.index == counted {
-				m.countLeft(p)
+	group.Wait()
+	for _, m := range inst.members {
+		group.Go(func() {
+			p := inst.rig.Process(m.name)
+			if m.index == countedMember {
+				m.countRemainingGoroutines(p)
 				return
 			}
 			m.terminate(p, ProcessStep{})
-			m.awaitEnd(p)
+			m.awaitExit(p)
 		})
 	}
-	wait.Wait()
+	group.Wait()
 	return nil
 }
 
-// settle waits until a process holds no more than one that nobody has used, and notes what it holds at the end.
-func (m *member) settle() {
+// awaitRelease waits until a process holds no more descriptors than one that was never used and has no unfinished
+// request, and records what it holds at the end of the wait.
+func (m *member) awaitRelease() {
 	p := m.rig.Process(m.name)
-	left := Leftover{Process: m.name, AllowedDescriptors: m.idle + spare}
-	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(settleLook) {
-		figures, err := p.Metrics()
+	leftover := Leftover{Process: m.name, AllowedDescriptors: m.unusedDescriptors + allowedExtra}
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(settlePollInterval) {
+		metrics, err := p.Metrics()
 		if err != nil {
 			continue
 		}
-		left.Outstanding = int(figures["app_outstanding"])
-		if left.Descriptors, err = p.OpenDescriptors(); err == nil && left.Descriptors <= left.AllowedDescriptors &&
-			left.Outstanding == 0 {
+		leftover.Outstanding = int(metrics["app_outstanding"])
+		if leftover.Descriptors, err = p.OpenDescriptors(); err == nil &&
+			leftover.Descriptors <= leftover.AllowedDescriptors && leftover.Outstanding == 0 {
 			break
 		}
 	}
-	m.note(func(time.Time) { m.history.Leftovers = append(m.history.Leftovers, left) })
+	m.record(func(time.Time) { m.history.Leftovers = append(m.history.Leftovers, leftover) })
 }
 
-// collect adds to the history what the workers and the processes have seen.
-func (i *installation) collect() {
-	for _, h := range i.workers {
+// collectHistory adds the workers' attempts and the process records to the history.
+func (inst *installation) collectHistory() {
+	for _, h := range inst.workers {
 		for _, a := range h.Attempts() {
-			i.history.Attempts = append(i.history.Attempts, Attempt{Attempt: a, Worker: h.Name()})
+			inst.history.Attempts = append(inst.history.Attempts, Attempt{Attempt: a, Worker: h.Name()})
 		}
 	}
-	for _, m := range i.members {
-		for _, l := range m.lives {
-			i.history.Processes = append(i.history.Processes, *l)
+	for _, m := range inst.members {
+		for _, record := range m.processes {
+			inst.history.Processes = append(inst.history.Processes, *record)
 		}
 	}
-	slices.SortFunc(i.history.Processes, func(a, b ProcessRecord) int { return a.Started.Compare(b.Started) })
+	slices.SortFunc(inst.history.Processes, func(a, b ProcessRecord) int { return a.Started.Compare(b.Started) })
 }
 
-// tell tells what a run has shown.
-func (o Outcome) tell(w io.Writer) {
+// writeTo writes the result of a run as text.
+func (o Outcome) writeTo(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %v, %d at the door, statuses %v, %d attempts, %d processes, %d killed at their end, "+
 		"stalled %v\n",
-		o.Seed, o.Ends, o.UnreadFirstRequests, o.Statuses, o.Attempts, o.Processes, o.KilledAfterTerm, o.Stalled.Round(time.Millisecond))
+		o.Seed, o.Ends, o.UnreadFirstRequests, o.Statuses, o.Attempts, o.Processes, o.KilledAfterTerm,
+		o.Stalled.Round(time.Millisecond))
 	if o.Failure != "" {
 		fmt.Fprintf(w, "seed %d: COULD NOT BE PLAYED: %s\n", o.Seed, o.Failure)
 	}
-	for _, b := range o.Violations {
-		fmt.Fprintf(w, "seed %d: BROKEN %s %s %s: %s\n", o.Seed, b.Rule, b.Process, b.ID, b.Message)
-		for _, line := range b.Events {
+	for _, v := range o.Violations {
+		fmt.Fprintf(w, "seed %d: BROKEN %s %s %s: %s\n", o.Seed, v.Rule, v.Process, v.ID, v.Message)
+		for _, line := range v.Events {
 			fmt.Fprintf(w, "    %s\n", line)
 		}
 	}
 }
 
-// summary makes the report of all runs.
-func summary(o Options, outcomes []Outcome) *report.Report {
+// newReport makes the report of all runs.
+func newReport(o Options, outcomes []Outcome) *report.Report {
 	r := report.New("soak", o.FirstSeed, "seed", "requests", "served", "door", "attempts", "processes", "killed",
 		"breaks")
-	faults := 0
+	failures := 0
 	for _, out := range outcomes {
 		requests := 0
 		for _, n := range out.Ends {
 			requests += n
 		}
-		r.AddRow(out.Seed, requests, out.Statuses[200], out.UnreadFirstRequests, out.Attempts, out.Processes, out.KilledAfterTerm, len(out.Violations))
+		r.AddRow(out.Seed, requests, out.Statuses[200], out.UnreadFirstRequests, out.Attempts, out.Processes,
+			out.KilledAfterTerm, len(out.Violations))
 		if out.Failure != "" {
-			faults++
+			failures++
 		}
 		if len(out.Violations) > 0 || out.Failure != "" {
 			r.Notes = append(r.Notes,
 				fmt.Sprintf("again: topazlab soak --first %d --seeds 1%s", out.Seed, o.lengthFlag()))
 		}
 	}
-	for _, rule := range []Rule{RuleLost, RuleClosed, RuleDuplicate, RuleRefused, RuleInvented, RuleDrain, RuleDeparted, RuleTimeout, RuleErrorOwed, RuleCrash,
-		RuleReady, RuleLeak} {
+	for _, rule := range []Rule{RuleLost, RuleClosed, RuleDuplicate, RuleRefused, RuleInvented, RuleDrain, RuleDeparted,
+		RuleTimeout, RuleErrorOwed, RuleCrash, RuleReady, RuleLeak} {
 		n := 0
 		for _, out := range outcomes {
-			for _, b := range out.Violations {
-				if b.Rule == rule {
+			for _, v := range out.Violations {
+				if v.Rule == rule {
 					n++
 				}
 			}
 		}
 		r.AddBound("broken: "+string(rule), float64(n), 0, "")
 	}
-	r.AddBound("runs that could not be played", float64(faults), 0, "")
+	r.AddBound("runs that could not be played", float64(failures), 0, "")
 	r.Data = outcomes
 	return r
 }
 
+// lengthFlag returns the command-line flag that repeats MaxLength.
 func (o Options) lengthFlag() string {
 	if o.MaxLength == 0 {
 		return ""
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"topazfall/internal/instance"
 )
 
-// The program is this test's own binary, started again: the bare dispatcher.
+// The dispatchers are this test binary, started again with TOPAZFALL_PLAYED set.
 func TestMain(m *testing.M) {
 	if os.Getenv("TOPAZFALL_PLAYED") != "" {
 		if instance.Run(nil) != nil {
@@ -29,14 +29,14 @@
 		MaxLength: 15 * time.Second, LogDir: t.TempDir()}
 }
 
-// TestSoak is the short form of topazlab soak: whole installations under starts, ends, reloads and replacements, with
-// troubles of workers, discovery and clients, break no rule.
+// TestSoak is a short form of "topazlab soak": no rule is violated while dispatchers are started, terminated, reloaded
+// and replaced, and workers, discovery and clients fail.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
-	var told bytes.Buffer
-	r, err := Run(context.Background(), options(t), &told)
+	var output bytes.Buffer
+	r, err := Run(context.Background(), options(t), &output)
 	require.NoError(t, err)
 	for _, bar := range r.Bounds {
 		if !bar.IsMet() {
@@ -45,19 +45,19 @@
 	}
 	require.NotZero(t, r.Rows[0]["served"])
 	if t.Failed() {
-		t.Log(told.String())
+		t.Log(output.String())
 	}
 }
 
-// A plan hangs on its seed alone, and the plans of fifty seeds have all that may happen.
+// A plan depends on its seed alone, and the plans of fifty seeds contain every action, disruption and setting.
 func TestPlans(t *testing.T) {
 	require.Equal(t, NewPlan(7, 0), NewPlan(7, 0))
 	require.NotEqual(t, NewPlan(7, 0).String(), NewPlan(8, 0).String())
 	seen := map[any]int{}
 	for seed := range uint64(50) {
 		p := NewPlan(seed, 0)
-		require.GreaterOrEqual(t, p.Length, shortest)
-		require.LessOrEqual(t, p.Length, longest)
+		require.GreaterOrEqual(t, p.Length, minRunLength)
+		require.LessOrEqual(t, p.Length, maxRunLength)
 		for _, steps := range p.ProcessSteps {
 			for _, s := range steps {
 				seen[s.Action]++
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	for act := range acts {
+	for act := range actionCount {
 		require.NotZero(t, seen[act], act)
 	}
 	for _, trouble := range []Disruption{DrainWorker, RestartWorker, FaultyWorker, CloseIdleConnections} {
@@ -91,16 +91,16 @@
 	}
 }
 
-// What cannot be done as it was asked for is said at once, and nothing is started.
-func TestOptionsThatMakeNoSense(t *testing.T) {
+// Invalid options are rejected with a UsageError.
+func TestInvalidOptions(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
 	for name, change := range map[string]func(o *Options){
-		"0 seeds are none":           func(o *Options) { o.Seeds = 0 },
-		"-1 runs at a time are none": func(o *Options) { o.Parallel = -1 },
-		"no such file":               func(o *Options) { o.ProgramPath = file + "s" },
-		"is no program":              func(o *Options) { o.ProgramPath = file },
-		"not a directory":            func(o *Options) { o.LogDir = filepath.Join(file, "logs") },
+		"number of seeds must be at least 1, not 0":          func(o *Options) { o.Seeds = 0 },
+		"number of parallel runs must be at least 1, not -1": func(o *Options) { o.Parallel = -1 },
+		"no such file":              func(o *Options) { o.ProgramPath = file + "s" },
+		"is not an executable file": func(o *Options) { o.ProgramPath = file },
+		"not a directory":           func(o *Options) { o.LogDir = filepath.Join(file, "logs") },
 	} {
 		o := options(t)
 		change(&o)
