--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -1,4 +1,5 @@
-// Package client is a stand-in for a client: it hands messages in and keeps count of their final answers.
+// Package client is a stand-in for the clients of a dispatcher: it sends messages (requests), well-formed and faulty
+// ones, and reports how each one ended. It also holds idle connections open.
 package client
 
 import (
@@ -10,40 +11,40 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Message is what a client hands in.
+// Message is a request that a client sends.
 type Message struct {
 	ID, Class, Tenant string
-	Key               string // of a class whose repeats go by one; "" for none
+	Key               string // idempotency key, for classes that repeat by key; "" for none
 	Body              []byte
-	Wait              time.Duration // for the answer
-	Hint              time.Duration // of its work
+	Timeout           time.Duration // for the final answer
+	Hint              time.Duration // expected job time; 0 for no hint
 }
 
-// Answer is the final answer. Status 0 is for none.
+// Answer is the final answer to a message. Status is 0 if there was none.
 type Answer struct {
-	Status int
-	Body   string
-	Sent   time.Time // just before the first byte
-	Took   time.Duration
-	Err    error
+	Status  int
+	Body    string
+	Sent    time.Time // just before the first byte
+	Latency time.Duration
+	Err     error
 }
 
-// Client speaks to one dispatcher.
+// Client sends messages to one dispatcher.
 type Client struct {
 	host   fasthttp.HostClient
 	prefix string
-	number atomic.Int64
+	lastID atomic.Int64
 }
 
-// New returns a client of a dispatcher. The ids that it gives begin with prefix.
+// New returns a client of the dispatcher at addr. The ids that NextID returns begin with prefix.
 func New(addr, prefix string) *Client {
 	return &Client{host: fasthttp.HostClient{Addr: addr, MaxConns: 4096, MaxIdemponentCallAttempts: 1}, prefix: prefix}
 }
 
-// NextID is an id that no message has had.
-func (c *Client) NextID() string { return fmt.Sprintf("%s%08d", c.prefix, c.number.Add(1)) }
+// NextID returns an id that this client has not used yet.
+func (c *Client) NextID() string { return fmt.Sprintf("%s%08d", c.prefix, c.lastID.Add(1)) }
 
-// Do hands a message in, once, and waits for its answer.
+// Do sends a message once, without retries, and waits for its final answer.
 func (c *Client) Do(m Message) Answer {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -53,14 +54,14 @@
 	req.Header.Set("X-Request-ID", m.ID)
 	req.Header.Set("X-Priority-Class", m.Class)
 	req.Header.Set("X-Tenant-Id", m.Tenant)
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(m.Wait.Milliseconds(), 10))
+	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(m.Timeout.Milliseconds(), 10))
 	if m.Hint > 0 {
 		req.Header.Set("X-Cost", strconv.FormatInt(m.Hint.Microseconds(), 10))
 	}
 	req.SetBody(m.Body)
 	a := Answer{Sent: time.Now()}
-	a.Err = c.host.DoTimeout(req, resp, m.Wait+time.Second)
-	a.Took = time.Since(a.Sent)
+	a.Err = c.host.DoTimeout(req, resp, m.Timeout+time.Second)
+	a.Latency = time.Since(a.Sent)
 	if a.Err == nil {
 		a.Status, a.Body = resp.StatusCode(), string(resp.Body())
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report keeps what a measurement has found: a table for people, the same figures as JSON, and the bars that
-// must hold.
+// Package report holds the results of a measurement. It prints them as a table, writes them as JSON, and checks values
+// against their upper bounds.
 package report
 
 import (
@@ -16,38 +16,39 @@
 	"topazfall/internal/version"
 )
 
-// Report is one measurement.
+// Report is the result of one measurement.
 type Report struct {
 	Name    string           `json:"name"`
 	Version string           `json:"version"`
 	Seed    uint64           `json:"seed"`
 	Columns []string         `json:"columns"`
 	Rows    []map[string]any `json:"rows"`
-	Bars    []Bar            `json:"bars"`
+	Bounds  []Bound          `json:"bars"`
 	Notes   []string         `json:"notes,omitempty"` // what was left out, and why
-	Data    any              `json:"data,omitempty"`  // all that was measured, for other programs
+	Data    any              `json:"data,omitempty"`  // all measured data, for other programs
 }
 
-// Bar is a figure that must not lie above a bound.
-type Bar struct {
-	What  string  `json:"what"`
+// Bound is a measured value and the maximum that it must not exceed.
+type Bound struct {
+	Name  string  `json:"what"`
 	Value float64 `json:"value"`
-	Most  float64 `json:"most"`
+	Max   float64 `json:"most"`
 	Unit  string  `json:"unit"`
-	// Unjudged says why a value above the bound proves nothing; it neither keeps nor misses it then.
-	Unjudged string `json:"unjudged,omitempty"`
+	// Inconclusive is the reason why a value above the maximum proves nothing: the bound then counts as not judged
+	// instead of missed. It is empty for a bound that is always judged.
+	Inconclusive string `json:"unjudged,omitempty"`
 }
 
-// Holds tells whether the figure keeps its bound.
-func (b Bar) Holds() bool { return b.Value <= b.Most }
+// IsMet reports whether the value does not exceed the maximum.
+func (b Bound) IsMet() bool { return b.Value <= b.Max }
 
-// New returns an empty report.
+// New returns a report without rows.
 func New(name string, seed uint64, columns ...string) *Report {
 	return &Report{Name: name, Version: version.String(), Seed: seed, Columns: columns}
 }
 
-// Add adds a row, its values in the order of the columns.
-func (r *Report) Add(values ...any) {
+// AddRow adds a row; the values are in the order of the columns.
+func (r *Report) AddRow(values ...any) {
 	row := map[string]any{}
 	for i, v := range values {
 		row[r.Columns[i]] = v
@@ -55,24 +56,24 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Check notes a figure that must be at most so much.
-func (r *Report) Check(what string, value, most float64, unit string) {
-	r.Bars = append(r.Bars, Bar{What: what, Value: value, Most: most, Unit: unit})
+// AddBound adds a value that must not exceed limit.
+func (r *Report) AddBound(name string, value, limit float64, unit string) {
+	r.Bounds = append(r.Bounds, Bound{Name: name, Value: value, Max: limit, Unit: unit})
 }
 
-// Verdict says of a bar whether it is kept.
-func (b Bar) Verdict() string {
+// Verdict returns the text of the report's last column: kept, MISSED, or the reason why the bound is inconclusive.
+func (b Bound) Verdict() string {
 	switch {
-	case b.Holds():
+	case b.IsMet():
 		return "kept"
-	case b.Unjudged != "":
-		return b.Unjudged
+	case b.Inconclusive != "":
+		return b.Inconclusive
 	}
 	return "MISSED"
 }
 
-// Finish prints the tables, keeps them in a file if one is named, and returns an error that names the bars that were
-// missed, and those that could not be judged.
+// Finish prints the tables, writes the report as JSON to a file if one is named, and returns an error that names the
+// bounds that were missed and those that could not be judged.
 func (r *Report) Finish(w io.Writer, file string) error {
 	fmt.Fprintf(w, "topazlab %s, version %s, seed %d\n", r.Name, r.Version, r.Seed)
 	r.printRows(w)
@@ -114,39 +115,40 @@
 }
 
 func (r *Report) printBars(w io.Writer) {
-	if len(r.Bars) == 0 {
+	if len(r.Bounds) == 0 {
 		return
 	}
 	t := newTable(w)
 	t.AppendHeader(table.Row{"must hold", "figure", "at most", "unit", ""})
-	for _, b := range r.Bars {
-		t.AppendRow(table.Row{b.What, number(b.Value), number(b.Most), b.Unit, b.Verdict()})
+	for _, b := range r.Bounds {
+		t.AppendRow(table.Row{b.Name, number(b.Value), number(b.Max), b.Unit, b.Verdict()})
 	}
 	t.Render()
 }
 
 func (r *Report) verdict() error {
 	var missed, unjudged []string
-	for _, b := range r.Bars {
+	for _, b := range r.Bounds {
 		switch {
-		case b.Holds():
-		case b.Unjudged != "":
-			unjudged = append(unjudged, fmt.Sprintf("%s (%s)", b.What, b.Unjudged))
+		case b.IsMet():
+		case b.Inconclusive != "":
+			unjudged = append(unjudged, fmt.Sprintf("%s (%s)", b.Name, b.Inconclusive))
 		default:
-			missed = append(missed, b.What)
+			missed = append(missed, b.Name)
 		}
 	}
 	if len(missed) > 0 {
-		return fmt.Errorf("%d of %d bars were missed: %s", len(missed), len(r.Bars),
+		return fmt.Errorf("%d of %d bounds were missed: %s", len(missed), len(r.Bounds),
 			strings.Join(append(missed, unjudged...), "; "))
 	}
 	if len(unjudged) > 0 {
-		return fmt.Errorf("%d of %d bars were not judged: %s", len(unjudged), len(r.Bars), strings.Join(unjudged, "; "))
+		return fmt.Errorf("%d of %d bounds were not judged: %s", len(unjudged), len(r.Bounds),
+			strings.Join(unjudged, "; "))
 	}
 	return nil
 }
 
-// number writes a figure with two decimals, or three digits where that would show less.
+// number formats a value with two decimals, or with three significant digits if it is below 0.1.
 func number(v float64) string {
 	if a := math.Abs(v); a > 0 && a < 0.1 {
 		return fmt.Sprintf("%.3g", v)
