--- a/balancer.go
+++ b/balancer.go
@@ -22,7 +22,8 @@
 	regionCount = 5
 	// columnCount is the length of a table row: no wait, sixteen steps of a quarter of the job time, failed.
 	columnCount = 18
-	// blendWeight is a: the samples of the last interval T_p and all earlier ones count alike.
+	// blendWeight is a in the formula of table.update: the samples of the last interval T_p and the table
+	// learned before them count alike.
 	blendWeight = 0.5
 	// riskSteps is the resolution of a risk. Risks closer than 1/riskSteps tie: the few samples of a lightly
 	// loaded dispatcher resolve no finer difference.
@@ -32,10 +33,12 @@
 	redundancy = 3
 	// faultMemory is the number of probe intervals after which a fault that was not repeated is forgotten.
 	faultMemory = 32
-	// minBuddies is the minimum size of the buddy set: two jobs a second keep so many load reports fresh.
+	// minBuddies is the minimum size of the buddy set. Two jobs a second keep the load reports of that
+	// many buddies fresh.
 	minBuddies = 6
-	// sendsPerHedge limits hedged requests to one in so many sends. That is enough for a fleet in which
-	// every third worker is silent.
+	// sendsPerHedge limits hedged requests, which are further copies of a job that has not started: at
+	// most one send in sendsPerHedge is one. That is enough for a fleet in which every third worker is
+	// silent.
 	sendsPerHedge = 4
 )
 
@@ -111,6 +114,8 @@
 	}
 }
 
+// openRequest records a new request with its deadline and its aim. It returns nil if the request is known
+// already or its class is not.
 func (b *Balancer) openRequest(e *Event) *request {
 	if b.requests[e.Request] != nil || e.Class < 0 || e.Class >= len(b.settings.Classes) {
 		return nil
@@ -119,10 +124,11 @@
 	r := &request{id: e.Request, class: c, due: e.Due, key: e.Key, hint: b.expectedWork(c, e.Hint)}
 	r.work, r.value = r.hint, b.countTenantRequest(e.Tenant)
 	b.smallJobWork = min(b.smallJobWork+b.smallJobWork/16, r.work) // the minimum of recent jobs
-	// A client's retry has the deadline of its first try. The first try is taken to have begun the longest
-	// known timeout of the class before the deadline, and the aim counts from then. If the aim would have
-	// passed by now, this is no retry, because no first try is kept for so long: the client has a shorter
-	// timeout, and the aim counts from now.
+	// A client that retries keeps the deadline of its first try, and its aim counts from the first try. The
+	// first try is taken to have arrived before the deadline by the longest timeout seen in the class; for a
+	// first try with that timeout it is now. If an aim that counts from there has already passed, the request
+	// is not a retry, because no first try is held for so long: the client has a shorter timeout, and the aim
+	// counts from now.
 	b.maxTimeout[e.Class] = max(b.maxTimeout[e.Class], r.due-b.now)
 	span := c.Aim + int64(c.Stretch*r.hint)
 	aimLeft := max(r.due-b.maxTimeout[e.Class]+span-b.now, 0)
@@ -147,10 +153,11 @@
 	return asked
 }
 
-// dispatch sends a request that has no outstanding attempt, or holds it for a moment if no worker may take
-// it. A held request always has a timer, so that its answer comes in time. Load shedding: a job whose
-// expected value is below the price of late jobs is refused, and so is one beyond its tenant's share if no
-// worker is free.
+// dispatch sends a request that has no outstanding attempt, or holds it for a moment if no worker may
+// take it. A held request always has a timer, so that its answer comes in time. Load shedding: a job is
+// refused if its expected value is below the price of late jobs, which is twice the share of the worth
+// that was recently lost by late answers (lateLoss), or if it is beyond its tenant's share and no worker
+// is free.
 func (b *Balancer) dispatch(r *request) {
 	w := b.chooseWorker(r)
 	switch {
@@ -160,8 +167,8 @@
 	case w == nil:
 		b.scheduleRecheck(r, 4*b.startLag)
 	case b.mayRefuse(r) && (r.value < 0.5 && b.currentRegion(w) > 0 || 1-min(b.risk(r, w), 1) < 2*b.lateLoss):
-		// The price is twice the loss because a late job makes another one late. It decays slowly while it
-		// keeps jobs out.
+		// The price is twice the loss because a late job makes another one late. The loss decays slowly while
+		// jobs are refused because of it.
 		b.lateLoss -= b.lateLoss / 64
 		b.reject(r)
 	default:
@@ -170,8 +177,8 @@
 }
 
 // cannotBeServed reports whether it is useless to hold a request that no worker may take now: all workers
-// have been tried, or the aim would be missed in any case and a late answer is not worth the price. The
-// client is then answered at once and may retry.
+// have been tried, or the aim would be missed in any case and a late answer is worth no more than what
+// was recently lost by late answers (lateLoss). The client is then answered at once and may retry.
 func (b *Balancer) cannotBeServed(r *request) bool {
 	lost := float64(r.aim-b.now) < r.hint && r.class.LateWorth <= b.lateLoss
 	return lost || len(r.attempts) > 0 && !slices.ContainsFunc(b.ranked, func(w *worker) bool {
@@ -216,7 +223,7 @@
 	switch {
 	case r.closed || e.Final || e.Outcome == Completed:
 		b.closeRequest(r)
-	case r.countAttempts(func(a *attempt) bool { return a.unusable }) > 1: // two workers agree on it
+	case r.countAttempts(func(a *attempt) bool { return a.unusable }) > 1: // two workers found it invalid
 		b.emit(Action{Kind: Fail, Request: r.id})
 		b.closeRequest(r)
 	case r.outstanding == 0:
@@ -237,7 +244,7 @@
 	}
 }
 
-// cancelAttempts cancels the outstanding attempts of a request except one, where the site allows it.
+// cancelAttempts cancels the outstanding attempts of a request except one, if the settings allow it.
 func (b *Balancer) cancelAttempts(r *request, except *attempt) {
 	for _, a := range r.attempts {
 		if a != except && !a.done && !a.cancelled && b.settings.Allowed.Cancel {
@@ -286,8 +293,8 @@
 		}
 		// The wait is a sample of the actual backlog in the region that was observed at the send.
 		a.worker.addSample(a.region, b.columnOf(wait))
-		// All jobs ahead of this one have started, so with this dispatcher's own no more jobs run than there
-		// are slots.
+		// All jobs ahead of this one have started: none waits, and other dispatchers' jobs leave free at least
+		// the slots of this dispatcher's running jobs, this one included.
 		a.worker.queued = min(a.worker.queued,
 			-1-a.worker.countAttempts(func(o *attempt) bool { return o.startedAt != 0 }))
 	}
@@ -300,10 +307,11 @@
 
 // maybeHedge checks a job that has not started. While it waits no longer than expected it is left alone,
 // because a worker may run a cancelled attempt all the same. If it is late by a job time and its aim is
-// missed, with the hinted work as an allowance for a hint that errs by half, it is withdrawn, unless a late
-// answer is worth the price. If a repeat is harmless and the worker has been silent since the send, the job
-// gets a hedged request at another worker, or a third attempt in place of the older one; the first to start
-// is kept. Where all workers are late, hedged requests only add to the delay, so their number is limited.
+// missed, with the hinted work as an allowance for a hint that errs by half, it is withdrawn, unless a
+// late answer is worth at least what was recently lost by late answers (lateLoss). If a repeat is
+// harmless and the worker has been silent since the send, the job gets a hedged request at another
+// worker, or a third attempt in place of the older one; the first to start is kept. Where all workers are
+// late, hedged requests only add to the delay, so their number is limited.
 func (b *Balancer) maybeHedge(r *request) {
 	newest := r.attempts[0]
 	for _, a := range r.attempts {
@@ -419,10 +427,12 @@
 	return harmless || !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.notRun })
 }
 
-// coldBudget returns the work, in microseconds, that this dispatcher may still send to a cold worker. Half of
-// the work limit of the fall time bounds all sends that this dispatcher knows of. The other half allows for
-// wrong hints, lost gossip messages and dispatchers that do not know of the start yet. The first job of a
-// turn may exceed the dispatcher's share. A dispatcher with a successor leaves its share to the successor.
+// coldBudget returns the work, in microseconds, that this dispatcher may still send to a cold worker,
+// which is none outside of its turn. The work limit is what all dispatchers together may send within the
+// fall time (Contract.FallTime). Half of it bounds all sends that this dispatcher knows of, and its own
+// sends within a turn are bounded by its share, except that the first job of a turn may exceed the share.
+// The other half allows for wrong hints, lost gossip messages and dispatchers that do not know of the
+// start yet. A dispatcher with a successor leaves its share to the successor.
 func (b *Balancer) coldBudget(w *worker) float64 {
 	turn, workLimit, userShare := b.coldTurn(w)
 	if b.hasSuccessor || !b.rotation.Has(turn, b.settings.Me) {
@@ -435,11 +445,13 @@
 	return workLimit/2 - spent
 }
 
-// coldTurn returns the turn at a cold worker, the work limit of the fall time and the share of each user of
-// the turn. The users divide three eighths of the limit, as a window of the fall time touches two turns, or
-// half of it where they gossip about their sends. A share is at least one job, which bounds the number of
-// users. All dispatchers take turns, whether or not the worker is a buddy: buddy sets differ while worker
-// lists do, and more dispatchers would use the worker than each of them counts.
+// coldTurn returns the current turn at a cold worker, which is the period in which a few dispatchers, its
+// users, may send there; the work limit of the fall time; and the share of each user. The shares come out
+// of three eighths of the limit, as a window of the fall time touches two turns, or of half of it where
+// dispatchers gossip about their sends. A share is at least one job. There are so many users that those
+// who get a job within the turn use up the shares on average. All dispatchers take turns, whether or not
+// the worker is a buddy: buddy sets differ while worker lists do, and more dispatchers would use the
+// worker than each of them counts.
 func (b *Balancer) coldTurn(w *worker) (turn ramp.Turn, workLimit, userShare float64) {
 	contract := &b.settings.Contract
 	workLimit = contract.FallMultiple * b.warmShare(w) * w.kind.slots / max(w.kind.pace, 0.1) *
@@ -520,8 +532,8 @@
 	return b.meanQueued + (-w.kind.slots-b.meanQueued)*ageInJobs/(ageInJobs+8)
 }
 
-// recordLoad processes a load report. The reported backlog is a sample of the region in which the worker was
-// held to be until now.
+// recordLoad processes a load report. The reported backlog is a sample of the region in which the worker
+// was estimated to be until now.
 func (b *Balancer) recordLoad(w *worker, l Load) {
 	queue, free, inflight := sanitize(l.Queue), sanitize(l.Free), sanitize(l.Inflight)
 	if w == nil || queue < 0 && free < 0 && inflight < 0 {
@@ -543,7 +555,8 @@
 	w.addSample(b.currentRegion(w), b.columnOf(observed))
 	if region := b.regionOf(w, observed); region/2 != b.regionOf(w, expected)/2 || region == regionCount-1 ||
 		w.evidenceAt == 0 {
-		// The backlog has crossed a threshold TH_2k, or is beyond the last, where there is none to cross.
+		// The estimate changes only if the backlog has crossed one of the thresholds with an even number, TH2 and
+		// TH4 (see regionOf), or is beyond the last, where there is none to cross, or was never reported.
 		w.queued = max(jobs-ownJobs, -w.kind.slots)
 	}
 	w.evidenceAt = b.now
@@ -730,7 +743,7 @@
 		b.ranked = append(b.ranked, w)
 	}
 	w.listed = l.State != Gone
-	// A live weight is a load report of every worker, even for a dispatcher that sends too little to get any.
+	// A live weight is a load report of each worker, also for a dispatcher whose jobs bring too few reports.
 	if b.settings.LiveWeights && w.listed {
 		b.recordLoad(w, Load{Queue: -1, Inflight: w.observeWeight(l.Weight), Free: -1})
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -204,7 +204,7 @@
 }
 
 // If no other worker is left, one to which the connection was lost is tried once more if a repeat is harmless: it may
-// be reachable at another address. One that refused the connection or the job is not.
+// be reachable at another address. A worker that refused the connection or the job is not tried again.
 func TestLostConnectionToOnlyWorker(t *testing.T) {
 	for _, c := range []struct {
 		class int
@@ -336,7 +336,8 @@
 	}
 }
 
-// The aim depends on a rough hint, so a job is withdrawn only when the hinted work has passed beyond it.
+// The aim depends on a rough hint. A job is therefore withdrawn only when, after the last moment at which it could
+// have been in time, the time of the hinted work has passed as well.
 func TestWithdrawalAllowsForRoughHint(t *testing.T) {
 	for _, late := range []int64{100e3, 300e3} { // after the last moment at which it could be in time
 		r := newRig(t, settings(), fleet(6)...)
@@ -406,8 +407,8 @@
 	}
 }
 
-// A request that no worker can take any more was held until its deadline. It must be refused at once, so that the
-// client can retry elsewhere.
+// A request that no worker can take any more must be refused at once, so that the client can retry elsewhere. It used
+// to be held until its deadline.
 func TestRefusedAtOnceWhenAllTried(t *testing.T) {
 	r := newRig(t, settings(), fleet(2)...)
 	id, acts := r.arrive(unsafe)
@@ -433,7 +434,7 @@
 	}
 }
 
-// A refusal advises a backoff of half the minimum backlog of the buddies, or none if the site does not allow it.
+// A refusal advises a backoff of half the minimum backlog of the buddies, or none if Allowed.RetryAfter is not set.
 func TestRetryAfterFollowsMinBacklog(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		s := settings()
@@ -452,7 +453,8 @@
 	}
 }
 
-// With real timers, which can fire at once, a job whose aim was missed used up four attempts in 100 microseconds.
+// No timer is shorter than a tick. Real timers can fire at once, and without this bound a job whose aim was missed
+// used up four attempts in 100 microseconds.
 func TestNoTimerBelowTick(t *testing.T) {
 	s := settings()
 	r := newRig(t, s, fleet(6)...)
--- a/bench_test.go
+++ b/bench_test.go
@@ -6,8 +6,9 @@
 )
 
 // BenchmarkMessage measures the processor time of all decisions for one request: arrival, send, start, progress and
-// end, and a list with the live weights of all workers after every tenth request. The second deployment has 15 ms a
-// second for some 26 requests, the first 800 ms for some 10.
+// end, and a list with the live weights of all workers before every tenth request. Requests come 25 times a second, so
+// lists come 2.5 times a second. The second deployment has 15 ms of processor time a second for some 26 requests, the
+// first 800 ms for some 10.
 func BenchmarkMessage(b *testing.B) {
 	for _, c := range []struct{ dispatchers, workers, open int }{{3, 10, 5}, {2, 15, 30}, {4, 22, 60}, {300, 200, 3}} {
 		b.Run(fmt.Sprintf("dispatchers=%d/workers=%d/open=%d", c.dispatchers, c.workers, c.open), func(b *testing.B) {
--- a/coldfleet_test.go
+++ b/coldfleet_test.go
@@ -45,7 +45,7 @@
 	killedShare        float64
 	joinsAsNew         bool  // the cold workers are new, not back under their old ids
 	restartsTwice      bool  // they restart once more after half of the ramp
-	lateNotice         int64 // one dispatcher in four is notified of the start so much later
+	lateNotice         int64 // delay with which one dispatcher in four is notified of the start
 	coldFrom           float64
 	rampTime, fallTime int64
 	fallMultiple       float64
@@ -59,7 +59,7 @@
 	budget     float64 // N + 2 sqrt(N) + 2
 	byNotified float64 // of used, from dispatchers that had been notified of the start
 	overloads  int     // workers that were sent more than the budget in a window
-	// of overloads, those in whose first window over two thirds of the work came from notified dispatchers
+	// of overloads, workers for which notified dispatchers sent over two thirds of the first window over budget
 	avoidable int
 	sentWork  float64 // to all cold workers while they were cold
 	capacity  float64 // what they can do in that time
@@ -67,10 +67,11 @@
 	requests  int     // that arrived in total
 }
 
-// utilization returns the work sent to the cold workers as a share of their capacity while they are cold.
+// utilization returns the work that the cold workers were sent as a share of the work that they could do while they
+// were cold.
 func (f coldResult) utilization() float64 { return f.sentWork / f.capacity }
 
-// unused returns the share of the limit while they are cold that was not used.
+// unused returns the share of the limit of the cold workers that was left unused.
 func (f coldResult) unused() float64 { return 1 - f.sentWork/f.limit }
 
 func (f coldResult) String() string {
--- a/coldramp_test.go
+++ b/coldramp_test.go
@@ -68,8 +68,8 @@
 // Cold workers can be overloaded by the sum of what all dispatchers send. In no window of the fall time, wherever it
 // begins, may one be sent more than N + 2 sqrt(N) + 2 requests of mean work. Dispatchers that are notified late cannot
 // hold back their work, so where there are any, no overload may be due to the notified ones. The capacity must also be
-// used: if the fleet is offered more than it can serve, cold workers get at least half of what they can do, just as the
-// service floor of a day is half of what can be served.
+// used: if the fleet is offered more than it can serve, cold workers get at least half of what they can do. Half of
+// what can be served is also the minimum service of a simulated day.
 func TestRampHoldsForTheFleet(t *testing.T) {
 	for _, k := range coldCases {
 		for _, size := range coldSizes {
@@ -125,7 +125,7 @@
 }
 
 // allColdAndListsLate is a scenario in which the whole fleet restarts cold, from a tenth of its capacity. A quarter of
-// the dispatchers are notified late, all of them in pieces, and no gossip arrives.
+// the dispatchers are notified late, the list reaches all of them in pieces, and no gossip arrives.
 func allColdAndListsLate(dispatchers, workers int, seed uint64) coldScenario {
 	c := baseScenario
 	c.dispatchers, c.workers, c.cold, c.seed = dispatchers, workers, workers, seed
@@ -134,13 +134,13 @@
 	return c
 }
 
-// The whole fleet restarts cold from a tenth of its capacity, a quarter of the dispatchers are notified late and in
-// pieces, and no gossip arrives. No worker may be overloaded by notified dispatchers. With turns only for those
-// dispatchers that had the worker as a buddy, one was: within 0.34 s of its start w2 got 37.5 requests of mean work
-// with a budget of 37.1, 28.3 of them from eight notified dispatchers. Each of these saw a different part of the list,
-// 4 to 12 of the 15 workers, had the worker among its buddies at that moment, and found that 2 to 6 dispatchers
-// including itself might use it in this turn. While the list grew from piece to piece, every dispatcher was one of them
-// for a while.
+// The whole fleet restarts cold from a tenth of its capacity, a quarter of the dispatchers are notified late, the list
+// reaches all of them in pieces, and no gossip arrives. No worker may be overloaded by notified dispatchers. When only
+// dispatchers that had the worker as a buddy took turns, one worker was: within 0.34 s of its start w2 got 37.5
+// requests of mean work with a budget of 37.1, 28.3 of them from eight notified dispatchers. Each of these saw a
+// different part of the list, 4 to 12 of the 15 workers, had the worker among its buddies at that moment, and found
+// that 2 to 6 dispatchers including itself might use it in this turn. While the list grew from piece to piece, every
+// dispatcher was one of them for a while.
 func TestRampHoldsWithAllColdAndListsLate(t *testing.T) {
 	c := baseScenario
 	c.dispatchers, c.workers, c.cold = 30, 15, 15
@@ -154,8 +154,9 @@
 // largeFleets adds the fleets that take minutes: go test -run AtEverySize -large-fleets .
 var largeFleets = flag.Bool("large-fleets", false, "run fleets of up to 300 dispatchers that take minutes")
 
-// The same holds at every size and with more seeds, and the capacity is used. The fault grew with the fleet: of 150
-// workers of 300 dispatchers, 13 to 23 were overloaded by notified dispatchers.
+// The same as TestRampHoldsWithAllColdAndListsLate at every size and with more seeds; in addition the capacity must be
+// used. The overload grew with the fleet: of 150 workers of 300 dispatchers, 13 to 23 were overloaded by notified
+// dispatchers.
 func TestRampHoldsAtEverySizeWithAllColdAndListsLate(t *testing.T) {
 	for _, fleet := range []struct {
 		dispatchers, workers int
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// A rough hint must not make a job count as late. On a quiet day a fifth of all jobs did, and others were refused for
-// that.
+// A rough hint must not make a job count as late. On a quiet day a fifth of all jobs did, and other jobs were refused
+// because of that.
 func TestRoughHintsDoNotLookLate(t *testing.T) {
 	r := newRig(t, settings(), fleet(6)...)
 	for _, wait := range []int64{0, 3e6} {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -186,15 +186,15 @@
 // A job of any class that leaves a backlog is announced: by the list the worker would still look less loaded.
 func TestBacklogIsAnnounced(t *testing.T) {
 	for _, c := range []struct {
-		inHand    float64 // at a worker of three cores, by the list
-		work      int64   // in job times
-		announced bool
+		listedJobs float64 // at a worker of three cores, by the list
+		work       int64   // in job times
+		announced  bool
 	}{{0, 1, false}, {1, 1, false}, {4, 1, true}, {9, 1, true}, {4, 0, false}} {
 		s, ws := settings(), fleet(6)
 		s.LiveWeights, s.Allowed.PeerMessages, s.Dispatchers = true, true, 30
 		setWeights(ws, 3)
 		r := newRig(t, s, ws...)
-		for _, n := range []float64{1, c.inHand} { // the first shows the number of cores
+		for _, n := range []float64{1, c.listedJobs} { // the first shows the number of cores
 			setWeights(ws, 3/(1+n/3))
 			r.now += 1e6
 			r.handle(Event{Kind: ListPatch, List: ws})
@@ -205,7 +205,7 @@
 			Hint: c.work*150e3 + 1000})
 		r.requireSend(acts)
 		if n, _ := countActions(acts, SendToPeer); n > 0 != c.announced {
-			t.Errorf("%v jobs at the worker, work of %d job times: %d gossip messages", c.inHand, c.work, n)
+			t.Errorf("%v jobs at the worker, work of %d job times: %d gossip messages", c.listedJobs, c.work, n)
 		}
 	}
 }
@@ -315,13 +315,15 @@
 	}
 }
 
-// All dispatchers that share a cold worker use it, and never beyond its limit. Gossip bounds the sum, and without any
-// gossip the work still stays within the limit. The same holds when a whole zone restarts cold at once.
+// All dispatchers of a tier, a set of dispatchers over one fleet, that share a cold worker use it, and the sum of what
+// they send stays within its limit, whether their gossip messages about sends arrive, are all lost, or are not sent at
+// all. With gossip the worker gets at least a third of its capacity. The same holds when a whole zone restarts cold at
+// once.
 func TestColdWorkerIsSharedByTheTier(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers, workers, cold int
 		rate                       float64 // requests a second at a dispatcher
-		least                      float64 // a third of its capacity, as that grows from 0.3 to 1 of three cores
+		least                      float64 // a third of its capacity, which grows from 0.3 to 1 of three cores
 	}{{80, 60, 1, 1.5, 6.5e6}, {300, 165, 55, 1.5, 5.8e6}, {2, 12, 4, 60, 5.8e6}, {4, 15, 5, 30, 5.8e6}} {
 		withoutGossip := coldTierWork(t, c.dispatchers, c.workers, c.cold, c.rate, "none")
 		if allLost := coldTierWork(t, c.dispatchers, c.workers, c.cold, c.rate, "lost"); allLost < withoutGossip {
@@ -437,8 +439,8 @@
 }
 
 // During a release half of the workers drain, and buddy sets span twice as many workers. The dispatchers that are
-// notified of a worker, and those that take turns at a cold one, are those that use it then. A fault is not announced
-// to all of hundreds of dispatchers.
+// notified of a worker's fault, and those that take turns at a cold worker, are those that use the worker at that
+// time. A fault is not announced to all of hundreds of dispatchers.
 func TestSharersFollowCurrentUse(t *testing.T) {
 	const dispatchers, workers, job = 300, 164, 600e3
 	for _, draining := range []bool{false, true} {
--- a/gossip.go
+++ b/gossip.go
@@ -10,8 +10,8 @@
 // Gossip between dispatchers about workers. Package internal/decide/gossip decides which peers get a message. What
 // follows from a message for a choice is in balancer.go; how far messages are trusted is decided here.
 
-// gossipEjectionDivisor limits the effect of gossip: while one in so many of the listed workers is ejected, a gossip
-// message ejects no more.
+// gossipEjectionDivisor limits the effect of gossip: once a third of the listed workers are ejected, a gossip message
+// ejects no more.
 const gossipEjectionDivisor = 3
 
 // announce notifies the dispatchers that share a worker that a job was sent there or has ended. A message is worth its
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// An invalid entry is left out. The results for a long list of entries are bounded.
+// An invalid entry is left out. However long the list of entries is, the numbers of addresses and of reported entries
+// are bounded.
 func TestParseList(t *testing.T) {
 	texts := []string{"127.0.0.1:1", "odd", "[::ffff:127.0.0.1]:1"}
 	for i := range 1000 {
--- a/internal/decide/addresses/claims.go
+++ b/internal/decide/addresses/claims.go
@@ -8,12 +8,13 @@
 
 // Claims decides which host owns each address. An address reaches one host: where two hosts list it, one of them is
 // wrong, and a request that is sent to it may run on the wrong host. The host that owned an address first keeps it as
-// long as it lists it. A host that has a dial address alone owns that address, whatever other hosts list.
+// long as it lists it. A host that lists no addresses is reached by its single dial address and owns that address,
+// whatever other hosts list.
 //
 // The cost of a change depends on the addresses and hosts that it affects, not on the number of hosts.
 type Claims struct {
 	listed map[string][]Address // by host; hosts that list addresses
-	dialed map[string]Address   // by host; hosts that have a dial address alone
+	dialed map[string]Address   // by host; hosts that list none and have a dial address
 	claims map[Address]*addressClaim
 	usable map[string][]Address // by host, as of the last Resolve
 
--- a/internal/decide/addresses/set.go
+++ b/internal/decide/addresses/set.go
@@ -22,7 +22,7 @@
 	CanProbe bool
 }
 
-// Defaults suit hosts within a few milliseconds.
+// Defaults are limits for hosts that are at most a few milliseconds away.
 var Defaults = Limits{MinDelay: 30e3, InitialDelay: 50e3, MaxDelay: 100e3, MinBackoff: 500e3, MaxBackoff: 10e6,
 	CalmPeriod: 30e6}
 
@@ -72,10 +72,10 @@
 const (
 	NoDoubt     Doubt = iota
 	MildDoubt         // it has failed; if another address is good, a repeatable request tests it first
-	SevereDoubt       // it has reset a request; unused for such requests until another was answered over it
+	SevereDoubt       // it has reset a request; not trusted until a repeatable request was answered over it
 )
 
-// addressStatus is what is known of one address.
+// addressStatus holds the state, the doubt, the failures and the connect times of one address.
 type addressStatus struct {
 	Address
 	state            State
@@ -141,7 +141,7 @@
 // By then it has shown that successful tests, by a probe or by a repeatable request, do not protect such requests.
 const maxOnceResets = 3
 
-// isBarred reports whether the address must not be used for a request. If once is set the request must not run twice.
+// isBarred reports whether the address must not be used for a request; once is set if the request must not run twice.
 func (st *addressStatus) isBarred(once bool) bool {
 	return once && (st.doubt == SevereDoubt || st.onceResets >= maxOnceResets)
 }
@@ -156,7 +156,8 @@
 	rankBackoff = 5
 )
 
-// rank returns the rank of the address for a request. The second result is false if it must not be used.
+// rank returns the rank of the address for a request; once is set if the request must not run twice. The second result
+// is false if the address must not be used for the request.
 func (st *addressStatus) rank(now int64, once bool) (int, bool) {
 	switch {
 	case st.isBarred(once):
@@ -235,7 +236,7 @@
 		switch {
 		case status.doubt == SevereDoubt && !s.limits.CanProbe: // a connection would show nothing
 			continue
-		case status.doubt != SevereDoubt && (status.state == Good || !s.hasGood(now)): // the next message will show
+		case status.doubt != SevereDoubt && (status.state == Good || !s.hasGood(now)): // the next request will show
 			continue
 		}
 		status.inTrial = true
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -47,7 +47,8 @@
 }
 
 // HostHash returns the hash that stands for a host ID in a message. Two of 200 hosts share a hash in 5 fleets of a
-// million. With 16 bits it would be in 26 of a hundred, and a healthy host would be blamed for the failures of another.
+// million. With 16 bits it would be 26 fleets of a hundred, and a healthy host would be blamed for the failures of
+// another.
 func HostHash(host string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(host))
--- a/internal/decide/ownership/owner.go
+++ b/internal/decide/ownership/owner.go
@@ -11,7 +11,7 @@
 	Taking        // it is taking a message as new
 	Claiming      // it is claiming a message that another may have had
 	Owning        // it owns the message
-	Lost          // another owns the message, or will
+	Lost          // another instance owns the message, or is about to
 )
 
 // Result is the effect of an answer.
@@ -142,7 +142,7 @@
 			}
 		}
 		next := latest.Record
-		if next.Phase == Unknown { // no owner had got a record written
+		if next.Phase == Unknown { // no earlier owner had completed a write
 			next.Phase = Taken
 		}
 		// The progress of the last owner must be acknowledged in this epoch before anything else.
--- a/internal/decide/ownership/ownership.go
+++ b/internal/decide/ownership/ownership.go
@@ -1,5 +1,5 @@
-// Package ownership decides which dispatcher may do what with a message, which is a client's request, when dispatchers
-// may fail. It does no I/O and reads no clock.
+// Package ownership decides which dispatcher may do what with a message (a client's request) when dispatchers may
+// fail. It does no I/O and reads no clock.
 //
 // Each message has three replicas among the instances of an installation (see ReplicasOf). A replica holds a register
 // for the message: its progress as reported by the owner. An owner changes the register by a Write that two of the
--- a/internal/decide/ownership/replica.go
+++ b/internal/decide/ownership/replica.go
@@ -44,8 +44,8 @@
 	return out
 }
 
-// MarkComplete lets the replica vote on all messages. It is called when the replica has run for as long as any message
-// is remembered, so that no message is left whose register it may have lost.
+// MarkComplete lets the replica vote on all messages. It is called when the replica has run for the longest time that
+// a message is remembered, so that no message is left whose register it may have lost.
 func (r *Replica) MarkComplete() {
 	for _, n := range r.roster {
 		r.synced[n] = true
--- a/internal/decide/ramp/rotation.go
+++ b/internal/decide/ramp/rotation.go
@@ -11,9 +11,9 @@
 // order. The zero value is not valid.
 type Rotation struct{ dispatchers, stride, inverse int64 }
 
-// Turn is a period in which a few dispatchers may use a worker: those at Users consecutive places of the rotation, from
-// First on. Places wrap around, so any number is a place. Of two turns with the same first place, the users of the
-// smaller are a subset of those of the larger.
+// Turn is a period in which a few dispatchers may use a worker: those at Users consecutive places of the rotation,
+// from First on. Places wrap around, so any number is a place. Of two turns with the same first place, the users of
+// the one with fewer users are a subset of those of the other.
 type Turn struct {
 	First, Users int64
 	Start        int64 // in microseconds
--- a/internal/decide/ramp/rotation_test.go
+++ b/internal/decide/ramp/rotation_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// From one turn to the next, whose first place is one further, all users but one remain. Over time every dispatcher has
-// a turn.
+// The users of a turn are the dispatchers at consecutive places of the rotation. The next turn begins one place
+// further, so that all users but the first keep the worker and one is added. Over time every dispatcher has a turn.
 func TestTurnsMoveSlowly(t *testing.T) {
 	const n, users = 300, 10
 	rotation := NewRotation(n)
--- a/internal/decide/refresh/refresh.go
+++ b/internal/decide/refresh/refresh.go
@@ -17,16 +17,16 @@
 // That is the start of the last call that brought a list or, if later calls that opened a watch showed that discovery
 // could not be reached, the start of the last of these. Any answer except a refusal shows that discovery could be
 // reached; unreadSince then stays until a list is read. Timeouts, failed connections and refusals are what a service
-// that is down shows, and the list stays in use for as long as they last: after a call without an answer the next call
-// starts so early that its failure moves StaleAt on in time, and after a refusal the next call decides. From StaleAt
-// until the next list is read, nothing new may be sent to any worker. The grace period of a drain begins at StaleAt and
-// is left to the requests that are in progress then.
+// that is down shows, and the list stays in use while they last: after a call without an answer the next call starts so
+// early that its failure moves StaleAt on in time, and after a refusal the next call decides. From StaleAt until the
+// next list is read, nothing new may be sent to any worker; this period is called a hold. The grace period of a drain
+// begins at StaleAt and is left to the requests that are in progress then.
 //
-// A refusal for lack of capacity, as when calls queue and fail after waiting too long, cannot be told from a refusal by
-// a service that is down. Holding new requests after such a refusal would leave clients without service for as long as
-// discovery is down. Using the list may send requests to a worker whose drain this dispatcher could not read for longer
-// than the bound. [Settings.HoldOnRefusal] says that discovery refuses only for lack of capacity: a refusal after a
-// wait then shows that discovery could be reached. An immediate refusal never shows that.
+// A refusal for lack of capacity, as when calls queue and fail after waiting too long, cannot be distinguished from a
+// refusal by a service that is down. Holding new requests after such a refusal would leave clients without service
+// while discovery is down. Using the list may send requests to a worker whose drain this dispatcher could not read for
+// longer than the bound. [Settings.HoldOnRefusal] says that discovery refuses only for lack of capacity: a refusal
+// after a wait then shows that discovery could be reached. An immediate refusal never shows that.
 //
 // # The call budget of the fleet
 //
@@ -53,7 +53,7 @@
 	// AnswerGrace is how long an agent that pushes lists may take to answer beyond the wait of a watch.
 	AnswerGrace = 1500 * time.Millisecond
 
-	watchWait   = time.Second             // for changes; after a silent watch a dispatcher soon counts as notified
+	watchWait   = time.Second             // short, as a dispatcher soon counts as notified after a silent watch
 	callTimeout = watchWait + AnswerGrace // a polling call may have to queue
 
 	// askEveryMultiple is the multiple of AskEvery after which the protocol counts a dispatcher as notified where
@@ -61,16 +61,16 @@
 	askEveryMultiple = 4
 
 	retrySpacing         = 100 * time.Millisecond // of a single dispatcher; its watch continues within 200 ms
-	maxSpacingFactor     = 4                      // by which consecutive failures may lengthen it
-	maxSmallFleet        = 4                      // so few dispatchers may each call as if alone
-	minQueueWait         = 500 * time.Millisecond // a refusal after it shows a queue at full capacity
+	maxSpacingFactor     = 4                      // by which consecutive failures may lengthen retrySpacing
+	maxSmallFleet        = 4                      // up to this number, each dispatcher calls as if it were alone
+	minQueueWait         = 500 * time.Millisecond // a refusal after this time came from a queue at full capacity
 	timerSlack           = 100 * time.Millisecond // by which a call starts earlier than the bound requires
 	minPause             = 5 * time.Millisecond   // between a failed call and the next
 	agentCallsPerGrace   = 4                      // to an unresponsive agent within the grace period of a drain
 	minAgentCallInterval = 10 * time.Millisecond  // between calls to such an agent, however short the grace period is
 )
 
-// Settings are the settings that concern discovery.
+// Settings are the settings for calls to discovery.
 type Settings struct {
 	Dispatchers int           // how many share discovery
 	Polled      bool          // lists come only in answer to calls; otherwise an agent pushes them
@@ -95,7 +95,7 @@
 	return time.Duration(min(1<<min(max(failures, 1)-1, maxSpacingFactor), maxSpacingFactor))
 }
 
-// scaleToBound scales a time that is meant for a bound of NotifiedAfter to the staleness bound in force.
+// scaleToBound scales a time that is meant for a bound of NotifiedAfter to the staleness bound of the settings.
 func (s Settings) scaleToBound(d time.Duration) time.Duration {
 	if !s.Polled {
 		return d
@@ -109,8 +109,9 @@
 // CallTimeout is the time after which a call is abandoned. Two call timeouts fit into the staleness bound.
 func (s Settings) CallTimeout() time.Duration { return s.scaleToBound(callTimeout) }
 
-// Interval is the time in which each dispatcher of a large fleet may start one call. It is half the rate that the
-// contract obliges discovery to serve, and short enough for an answer within the staleness bound.
+// Interval is the time in which each dispatcher of a large fleet may start one call. The calls of the fleet then come
+// at half the rate that the contract obliges discovery to serve, and an answer still arrives within the staleness
+// bound.
 func (s Settings) Interval() time.Duration {
 	interval := s.StalenessBound() * 5 / 6
 	if s.AskEvery > 0 {
@@ -161,7 +162,8 @@
 	Refused
 )
 
-// Schedule is one dispatcher's view of discovery. It is not safe for concurrent use; times must not decrease.
+// Schedule decides when one dispatcher calls discovery, and how long its list may be used. It is not safe for
+// concurrent use; times must not decrease.
 type Schedule struct {
 	settings Settings
 	random   *rand.Rand
@@ -181,13 +183,13 @@
 	return &Schedule{settings: settings, random: random, callStart: now, unreadSince: now}
 }
 
-// Settings returns the settings in force.
+// Settings returns the current settings.
 func (s *Schedule) Settings() Settings { return s.settings }
 
 // CallStart returns when the call in progress, or the last one, started.
 func (s *Schedule) CallStart() time.Duration { return s.callStart }
 
-// Configure puts other settings in force.
+// Configure replaces the settings.
 func (s *Schedule) Configure(settings Settings) { s.settings = settings }
 
 // Unread is the handover state of a schedule: what a predecessor has not read. Its fields are part of the handover
--- a/internal/decide/refresh/refresh_test.go
+++ b/internal/decide/refresh/refresh_test.go
@@ -90,7 +90,8 @@
 			require.LessOrEqual(t, third, max(106*second-callTimeout, next+spacing*7/6),
 				"delayed by more than the random spread")
 			require.True(t, dispatchers > 8 || third < 106*second, "no further call starts within the bound")
-			// Past the bound only the budget limits the load: a service that refuses all calls for long serves nobody.
+			// Past the bound a long Retry-After is not kept, as a service that refuses all calls for long is of no use
+			// to any dispatcher: only the call budget of the fleet limits the load.
 			late := simulateCall(s, 111*second, 111*second, UnusableAnswer, 60*second)
 			require.LessOrEqual(t, late, 111*second+spacing*7/6)
 			simulateCall(s, late, late+second, Read, 0)
@@ -162,7 +163,8 @@
 	requireStaleAt(t, s, 106*second)
 }
 
-// A healthy watch keeps the list fresh, and a list that is pushed never becomes stale.
+// Neither a working watch nor a pushed list leads to a hold, in which nothing is sent because the list is stale: each
+// read by the watch postpones the time at which the list becomes stale, and a pushed list has no such time.
 func TestHealthyWatchNeverHolds(t *testing.T) {
 	s := startedSchedule()
 	for now := 100 * second; now < 200*second; now += second {
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -1,5 +1,5 @@
-// Package share decides which messages, which are the requests of clients, lie within their tenant's share of the
-// service. It does no I/O and reads no clock; times are in microseconds.
+// Package share decides which messages (client requests) lie within their tenant's share of the service. It does no
+// I/O and reads no clock; times are in microseconds.
 //
 // Every dispatcher counts for itself with one token bucket for each tenant: it allows a tenant the fraction of its
 // quota that corresponds to the dispatcher's fraction of all traffic. A dispatcher does not know how unevenly traffic
--- a/internal/decide/sources/sources.go
+++ b/internal/decide/sources/sources.go
@@ -50,7 +50,7 @@
 	Confirmations int   // consecutive authoritative empty answers that are needed to believe them
 	Flaps         int   // disappearances within FlapWindow that make a host flapping
 	FlapWindow    int64
-	FlapHold      int64 // how long a flapping host must be listed to be used again; doubles with each further time
+	FlapHold      int64 // how long a flapping host must be listed before it is used; doubles with each further time
 }
 
 // NameSettings are the settings of one SRV name.
@@ -64,7 +64,7 @@
 // DefaultWeightUnit is the SRV weight that most DNS zones give to an ordinary host.
 const DefaultWeightUnit = 100
 
-// Defaults suit lifetimes of seconds to minutes.
+// Defaults are settings for lifetimes of seconds to minutes.
 var Defaults = Settings{Hold: 300e6, DrainEvery: 5e6, Confirmations: 3, Flaps: 3, FlapWindow: 60e6, FlapHold: 5e6}
 
 // Host is a host in the merged list.
--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/sources/sources_test.go
@@ -168,8 +168,8 @@
 	require.Empty(t, v)
 }
 
-// Hosts of a higher priority number are used only while no host of a lower one is eligible, as all of them are drained
-// by the roster or have vanished.
+// Hosts of a higher priority number are used only while no host of a lower one is eligible, because all of them are
+// drained by the roster or have vanished.
 func TestPriority(t *testing.T) {
 	m, v := newMerger(), view{}
 	m.HandleAnswer(1, jobs, []Record{newRecord("a.example", "10.0.0.1", 1), newRecord("b.example", "10.0.0.2", 1),
@@ -218,7 +218,7 @@
 	require.Equal(t, 2*second, v["b.example"].StartedAt)
 }
 
-// A host that vanishes and returns repeatedly is held back for ever longer.
+// A host that vanishes and returns repeatedly is held back for longer each time.
 func TestFlapping(t *testing.T) {
 	m, v := newMerger(), view{}
 	with, without := []Record{newRecord("a.example", "10.0.0.1"), newRecord("b.example", "10.0.0.2")},
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -279,7 +279,9 @@
 	return w
 }
 
-// resolveClaims sends the upstream the addresses of each host whose addresses have changed.
+// resolveClaims decides which host owns each address (see addresses.Claims). It passes the usable addresses of each
+// host for which they have changed to the upstream, and logs the addresses that a host lists although another one owns
+// them.
 func (c *Core) resolveClaims() {
 	changed, conflicts := c.claims.Resolve()
 	for _, conflict := range conflicts {
@@ -432,7 +434,7 @@
 	x := r.Exchange
 	if outcome == topazfall.Completed {
 		c.finish(x, exchange.Answer{Result: exchange.Served, Body: result})
-	} else if x.IsDisconnected() { // the check before the relay's start may have noticed it
+	} else if x.IsDisconnected() { // TryStart may have been the first to notice the disconnect
 		c.endDisconnected(x)
 	}
 	now := c.Now()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -183,8 +183,8 @@
 	})
 }
 
-// A client disconnects while the module is about to send a hedged request: it is not sent, and the first relay is
-// cancelled.
+// A client disconnects while the decision module is about to send a hedged request, a second copy beside the first: it
+// is not sent, and the first relay is cancelled.
 func TestNoHedgedRequestAfterClientDisconnects(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		s := testSettings(nil)
@@ -411,8 +411,9 @@
 	}
 }
 
-// During a hold no relay starts at any host, whether it was listed before or during the hold. Relays that have started
-// continue. A drain in the next list is applied before anything is sent again.
+// During a hold, in which the list is too old to use, no relay starts at any host, whether it was listed before or
+// during the hold. Relays that have started continue. A drain in the next list is applied before anything is sent
+// again.
 func TestHold(t *testing.T) {
 	c, s := start(t, "h", "i")
 	c.Submit(newExchange(c, "begun", time.Minute))
@@ -470,7 +471,7 @@
 	return ts
 }
 
-// A message that was read with the previous settings arrives after new settings are in force. It counts for its own
+// A message that was read with the previous settings arrives after new settings were applied. It counts for its own
 // tenant whatever the order of tenants is now, even if the tenant was removed or the message goes to a process with
 // another order.
 func TestTenantsKeepTheirIndices(t *testing.T) {
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -27,8 +27,8 @@
 	return exchange.RepeatLimit{}
 }
 
-// Indices maps the names of classes and tenants to their indices. A name keeps its index for as long as the process
-// runs, so that messages read with earlier settings, and messages in flight, keep their class and tenant.
+// Indices maps the names of classes and tenants to their indices. A name keeps its index until the process ends, so
+// that messages read with earlier settings, and messages in flight, keep their class and tenant.
 type Indices struct{ Classes, Tenants map[string]int }
 
 // NewIndices returns the indices for the first settings of a process.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -21,7 +21,7 @@
 const (
 	// proveTimeout is the time from accepting a connection until it must have delivered a valid message or callback.
 	proveTimeout = 2500 * time.Millisecond
-	// pieceTimeout is the longest pause within a request. A client that stalls is owed an error within 3 s.
+	// pieceTimeout is the longest pause within a request. A client that stalls must get an error within 3 s.
 	pieceTimeout      = 2500 * time.Millisecond
 	lingerTimeout     = time.Second // for an error response to arrive before its connection is closed
 	maxLingerBytes    = 1 << 20     // discarded meanwhile
@@ -211,7 +211,7 @@
 	return sc
 }
 
-// hasUnread reports whether bytes have arrived that nobody has read yet.
+// hasUnread reports whether bytes have arrived that were not read yet.
 func (c *conn) hasUnread() bool { return socket.Inspect(c.Conn) == socket.Readable }
 
 // awaitFirstByte waits for the first byte of a request and marks the connection as busy before that byte is read: until
@@ -342,7 +342,9 @@
 		l.closeFirst(l.proven, (*conn).isUnused)
 }
 
-// evictOldestUnproven evicts the oldest unproven connection, and reports whether there was one. l.mu must be held.
+// evictOldestUnproven evicts the oldest unproven connection, which is one that has not yet delivered a message or a
+// callback, and reports whether there was one. A request that has begun to arrive on it is answered first if possible
+// (see closeAfterAnswer). l.mu must be held.
 func (l *listener) evictOldestUnproven() bool {
 	oldest := l.unproven.Front()
 	if oldest == nil {
@@ -353,7 +355,7 @@
 }
 
 // closeAfterAnswer evicts a connection on which a request has begun to arrive. Its reader may already hold the whole
-// request, which would be lost without an answer. Reading therefore ends with the bytes that are here, and the
+// request, which would be lost without an answer. Reading therefore ends with the bytes received so far, and the
 // connection's own goroutine closes it after it has answered the request, complete or not. If maxAnswering others are
 // in this state the connection is closed at once, so that they do not use up file descriptors. l.mu must be held.
 func (l *listener) closeAfterAnswer(c *conn) {
@@ -497,8 +499,8 @@
 }
 
 // setPieceDeadline limits the wait for the next piece of a request to pieceTimeout. The server's own deadline is for
-// the whole request: on a proven connection, a client that stalls within a request would get no error within the 3 s in
-// which it is owed one.
+// the whole request: on a proven connection, a client that stalls within a request would get no error within the 3 s
+// that are allowed for it.
 func (c *conn) setPieceDeadline() {
 	deadline := time.Now().Add(pieceTimeout)
 	if c.readDeadline.IsZero() || deadline.Before(c.readDeadline) {
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -40,10 +40,11 @@
 // isOpen reports whether the listener still admits the connection.
 func isOpen(c *conn) bool { return c.element != nil }
 
-// On a reused connection a client stalls within its next request. It is owed an error or a close within 3 s, and got
-// neither for 10 s, the time for a whole request: the limit of 2.5 s applied to unproven connections only. Seen in the
-// soak test (seed 1, --longest 20s): six clients without an answer, or closed 3.7 to 6.8 s after they had stalled, all
-// on reused connections. A request whose pieces keep arriving in time is read to its end.
+// A client that stalls within a request on a reused connection must get an error or a close within 3 s. It used to get
+// neither for 10 s, the time for a whole request, because the limit of 2.5 s applied to unproven connections only,
+// which are those that have not yet delivered a message or a callback. Seen in the soak test (seed 1, --longest 20s):
+// six clients without an answer, or closed 3.7 to 6.8 s after they had stalled, all on reused connections. A request
+// whose pieces keep arriving in time is read to its end.
 func TestStalledRequestTimesOut(t *testing.T) {
 	const owed, piece = 3 * time.Second, 800 * time.Millisecond
 	_, c, client := connectOne(t)
@@ -234,7 +235,7 @@
 }
 
 // gatedConn is a connection whose Read, after it has read more than the given number of bytes, blocks until proceed is
-// closed. Nobody else knows of the bytes meanwhile.
+// closed. Meanwhile the rest of the server does not know of the bytes.
 type gatedConn struct {
 	*net.TCPConn
 	bytesRead, proceed chan struct{}
--- a/internal/frontend/framing.go
+++ b/internal/frontend/framing.go
@@ -8,7 +8,8 @@
 	"topazfall/internal/exchange"
 )
 
-// singleFields are the header fields that may occur only once: of two, a host (worker) might use the other one.
+// singleFields are the header fields that may occur only once: of two fields of a name, a host (worker) might use the
+// other one.
 var singleFields = map[string]bool{"host": true, "content-length": true, "transfer-encoding": true,
 	"x-request-id": true, "x-priority-class": true, "x-tenant-id": true, "x-timeout-ms": true, "x-retried": true,
 	"x-cost": true, "x-attrs": true}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -32,7 +32,7 @@
 	writeTimeout          = 10 * time.Second // for an answer that its client does not read
 	idleTimeout           = 2 * time.Minute
 	handoverRetryInterval = 20 * time.Millisecond // between attempts to hand a message over
-	answerLeadMicros      = 5000                  // an answer leaves so many microseconds before the client's deadline
+	answerLeadMicros      = 5000                  // by which an answer leaves before the client's deadline
 )
 
 // CallbackHandler processes the callbacks in which hosts (workers) report on jobs.
@@ -269,7 +269,7 @@
 // httpLogger writes the log lines of the HTTP server in the format of the program's log.
 type httpLogger struct{}
 
-// Printf logs a line of the HTTP server. The line may quote all that a client has sent, and is cut to 200 bytes.
+// Printf logs a line of the HTTP server. The line may quote anything that a client has sent, and is cut to 200 bytes.
 func (httpLogger) Printf(format string, args ...any) {
 	if faultLogLimiter.allow() {
 		text := fmt.Sprintf(format, args...)
@@ -411,7 +411,7 @@
 	})
 }
 
-// ResumeMessage takes over a message in flight in another process, and its connection nc.
+// ResumeMessage takes over a message that was in flight in another process, and its connection nc.
 func (s *Server) ResumeMessage(nc net.Conn, begun dispatch.InFlightMessage, hasMore bool) {
 	p := &presence{conn: nc}
 	x := s.core.Resume(begun, p) // synchronously: the next frame on the link may refer to it
--- a/internal/frontend/leaving_test.go
+++ b/internal/frontend/leaving_test.go
@@ -104,7 +104,7 @@
 	return c.(*net.TCPConn)
 }
 
-// receive waits for a relay on a channel; what is the failure message's word for it.
+// receive waits for a relay on a channel; what names the relay in the failure message.
 func (d *dispatcher) receive(from chan *exchange.Relay, what string) *exchange.Relay {
 	select {
 	case r := <-from:
@@ -415,10 +415,10 @@
 	return &gatedConn{c, l.bytesRead, l.proceed, 1}, err // 1, as the first byte is read by itself
 }
 
-// An unproven connection is evicted while its first message is already read. The message is not sent, and its client
-// gets an error. The connection used to be closed without an answer: in the soak test (seed 6, 300 idle clients with
-// 256 descriptors) a lookup was read, the log had "gone", and the client saw the end of the stream 50 ms after its last
-// byte.
+// An unproven connection, which has not yet delivered a message or a callback, is evicted while its first message is
+// already read. The message is not sent, and its client gets an error. The connection used to be closed without an
+// answer: in the soak test (seed 6, 300 idle clients with 256 descriptors) a request of the class lookup was read, the
+// log had "gone", and the client saw the end of the stream 50 ms after its last byte.
 func TestEvictedConnIsAnsweredAndNothingIsSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/instance/format_test.go
+++ b/internal/instance/format_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// Processes of two versions match the fields of a handover by name, and gob passes over in silence what only one side
-// has: a renamed field would lose state in each replacement. These names and types are a format and stay as they are.
+// Processes of two versions match the fields of a handover by name, and gob ignores without an error what only one
+// side has: a renamed field would lose state in each replacement. These names and types are a format and stay as they
+// are.
 func TestHandoverFieldNames(t *testing.T) {
 	for _, frame := range []struct {
 		name  string
--- a/internal/instance/handover.go
+++ b/internal/instance/handover.go
@@ -284,8 +284,8 @@
 	}()
 }
 
-// forwardCallback passes a callback whose message is not in flight here to the other processes. It is no error if none
-// of them has the message: then the message has ended.
+// forwardCallback passes a callback whose message is not in flight here to the other processes. If none of them has
+// the message, it has ended, which is not an error.
 func (h *handover) forwardCallback(body []byte) error {
 	_, err := h.askOthers(body, nil)
 	return err
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -8,14 +8,14 @@
 
 // What /ready waits for after the start of the process, with the maximum time of each wait:
 //
-//   - the listening socket, for as long as another process has the address and neither hands it over nor ends. This
-//     is the only wait without a limit: taking the address from a running process, even a stopped one, would lose the
+//   - the listening socket, while another process has the address and neither hands it over nor ends. This is the
+//     only wait without a limit: taking the address from a running process, even a stopped one, would lose the
 //     messages that it has in flight. The process tries again every retryInterval and reports "not ready" to the
 //     operators until the other process ends or continues;
 //   - the predecessor's state, for stateTimeout: after that this process starts without it;
 //   - another successor that came first and hangs, for acceptTimeout: then the predecessor admits the next one;
-//   - the first call to discovery, for firstListTimeout, if no worker is known. If workers are known and lists arrive
-//     without request, for a quarter of the drain grace, and for firstListTimeout at most. If lists arrive only on
+//   - the first call to discovery, for firstListTimeout, if no worker is known. If workers are known and lists are
+//     pushed, for a quarter of the drain grace, and for firstListTimeout at most. If lists arrive only on
 //     request, not at all, because the known list is good enough for a moment;
 //   - the predecessor's report on the limits, for limitsTimeout.
 //
--- a/internal/instance/readiness_test.go
+++ b/internal/instance/readiness_test.go
@@ -17,7 +17,7 @@
 		"a successor whose waits take their maximum is dropped")
 }
 
-// A process waits for its first call to discovery if it knows no worker, or if lists arrive without request. No setting
+// A process waits for its first call to discovery if it knows no worker, or if lists are pushed to it. No setting
 // makes the wait longer than firstListTimeout.
 func TestFirstListWait(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -29,11 +29,11 @@
 	Outstanding, Discovered, Ejected          atomic.Int64 // gauges
 	Forwards, ReloadsApplied, ReloadsRejected atomic.Int64 // counters; the reloads are those at SIGHUP
 
-	// Gossip messages received from other dispatchers, and how many of them were dropped. They are written once there
-	// is one.
+	// Gossip messages received from other dispatchers, and how many of them were dropped. They are written from the
+	// first such message on.
 	PeerMessages, PeerMessagesDropped atomic.Int64
 
-	// Counters for hosts with several addresses. They are written once there has been such a host.
+	// Counters for hosts with several addresses. They are written from the first such host on.
 	HasMultiAddress                                                          atomic.Bool
 	AddressOpened, AddressFailed, AddressMoves, AddressResets, AddressTrials atomic.Int64
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -25,7 +25,7 @@
 	ReceivePeerMessage(from int, data []byte)
 }
 
-// Addresses are the UDP addresses at which the dispatchers of a tier receive each other's messages.
+// Addresses are the UDP addresses at which the dispatchers of an installation receive each other's messages.
 type Addresses struct {
 	Listen string   // of this dispatcher
 	Peers  []string // of each dispatcher by its number, including this one
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -53,23 +53,23 @@
 func TestMessagesReachPeers(t *testing.T) {
 	addrs := []string{freeAddr(t), freeAddr(t)}
 	a, _ := start(t, Addresses{addrs[0], addrs, addrs[1]}) // All is only the other dispatcher here
-	b, heardB := start(t, Addresses{addrs[1], addrs, addrs[0]})
+	b, receivedB := start(t, Addresses{addrs[1], addrs, addrs[0]})
 
 	a.Send(1, []byte("one"))
-	require.Equal(t, received{0, "one"}, heardB.next(t))
+	require.Equal(t, received{0, "one"}, receivedB.next(t))
 	a.Send(topazfall.AllPeers, []byte("all"))
-	require.Equal(t, received{0, "all"}, heardB.next(t))
+	require.Equal(t, received{0, "all"}, receivedB.next(t))
 
 	stranger, err := net.Dial("udp4", addrs[1])
 	require.NoError(t, err)
 	defer stranger.Close()
 	stranger.Write([]byte("from nobody"))
-	require.Equal(t, received{-1, "from nobody"}, heardB.next(t))
+	require.Equal(t, received{-1, "from nobody"}, receivedB.next(t))
 	a.Send(7, []byte("to nobody"))
 	a.Send(1, make([]byte, maxDatagramSize+1)) // larger than the platform allows
 	a.Send(1, make([]byte, maxDatagramSize))
-	require.Len(t, heardB.next(t).data, maxDatagramSize)
-	require.Empty(t, heardB)
+	require.Len(t, receivedB.next(t).data, maxDatagramSize)
+	require.Empty(t, receivedB)
 
 	b.Close()
 	a.Send(1, []byte("lost")) // without a listener the message is just lost
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -13,7 +13,7 @@
 // The states of a connection.
 const (
 	NoData   State = iota // it is open and has no unread data
-	Readable              // data has arrived that nobody has read yet
+	Readable              // data has arrived that was not read yet
 	Closed                // the other side has closed, half-closed or reset it, or it is closed here
 )
 
@@ -50,7 +50,7 @@
 	return stateOf(err)
 }
 
-// stateOf returns the state of a connection by the error of a non-blocking read.
+// stateOf returns the state of a connection that the error of a non-blocking read shows.
 func stateOf(err error) State {
 	switch err {
 	case nil:
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -84,7 +84,7 @@
 	return NewLink(conn), nil
 }
 
-// Link is one end of the connection between two processes.
+// Link is one process's end of the connection between a running process and its successor. Each of the two has one.
 type Link struct {
 	conn    *net.UnixConn
 	writeMu sync.Mutex
@@ -266,7 +266,7 @@
 func (l *Link) SetReadDeadline(t time.Time) { l.conn.SetReadDeadline(t) }
 
 // readUntil reads until the buffer has size bytes. It never reads beyond one frame, because a descriptor received with
-// the bytes of a later frame could not be told from one of this frame.
+// the bytes of a later frame could not be distinguished from one of this frame.
 func (l *Link) readUntil(size int) error {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	for len(l.buffer) < size {
--- a/internal/upstream/attempts_test.go
+++ b/internal/upstream/attempts_test.go
@@ -16,7 +16,7 @@
 	"topazfall/internal/exchange"
 )
 
-// leavingClient is a client that has disconnected once it is set.
+// leavingClient is a client that counts as disconnected once its value is set.
 type leavingClient struct{ atomic.Bool }
 
 func (a *leavingClient) Disconnected() bool { return a.Load() }
@@ -143,8 +143,8 @@
 	}
 }
 
-// departingConn is a connection to a host. The client disconnects when its read deadline is set, which is before a
-// request is composed.
+// departingConn is a connection to a host. The client disconnects when the connection's read deadline is set, which is
+// before a request is composed.
 type departingConn struct {
 	net.Conn
 	client *leavingClient
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -89,8 +89,8 @@
 	ended   bool
 }
 
-// startRelay sends a message; freshConnOnly says that it must have a new connection, where an answer is surely its own.
-// The channel receives its result.
+// startRelay sends a message; freshConnOnly says that it must have a new connection, on which no answer to another
+// message can arrive. The channel receives its result.
 func (h *fixture) startRelay(id string, freshConnOnly bool) (*exchange.Relay, chan relayResult) {
 	x := exchange.New(exchange.Message{ID: id, Method: "POST", Path: "/api",
 		Fields: []exchange.HeaderField{{Name: "Host", Value: "x"}, {Name: "X-Request-ID", Value: id}}})
--- a/internal/upstream/route.go
+++ b/internal/upstream/route.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// returnUnused returns a connection that was not needed to its pool, unless the host has lost the address or three
+// returnUnused returns a connection that was not needed to its pool, unless the host no longer has the address or three
 // quarters of the allowed connections are open. The last quarter is left for the messages to come.
 func (t *Transport) returnUnused(rt *route, a addresses.Address, pool *fasthttp.HostClient, conn *countedConn) {
 	rt.mu.Lock()
@@ -366,10 +366,11 @@
 	}
 }
 
-// HandoverState is the state of the addresses, by host ID, that a successor process starts with.
+// HandoverState holds what was learned of the addresses of each host, by host ID, so that a successor process can
+// continue with it.
 type HandoverState map[string][]addresses.Memory
 
-// HandoverState returns the state of the addresses.
+// HandoverState returns what was learned of the hosts' addresses, for a successor process.
 func (t *Transport) HandoverState() HandoverState {
 	t.mu.Lock()
 	routes := slices.Collect(maps.Values(t.routes))
@@ -383,7 +384,7 @@
 	return state
 }
 
-// RestoreState sets the state that the predecessor handed over. It is called before the list of hosts is applied.
+// RestoreState sets the HandoverState of the predecessor. It is called before the list of hosts is applied.
 func (t *Transport) RestoreState(state HandoverState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -161,7 +161,7 @@
 	defer fasthttp.ReleaseResponse(response)
 	written, err := t.roundTrip(r.Host, call{runOnce: r.Exchange.Once, newConn: t.needsNewConn(r),
 		provesAddress: !r.Exchange.Once, relay: r, response: response,
-		// A relay that has not ended when it is due is cancelled then, and nobody needs an answer that is read later.
+		// A relay that has not ended when it is due is cancelled then. An answer that is read later is not needed.
 		writeDeadline: t.core.ToTime(r.Due), readDeadline: t.core.ToTime(r.Due).Add(cancelTimeout),
 		compose: func(c net.Conn) []byte {
 			request := encodeRequest(r, t.core.Now()) // composed before TryStart, so that it is written right after
--- a/memory.go
+++ b/memory.go
@@ -8,9 +8,11 @@
 
 // The handover between two balancers, of learned state and of requests, and changes of the settings.
 
-// Memory is what a balancer has learned, for its successor. Its field names are part of the handover format; no other
-// package depends on their meaning. Least is smallJobWork, Loss lateLoss, MeanHeld meanQueued, CommonAt meanQueuedAt
-// and Patience maxTimeout of the Balancer.
+// Memory is what a balancer has learned, for its successor. No other package depends on the meaning of its fields.
+// Their names are part of the handover format and differ from those of the Balancer's fields in these cases: Least
+// holds smallJobWork, the work of a small job; Loss holds lateLoss, the share of the worth that is lost by late
+// answers; MeanHeld and CommonAt hold meanQueued, the mean number of waiting jobs, and its time; Patience holds
+// maxTimeout, the longest timeouts seen.
 type Memory struct {
 	JobTime, Least, StartLag, Loss, MeanHeld float64
 	CommonAt                                 int64
@@ -25,10 +27,11 @@
 	Table       [regionCount][columnCount]float64
 }
 
-// WorkerMemory is what was learned of one worker. Its field names are part of the handover format: Held is queued plus
-// the outstanding attempts of the predecessor, which are other dispatchers' jobs to the successor; HeardAt is
-// evidenceAt, Silent silentSince, LastTry lastSentAt, DownUntil ejectedUntil, Failures ejections and Errors
-// consecutiveErrors.
+// WorkerMemory is what was learned of one worker. Its field names are part of the handover format. Held is the number
+// of waiting jobs plus the outstanding attempts of the predecessor, which the successor counts as other dispatchers'
+// jobs. HeardAt is the time of the last evidence of its load, Silent the first send since its last sign of life, and
+// LastTry the last send. DownUntil is the end of its ejection, Failures the number of ejections in a row, and Errors
+// the number of consecutive errors.
 type WorkerMemory struct {
 	Held, Pace                 float64
 	HeardAt                    int64
--- a/memory_test.go
+++ b/memory_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// New settings apply to every later attempt. A request in hand otherwise keeps its class, and classes keep their
+// New settings apply to every later attempt. A request in progress otherwise keeps its class, and classes keep their
 // indexes.
 func TestNewSettings(t *testing.T) {
 	s := settings()
@@ -119,7 +119,7 @@
 		t.Errorf("not refused at the new limit of attempts: %+v", acts)
 	}
 	if c := r.b.requests[kept].class; c.Repeat != Unsafe || c.Aim != s.Classes[safe].Aim {
-		t.Errorf("the class of a request in hand is %+v", *c)
+		t.Errorf("the class of a request in progress is %+v", *c)
 	}
 	if n, _ := countActions(r.finishAttempt(kept, 0, first, ConnectionLost), Fail); n != 1 {
 		t.Error("a job that may have run does not fail under the stricter rule")
--- a/state.go
+++ b/state.go
@@ -325,7 +325,8 @@
 	t.update(nil)
 }
 
-// columnOf returns the table column of a backlog: 0 for none, else in steps of a quarter of the job time.
+// columnOf returns the column that a backlog has in a table of backlog distributions: 0 for none, else in steps of a
+// quarter of the job time.
 func (b *Balancer) columnOf(backlog float64) int {
 	return int(min(math.Ceil(max(backlog, 0)*4/b.jobTime), columnCount-2))
 }
@@ -339,8 +340,8 @@
 	w.kind.samples[region][column]++
 }
 
-// UnavailableWorkers returns the number of listed workers that get no new jobs at a time: those that are ejected or not
-// ready.
+// UnavailableWorkers returns the number of listed workers that get no new jobs at the time now: those that are ejected
+// or not ready.
 func (b *Balancer) UnavailableWorkers(now int64) (count int) {
 	for _, w := range b.ranked {
 		if now < w.ejectedUntil || w.State != Ready {
--- a/topazfall.go
+++ b/topazfall.go
@@ -63,7 +63,7 @@
 
 // Contract holds the parameters of the four rules that a dispatcher must keep.
 type Contract struct {
-	AnswerSlack  int64   // a final answer is accepted for so long after the client's deadline
+	AnswerSlack  int64   // how long after the client's deadline a final answer is still accepted
 	DrainGrace   int64   // sends to a draining or removed worker must stop within this time
 	AskEvery     int64   // the maximum time between two queries where the worker list must be queried
 	ColdFrom     float64 // the minimum share of its capacity that a worker has when it starts
@@ -72,7 +72,7 @@
 	FallTime     int64   // for this long; see FallMultiple
 }
 
-// Allowed holds what the site permits.
+// Allowed holds the features that the deployment permits, and their limits.
 type Allowed struct {
 	Cancel         bool // CancelAttempt
 	Probe          bool // ProbeWorker
@@ -172,12 +172,12 @@
 // The kinds of events, with the fields of Event that each one uses.
 const (
 	Arrival       EventKind = iota // Request, Class, Tenant, Due, Hint, Key, Slots, Retry
-	AttemptDone                    // Request, Attempt, Worker, Outcome, Took, Final, Load
+	AttemptDone                    // Request, Attempt, Worker, Outcome, Elapsed, Final, Load
 	JobStarted                     // Request, Attempt, Worker
 	JobProgress                    // Request, Attempt, Worker, Amount
-	StreamStarted                  // Request, Attempt, Worker, Took
+	StreamStarted                  // Request, Attempt, Worker, Elapsed
 	ClientGone                     // Request
-	ProbeDone                      // Worker, Outcome, Took, Load
+	ProbeDone                      // Worker, Outcome, Elapsed, Load
 	TimerDue                       // Token
 	ListPatch                      // List: the changed entries
 	ListSnapshot                   // List: all entries
@@ -201,7 +201,7 @@
 	Tenant  int    // index into Settings.Tenants, or -1
 	Due     int64  // clock time at which the client gives up
 	Hint    int64  // expected work on a standard core; 0 if not known
-	Key     uint64 // the data that the job needs at a worker, which keeps the data of some keys; 0 for none
+	Key     uint64 // identifies the data that the job needs; a worker keeps the data of a few keys; 0 for none
 	Slots   float64
 	Retry   bool // the client has sent the request before
 	Outcome Outcome
@@ -238,8 +238,8 @@
 	CancelAttempt                   // Request, Attempt
 	SetTimer                        // After, Token
 	ProbeWorker                     // Worker
-	WatchList                       // -
-	FetchList                       // -
+	WatchList                       // no fields
+	FetchList                       // no fields
 	SendToPeer                      // Peer, Data: up to 256 bytes
 	Log                             // Text
 )
@@ -266,8 +266,8 @@
 	return mergeByName(slices.Clone(old), updated, func(c Class) string { return c.Name })
 }
 
-// MergeTenants does the same for tenants. A tenant that is not in updated loses its quota, and with that any limit:
-// the requests that it still has in hand are its own.
+// MergeTenants does the same for tenants. A tenant that is not in updated loses its quota and is no longer limited.
+// Its requests in progress stay assigned to it.
 func MergeTenants(old, updated []Tenant) (all []Tenant) {
 	for _, t := range old {
 		all = append(all, Tenant{Name: t.Name})
