--- a/cmd/topazctl/hosts.go
+++ b/cmd/topazctl/hosts.go
@@ -16,7 +16,7 @@
 )
 
 func hostsCommand(o *globalOptions) *cobra.Command {
-	return &cobra.Command{Use: "hosts", Short: "Show the merged list of hosts, and where it comes from",
+	return &cobra.Command{Use: "hosts", Short: "Show the merged list of hosts and its sources",
 		Args: cobra.NoArgs,
 		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Hosts(ctx, connect.NewRequest(&pb.HostsRequest{}))
--- a/cmd/topazctl/main.go
+++ b/cmd/topazctl/main.go
@@ -26,7 +26,7 @@
 	exitPartial = 3
 )
 
-// partialError is an error about some of the instances, which it names; there is no fault at the others.
+// partialError is an error about some of the instances, which it names; the others have no fault.
 type partialError struct{ error }
 
 // operationError is an error of the requested operation. All errors but this and partialError are usage errors.
@@ -96,7 +96,7 @@
 	options := &globalOptions{}
 	root := &cobra.Command{
 		Use:           "topazctl",
-		Short:         "Shows and changes a running topazfall agent",
+		Short:         "Show and change the settings of a running topazfall agent, and show its hosts",
 		Version:       version.String(),
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -104,8 +104,8 @@
 	flags := root.PersistentFlags()
 	flags.StringVar(&options.address, "control", os.Getenv("TOPAZFALL_CONTROL"),
 		"address of the instance's control API")
-	flags.StringVarP(&options.output, "output", "o", "table", "table or json")
-	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "for a call")
+	flags.StringVarP(&options.output, "output", "o", "table", "output format: table or json")
+	flags.DurationVar(&options.timeout, "timeout", 10*time.Second, "timeout of a call")
 	root.AddCommand(settingsCommand(options), hostsCommand(options))
 	return root
 }
--- a/cmd/topazctl/settings.go
+++ b/cmd/topazctl/settings.go
@@ -26,7 +26,7 @@
 const maxFileBytes = 2 << 20
 
 func settingsCommand(o *globalOptions) *cobra.Command {
-	c := &cobra.Command{Use: "settings", Short: "The settings of an instance"}
+	c := &cobra.Command{Use: "settings", Short: "Show and change the settings of an instance"}
 	c.AddCommand(getCommand(o), checkCommand(o), diffCommand(o), applyCommand(o), watchCommand(o), statusCommand(o))
 	return c
 }
@@ -96,7 +96,7 @@
 
 func getCommand(o *globalOptions) *cobra.Command {
 	var effective bool
-	c := &cobra.Command{Use: "get", Short: "Show the settings in force, as a document that apply takes",
+	c := &cobra.Command{Use: "get", Short: "Show the current settings as a document that apply accepts",
 		Args: cobra.NoArgs,
 		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Get(ctx, connect.NewRequest(&pb.GetRequest{}))
@@ -115,12 +115,12 @@
 			}
 			return printJSON(c.OutOrStdout(), r.Msg.Revision.GetSettings())
 		})}
-	c.Flags().BoolVar(&effective, "effective", false, "with all defaults filled in")
+	c.Flags().BoolVar(&effective, "effective", false, "fill in all defaults")
 	return c
 }
 
 func checkCommand(o *globalOptions) *cobra.Command {
-	return &cobra.Command{Use: "check FILE", Short: "Say what apply would say of a document, and change nothing",
+	return &cobra.Command{Use: "check FILE", Short: "Check a document for faults as apply does, but change nothing",
 		Args: cobra.ExactArgs(1),
 		RunE: o.runWithDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
 			doc *pb.Settings) error {
@@ -238,11 +238,11 @@
 
 func applyCommand(o *globalOptions) *cobra.Command {
 	var from int64
-	c := &cobra.Command{Use: "apply FILE", Short: "Bring a document into force, whole or not at all",
+	c := &cobra.Command{Use: "apply FILE", Short: "Apply a document, completely or not at all",
 		Args: cobra.ExactArgs(1),
-		Long: "apply takes a document if it has no fault and the revision that it was made from is still\n" +
-			"in force. --from names that revision, as get has shown it; without it the one in force\n" +
-			"now is taken for it.",
+		Long: "apply accepts a document if it has no fault and the revision that it was made from is still the\n" +
+			"current one. --from is the number of that revision, as get shows it; the default is the revision\n" +
+			"that is current when apply runs.",
 		RunE: o.runWithDocument(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient,
 			doc *pb.Settings) error {
 			base := uint64(from)
@@ -269,7 +269,8 @@
 
 func watchCommand(o *globalOptions) *cobra.Command {
 	var after uint64
-	c := &cobra.Command{Use: "watch", Short: "Show each revision that is taken, until interrupted", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "watch", Short: "Show each revision as it is applied, until interrupted",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			api, err := o.client()
 			if err != nil {
@@ -299,6 +300,6 @@
 			}
 			return nil
 		}}
-	c.Flags().Uint64Var(&after, "after", 0, "show those after this revision; 0 begins with the one in force")
+	c.Flags().Uint64Var(&after, "after", 0, "show the revisions after this one; 0 begins with the current one")
 	return c
 }
--- a/cmd/topazctl/status.go
+++ b/cmd/topazctl/status.go
@@ -19,8 +19,9 @@
 func statusCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "status", Args: cobra.NoArgs,
 		Short: "Show which revision each instance of the installation holds",
-		Long: "status asks every instance on the roster, by way of the one that --control names. It ends with\n" +
-			"3, and names them, where some have not answered, are behind the newest revision or have a fault.",
+		Long: "status requests the status of every instance on the roster through the one that --control names. It\n" +
+			"names the instances that did not answer, are behind the newest revision or have a fault. The exit\n" +
+			"code is 3 if that holds for some of them, and 1 if it holds for all.",
 		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Instances(ctx, connect.NewRequest(&pb.InstancesRequest{}))
 			if err != nil {
@@ -55,7 +56,7 @@
 	fmt.Fprintf(w, "newest revision: %d\n", r.Newest)
 }
 
-// formatSince formats the time since which the revision is in force at an instance.
+// formatSince formats the time since which the revision is in effect at an instance.
 func formatSince(i *pb.Instance) string {
 	if i.Since == nil {
 		return ""
@@ -71,7 +72,7 @@
 	return fmt.Sprintf("%d (%s)", i.Behind, i.BehindFor.AsDuration().Round(10*time.Millisecond))
 }
 
-// formatSilence formats how long ago an instance last heard of the leader.
+// formatSilence formats the time since a leader's heartbeat last reached an instance.
 func formatSilence(i *pb.Instance) string {
 	if i.Silent == nil {
 		return "never"
--- a/cmd/topazfall-agent/installation_test.go
+++ b/cmd/topazfall-agent/installation_test.go
@@ -27,12 +27,12 @@
 	"topazfall/internal/snapshot"
 )
 
-// propagationLimit is the time within which a revision must be in force at every reachable instance, unless the machine
+// propagationLimit is the time within which a revision must take effect at every reachable instance, unless the machine
 // stalls meanwhile.
 const propagationLimit = 4 * time.Second
 
 // sequentialSaves is the number of saves, one after the other, between the reply to an Apply and the moment when the
-// revision is in force at the last instance: the log's document and the settings, at an origin and at each of the two
+// revision takes effect at the last instance: the log's document and the settings, at an origin and at each of the two
 // levels below it.
 const sequentialSaves = 6
 
@@ -73,7 +73,7 @@
 	started          map[string]bool                        // by name: later starts are without --bootstrap
 	highestSeen      map[string]uint64                      // by name: the highest revision seen; never decreases
 	applyTimes       []time.Duration                        // until each Apply was answered, including elections
-	propagationTimes []time.Duration                        // from the reply to an Apply until it was in force
+	propagationTimes []time.Duration                        // from the reply to an Apply until it was in effect
 }
 
 // clusterSlots limits how many installations run at a time: each has up to eight processes.
@@ -105,7 +105,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		s.Rig.Close()
-		t.Logf("applies took %v, then %v until they were in force everywhere; the slowest save took %v",
+		t.Logf("applies took %v, then %v until they were in effect everywhere; the slowest save took %v",
 			s.applyTimes, s.propagationTimes, s.probe.slowest(time.Time{}))
 		if t.Failed() {
 			for _, name := range s.all() {
@@ -160,8 +160,8 @@
 	return api
 }
 
-// revisionAt returns the revision in force at an instance. It checks that revisions never go back and that a document
-// is never a mixture of several.
+// revisionAt returns the current revision of an instance. It checks that revisions never go back and that a document is
+// never a mixture of several.
 func (s *cluster) revisionAt(name string) (number uint64, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
@@ -241,7 +241,7 @@
 			}
 		}
 		return true
-	}, waitTimeout, 10*time.Millisecond, "revision %d is not in force at all of %v", number, names)
+	}, waitTimeout, 10*time.Millisecond, "revision %d is not in effect at all of %v", number, names)
 	elapsed := time.Since(since)
 	s.propagationTimes = append(s.propagationTimes, elapsed)
 	slowest := s.probe.slowest(since)
@@ -304,8 +304,7 @@
 	return nil
 }
 
-// waitForLeader waits until an instance reports a leader of the origins that is none of those in except, and returns
-// it.
+// waitForLeader waits until an instance reports a leader that is not listed in except, and returns it.
 func (s *cluster) waitForLeader(name string, except ...string) (leader string) {
 	require.Eventually(s, func() bool {
 		leader = s.instanceStatus(name).GetLeader()
@@ -319,8 +318,8 @@
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(others, n) })
 }
 
-// Revisions created at any origin come into force at every instance. A follower rejects a document and names the
-// origins. The status covers all instances, including one that does not answer.
+// Revisions created at any origin take effect at every instance. A follower rejects a document and names the origins.
+// The status covers all instances, including one that does not answer.
 func testRevisionsReachEveryInstance(t *testing.T) {
 	s := startCluster(t, 3, 5)
 	var number uint64
@@ -461,7 +460,7 @@
 }
 
 // An instance that restarts with an empty state receives the whole document. An origin votes only after the other
-// origins have told it what it may have voted on.
+// origins have reported what it may have voted for.
 func testRestartWithEmptyState(t *testing.T) {
 	s := startCluster(t, 3, 3)
 	number, at := s.apply("o0", 1)
@@ -498,7 +497,7 @@
 	s.waitForRevision(number, at, s.all()...)
 }
 
-// A change during the replacement of a process comes into force in both processes, and the instance continues under its
+// A change during the replacement of a process takes effect in both processes, and the instance continues under its
 // name.
 func testChangeDuringReplacement(t *testing.T) {
 	s := startCluster(t, 1, 3)
@@ -533,7 +532,7 @@
 	s.waitForRevision(number, time.Now(), s.all()...)
 }
 
-// A snapshot whose transfer is interrupted between two chunks comes into force as a whole or not at all.
+// A snapshot whose transfer is interrupted between two chunks takes effect completely or not at all.
 func testInterruptedSnapshotTransfer(t *testing.T) {
 	s := startCluster(t, 1, 2)
 	number, at := s.apply("o0", 1)
--- a/cmd/topazfall-agent/main.go
+++ b/cmd/topazfall-agent/main.go
@@ -29,10 +29,10 @@
 	var roster string
 	c := &cobra.Command{
 		Use:   "topazfall agent",
-		Short: "One dispatcher with the control API and DNS SRV as a source of hosts",
-		Long: "The agent is the dispatcher as topazfall runs it, told by the same environment, and takes further\n" +
-			"settings by its control API: see topazctl. What it has taken is kept in the state folder, and is all\n" +
-			"that a restart needs. Where discovery is \"none\" hosts come from DNS alone.",
+		Short: "Run one dispatcher with the control API and DNS SRV records as a source of hosts",
+		Long: "The agent runs the same dispatcher as topazfall, configured by the same environment, and accepts\n" +
+			"further settings through its control API (see topazctl). It saves its state in the state folder,\n" +
+			"which is all that a restart needs. If discovery is \"none\", hosts come from DNS alone.",
 		Version:       version.String(),
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
@@ -53,11 +53,11 @@
 			return instance.Run(agent.New(o))
 		},
 	}
-	c.Flags().StringVar(&o.State, "state", "", "folder of the snapshots")
+	c.Flags().StringVar(&o.State, "state", "", "folder in which the agent saves its state")
 	c.Flags().StringVar(&o.Control, "control", "", "address of the control API (default: unix:STATE/control.sock)")
-	c.Flags().StringVar(&roster, "roster", "", "file that names the instances that share the settings (default: none)")
+	c.Flags().StringVar(&roster, "roster", "", "file that lists the instances that share the settings (default: none)")
 	c.Flags().BoolVar(&o.Bootstrap, "bootstrap", false,
-		"the installation is new: an origin whose state is empty may vote. Only for its first start")
+		"the installation is new: an origin with empty state may vote; only for its first start")
 	c.MarkFlagRequired("state")
 	return c
 }
--- a/cmd/topazfall/addresses_test.go
+++ b/cmd/topazfall/addresses_test.go
@@ -161,8 +161,9 @@
 	tb.mustServe("lookup")
 }
 
-// The first address of one host accepts connections and resets them once it has the whole request. A lookup is retried
-// at another address. One message that must not run twice fails for good, and from then on no more fail.
+// The first address of one host accepts connections and resets them once it has the whole request. A message of the
+// class "lookup", which may run twice, is retried at another address. Of the other classes, which must not run twice,
+// one message fails for good, and from then on no more fail.
 func TestResetAfterRequest(t *testing.T) {
 	for _, class := range program.Classes {
 		t.Run(class, func(t *testing.T) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// An address that has reset a request serves again. The program finds out by a lookup or a probe, never by a message
-// that must not run twice.
+// An address that has reset a request serves again. The program finds out by a message that may run twice (the class
+// "lookup") or by a probe, never by a message that must not run twice.
 func TestResetAddressRecovers(t *testing.T) {
 	for _, probe := range []bool{false, true} {
 		t.Run(fmt.Sprint("probe=", probe), func(t *testing.T) {
@@ -235,7 +236,8 @@
 }
 
 // The first address of the only host accepts connections and resets all requests, or with ResetJobs only jobs, so that
-// probes are answered. A lookup is retried at the next address, and at most three disputes are lost.
+// probes are answered. Messages of the class "lookup", which may run twice, are retried at the next address. Of those
+// of the class "dispute-extract", which must not, at most three are lost.
 func TestOnlyHostResetsAtItsFirstAddress(t *testing.T) {
 	for _, f := range []host.Fault{host.ResetAfterRequest, host.ResetAfterJob} {
 		for _, probe := range []bool{false, true} {
@@ -260,8 +262,8 @@
 	}
 }
 
-// A connection is reset as soon as it is open, or after a part of a large request. As long as the last byte was not
-// written, the message cannot have run and may be retried elsewhere.
+// A connection is reset as soon as it is open, or after a part of a large request. Unless its last byte was written,
+// the message cannot have run and may be retried elsewhere.
 func TestResetBeforeTheEnd(t *testing.T) {
 	for _, f := range []host.Fault{host.ResetOnAccept, host.ResetMidRequest} {
 		t.Run(f.String(), func(t *testing.T) {
--- a/cmd/topazfall/departure_test.go
+++ b/cmd/topazfall/departure_test.go
@@ -20,7 +20,7 @@
 	return strings.HasPrefix(after, "T")
 }
 
-// The process is stopped for longer than an attempt may start after its client has disconnected. When it goes on it
+// The process is stopped for longer than an attempt may start after its client has disconnected. When it is resumed it
 // finds that the client has disconnected, and that the job was refused unprocessed and could be retried at the other
 // host. There must be no retry, whichever came first.
 func TestNoAttemptAfterStandstill(t *testing.T) {
--- a/cmd/topazfall/restart_test.go
+++ b/cmd/topazfall/restart_test.go
@@ -141,7 +141,7 @@
 	return p
 }
 
-// A predecessor hangs at any point of the handover, or sends a state that cannot be decoded. Its successor must be
+// A predecessor hangs at some point of the handover, or sends a state that cannot be decoded. Its successor must be
 // ready in time, on the socket that it received, even if discovery does not answer.
 func testReadyThoughThePredecessorHangs(t *testing.T) {
 	state := emptyState(t)
@@ -219,7 +219,7 @@
 	require.Zero(t, predecessor.ExitCode())
 }
 
-// The address belongs to a process that is stopped (SIGSTOP). It becomes available only when that process goes on or
+// The address belongs to a process that is stopped (SIGSTOP). It becomes available only when that process is resumed or
 // ends; from then on the successor must be ready in time. Until then it answers its management address.
 func testReadyOnceAStoppedPredecessorGoesOnOrEnds(t *testing.T) {
 	for name, release := range map[string]syscall.Signal{"goes on": syscall.SIGCONT, "ends": syscall.SIGKILL} {
@@ -288,7 +288,7 @@
 // The address belongs to a process that received SIGTERM and still has a slow message in progress. A process started
 // then must not wait for that message, and the message gets its answer.
 func testReadyThoughThePredecessorIsLeaving(t *testing.T) {
-	// After the first time the predecessor still accepts messages, after the second it does not any more.
+	// After the first of these times the predecessor still accepts messages, after the second it no longer does.
 	for _, since := range []time.Duration{50 * time.Millisecond, time.Second} {
 		t.Run(since.String(), func(t *testing.T) {
 			t.Parallel()
--- a/cmd/topazfall/script_test.go
+++ b/cmd/topazfall/script_test.go
@@ -175,7 +175,7 @@
 // and set the replacements in testdata/config.json.
 func (p *scriptRunner) startProgram(known string, set []string) {
 	for _, name := range "abde" {
-		// Each test has an IP address of its own, so that nobody takes the port of a server that is down.
+		// Each test has an IP address of its own, so that no other process takes the port of a server that is down.
 		ln, err := net.Listen("tcp", p.addr)
 		p.noError("listen", err)
 		p.Cleanup(func() { ln.Close() })
@@ -232,7 +232,7 @@
 	p.program, p.predecessor = program, p.program
 }
 
-// freeAddresses returns n unused ports at the test's own IP address, so that nobody else takes them meanwhile. All
+// freeAddresses returns n unused ports at the test's own IP address, so that no other process takes them meanwhile. All
 // listeners stay open until the last port is found, so that the ports differ.
 func (p *scriptRunner) freeAddresses(addr string, n int) (found []string) {
 	for range n {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -130,7 +130,7 @@
 }
 
 // runInstallation participates in the installation until the context ends. It starts once no other process of this
-// instance participates: until then, a process that is to replace another one follows what that one saves.
+// instance participates: until then, a process that is to replace another one reads the revisions that the other saves.
 func (a *Agent) runInstallation(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -166,7 +166,7 @@
 	a.store.Close()
 }
 
-// followSettings applies each revision.
+// followSettings applies each revision of the settings after the one numbered last, until ctx ends.
 func (a *Agent) followSettings(ctx context.Context, last uint64) {
 	for {
 		r, err := a.store.NextAfter(ctx, last)
--- a/internal/agent/installation.go
+++ b/internal/agent/installation.go
@@ -22,7 +22,7 @@
 // applying an unchanged document creates a revision too.
 const appliedKey = "applied"
 
-// localApplyTimeout limits the wait until a committed revision is in force at the origin that applied it.
+// localApplyTimeout limits the wait until a committed revision has taken effect at the origin that created it.
 const localApplyTimeout = 2 * time.Second
 
 // An Apply that had no effect, for example because the origins have no leader, is retried for this period and at this
@@ -103,8 +103,8 @@
 	}
 }
 
-// waitUntilInForce waits until the revision or a newer one is in force here, so that a caller who gets a revision's
-// number back finds it in force.
+// waitUntilInForce waits until the revision or a newer one is in effect here, so that a caller that gets a revision's
+// number back can read that revision.
 func (i *installation) waitUntilInForce(ctx context.Context, number uint64) {
 	ctx, cancel := context.WithTimeout(ctx, localApplyTimeout)
 	defer cancel()
@@ -168,7 +168,7 @@
 }
 
 // instanceOf converts the status of an instance. newest is the newest revision that any instance holds, and newestSince
-// the time in microseconds since which it is in force somewhere.
+// the time in microseconds since which it is in effect at any instance.
 func instanceOf(a configsync.InstanceStatus, newest uint64, newestSince int64) *pb.Instance {
 	instance := &pb.Instance{Name: a.Member.Name, Region: a.Member.Region, Zone: a.Member.Zone, Role: a.Member.Role}
 	if instance.Role == "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	ConnIdle                time.Duration // idle time after which a worker closes a connection
 	HoldOnRefusal           bool          // refusals show that discovery could be reached; see package refresh
 
-	keys any // the decoded file, whose keys the next one must have
+	keys any // the decoded file; a reloaded file must have all its keys
 }
 
 // Load reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MANAGEMENT override its values.
@@ -50,8 +50,8 @@
 // Reload reads the file again and returns the configuration to use in place of c. LB_DISCOVERY is ignored now: the
 // environment is that of the start, so it does not follow a move of discovery.
 //
-// A file without a key of the previous file is an error that names the key: it is more likely broken than meant to ask
-// for a default. The previous file decides which keys are required because the program itself needs only a few.
+// A file without a key of the previous file is an error that names the key: the file is more likely broken than meant
+// to select a default. The previous file decides which keys are required because the program itself needs only a few.
 func (c *Config) Reload(env func(string) string) (Config, error) {
 	next, err := Load(func(name string) string {
 		if name == "LB_DISCOVERY" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,7 +20,7 @@
 	Areas      []string `json:"areas"`
 	Skus       []string `json:"skus"`
 	Discovery  string   `json:"discovery"`
-	OverShare  *float64 `json:"over_share_worth"` // part of their worth that jobs beyond a share keep; 1 if absent
+	OverShare  *float64 `json:"over_share_worth"` // worth of jobs beyond a share, 0 to 1; 1 if absent
 	WeightKind string   `json:"weight_kind"`
 	TickMicros int64    `json:"tick_us"`
 	Classes    []struct {
--- a/internal/configsync/applier.go
+++ b/internal/configsync/applier.go
@@ -20,7 +20,7 @@
 	mu      sync.Mutex
 	pending *committedRevision // the newest document that is not applied yet; nil for none
 	inForce configlog.Revision
-	fault   string // why the newest document is not in force
+	fault   string // why the newest document is not in effect
 }
 
 // committedRevision is a committed document. Its entries must not be modified.
@@ -87,7 +87,7 @@
 	}
 }
 
-// state returns the revision in force, and why a newer one could not be applied ("" if all could).
+// state returns the revision in effect, and why a newer one could not be applied ("" if all could).
 func (a *applier) state() (inForce configlog.Revision, fault string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -37,7 +37,7 @@
 
 // Target applies committed revisions. ApplyRevision is called from one goroutine, with increasing revision numbers.
 // Revisions are skipped if they are committed faster than ApplyRevision returns, and a revision is repeated after a
-// restart or an error. ApplyRevision returns the time since which the revision is in force here, or why it cannot be
+// restart or an error. ApplyRevision returns the time since which the revision is in effect here, or why it cannot be
 // applied.
 type Target interface {
 	ApplyRevision(revision configlog.Revision, entries map[string][]byte) (since time.Time, err error)
@@ -258,7 +258,7 @@
 }
 
 // Apply creates a revision that has exactly these entries. It succeeds only if the revision held here has the number
-// base and is the one in force at the origins (compare and set). It returns when the outcome is known. No two changes
+// base and is the current one at the origins (compare and set). It returns when the outcome is known. No two changes
 // may have the same entries, because a committed change is recognized by its entries. Beside the outcomes of the log,
 // the errors are ErrNotOrigin, ErrNotRunning, ErrClosed and those of the context.
 func (s *Sync) Apply(ctx context.Context, base uint64, entries map[string][]byte) (configlog.Result, error) {
--- a/internal/configsync/input_test.go
+++ b/internal/configsync/input_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// A damaged state folder makes an origin forget its vote. It never yields another vote.
+// A damaged state folder makes an origin lose its vote, but never yields a different vote.
 func TestDamagedStorage(t *testing.T) {
 	t.Parallel()
 	s := storage{t.TempDir()}
--- a/internal/configsync/metrics.go
+++ b/internal/configsync/metrics.go
@@ -13,8 +13,8 @@
 	"topazfall/internal/decide/configlog"
 )
 
-// DropReason tells why an incoming or outgoing message, frame or connection was dropped. The drop reasons of configlog
-// are counted under the same metric.
+// DropReason is the reason why an incoming or outgoing message, frame or connection was dropped. The drop reasons of
+// configlog are counted under the same metric.
 type DropReason string
 
 // The drop reasons.
@@ -40,11 +40,11 @@
 type metrics struct {
 	revision       atomic.Uint64
 	newestRevision atomic.Uint64
-	inForceSince   atomic.Int64 // when the revision came into force here, in microseconds since 1970
+	inForceSince   atomic.Int64 // when the revision took effect here, in microseconds since 1970
 	connections    atomic.Int64 // open connections in both directions
 	sentBytes      atomic.Int64
 	receivedBytes  atomic.Int64
-	leaderSilence  atomic.Int64 // microseconds since the leader was last heard of; negative for never
+	leaderSilence  atomic.Int64 // microseconds since a leader's heartbeat last arrived; negative for never
 
 	mu       sync.Mutex
 	dropped  map[DropReason]int64
--- a/internal/configsync/sender.go
+++ b/internal/configsync/sender.go
@@ -15,8 +15,8 @@
 	"topazfall/internal/configsync/syncpb"
 )
 
-// Limits of a connection to another instance. The times follow from the requirement that a revision is in force at
-// all instances within 4 s: within that time a dead connection is detected and a new one is opened.
+// Limits of a connection to another instance. The times follow from the requirement that a revision takes effect at all
+// instances within 4 s: within that time a dead connection is detected and a new one is opened.
 const (
 	dialTimeout          = 700 * time.Millisecond
 	helloReplyTimeout    = 700 * time.Millisecond // for the Hello of the dialed instance; longer than any round trip
@@ -34,7 +34,7 @@
 
 // sender sends messages to one other instance, over a connection that it opens when there is something to send. The
 // other instance answers with a Hello before any message is sent, so that nothing is sent to a listener whose process
-// does not read. It sends nothing else on this connection.
+// does not read. The other instance sends nothing else on this connection.
 type sender struct {
 	to      Member
 	hello   []byte
--- a/internal/configsync/session.go
+++ b/internal/configsync/session.go
@@ -166,7 +166,8 @@
 	}
 }
 
-// leaderSilence returns how long ago the leader was last heard of, in microseconds; negative for never.
+// leaderSilence returns the time since a leader's heartbeat last arrived, directly or in a digest, in microseconds;
+// negative for never.
 func leaderSilence(now int64, status configlog.Status) int64 {
 	if status.LeaderHeardAt == 0 {
 		return -1
--- a/internal/configsync/storage.go
+++ b/internal/configsync/storage.go
@@ -23,8 +23,8 @@
 type storage struct{ dir string }
 
 // load returns the saved state. fault describes damage with which the instance can still start: the state that could
-// not be read is left out. An origin has then lost state, and does not vote before the other origins have told it
-// what it may have voted on. A document that is older than the one saved last counts as damage too.
+// not be read is left out. An origin has then lost state, and does not vote until the other origins have reported what
+// it may have voted for. A document that is older than the one saved last counts as damage too.
 func (s storage) load() (saved configlog.SavedState, fault, err error) {
 	if err := os.MkdirAll(s.dir, 0o700); err != nil {
 		return saved, nil, err
@@ -65,8 +65,8 @@
 	return d, fault
 }
 
-// loadVote returns the vote saved last, and whether there is one. It does not fall back to the previous version of
-// the file: using that one would forget a vote.
+// loadVote returns the vote saved last, and whether there is one. It does not fall back to the previous version of the
+// file, which lacks the latest vote.
 func (s storage) loadVote() (vote configlog.Vote, exists bool, fault error) {
 	body, fault, err := snapshot.Read(filepath.Join(s.dir, voteFile), voteKind)
 	if fault != nil || err != nil || body == nil {
--- a/internal/configsync/sync_test.go
+++ b/internal/configsync/sync_test.go
@@ -20,7 +20,7 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeTarget records the revision in force, and every revision that is older than the one before it.
+// fakeTarget records the current revision, and every revision that is older than the one before it.
 type fakeTarget struct {
 	mu              sync.Mutex
 	revision        configlog.Revision
@@ -201,7 +201,7 @@
 	i.start("o1", false)
 	require.Less(t, i.waitForValue("second"), 4*time.Second)
 	require.Eventually(t, func() bool { return i.syncs["o1"].Status().Voting }, testTimeout, 5*time.Millisecond,
-		"the other origins told it what it may have voted on")
+		"the other origins reported what it may have voted for")
 	i.stop("o2")
 	i.apply("o1", "third")
 	i.waitForValue("third")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -39,7 +39,7 @@
 	idleTimeout     = time.Minute
 )
 
-// Hosts provides the merged list of hosts, and the fault of each source, by its name.
+// Hosts provides the merged list of hosts, and the fault of each DNS source by its SRV name ("" if it has no fault).
 type Hosts interface {
 	Hosts() ([]sources.Host, map[string]string)
 	Now() int64
@@ -166,7 +166,7 @@
 func (b *responseWriter) Flush()                      { b.controller.Flush() }
 func (b *responseWriter) Unwrap() http.ResponseWriter { return b.ResponseWriter }
 
-// Get returns the revision in force.
+// Get returns the current revision.
 func (s *Server) Get(context.Context, *connect.Request[pb.GetRequest]) (*connect.Response[pb.GetResponse], error) {
 	r, readOnly := s.options.Store.Current()
 	return connect.NewResponse(&pb.GetResponse{Revision: r, Effective: settings.Effective(r.Settings),
@@ -185,9 +185,9 @@
 }
 
 // Apply applies a document as a whole or not at all. Its error codes are invalid argument for a document with faults,
-// with each fault as a detail; aborted for a document made from a revision that is not in force; failed precondition at
-// an instance that is not an origin; unknown if the document may or may not be in force; and unavailable if no document
-// can be applied now.
+// with each fault as a detail; aborted for a document made from a revision that is not the current one; failed
+// precondition at an instance that is not an origin; unknown if the document may or may not have taken effect; and
+// unavailable if no document can be applied now.
 func (s *Server) Apply(
 	ctx context.Context, r *connect.Request[pb.ApplyRequest],
 ) (*connect.Response[pb.ApplyResponse], error) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -111,7 +111,7 @@
 }
 
 // A watcher receives each revision once and in order, also when the call lasts longer than readTimeout. A watcher that
-// does not read delays nobody, and the number of watchers is limited.
+// does not read delays no other watcher, and the number of watchers is limited.
 func TestWatch(t *testing.T) {
 	c, store, _ := startServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/decide/configlog/bench_test.go
+++ b/internal/decide/configlog/bench_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// BenchmarkDigest measures a digest. Its cost does not depend on the size of the installation.
+// BenchmarkDigest measures how a follower handles one digest, the periodic message in which a parent reports the
+// revision that it holds. The cost does not depend on the size of the installation.
 func BenchmarkDigest(b *testing.B) {
 	for _, followers := range []int{30, 300, 1000} {
 		b.Run(fmt.Sprint(followers, " followers"), func(b *testing.B) {
--- a/internal/decide/configlog/bound.go
+++ b/internal/decide/configlog/bound.go
@@ -8,8 +8,9 @@
 	WithinRegion   int64
 }
 
-// DelayBounds holds the maximum delay of a change in microseconds, from the request until it is in force at a member
-// that can be reached. Commit and Push always apply; each of the others adds to them for one fault on the way.
+// DelayBounds holds the maximum delay of a change in microseconds, from the request until it has taken effect at a
+// member that can be reached. Commit and Push always apply; each of the others is the additional delay that one fault
+// causes.
 type DelayBounds struct {
 	Commit          int64 // until a majority of origins has stored the change, if there is a leader
 	Push            int64 // from the commit to the last level, by push
--- a/internal/decide/configlog/catchup.go
+++ b/internal/decide/configlog/catchup.go
@@ -1,14 +1,13 @@
 package configlog
 
-// snapshotDownload is a snapshot that arrives chunk by chunk. It comes into force only when it is complete and
-// verified.
+// snapshotDownload is a snapshot that arrives chunk by chunk. It takes effect only when it is complete and verified.
 type snapshotDownload struct {
 	revision Revision
 	total    uint32
 	data     []byte
 }
 
-// servedSnapshot is the snapshot that was last sent to another member. It is kept so that downloads of it can go on
+// servedSnapshot is the snapshot that was last sent to another member. It is kept so that downloads of it can continue
 // after the document has changed.
 type servedSnapshot struct {
 	revision Revision
@@ -93,8 +92,9 @@
 	n.send(from, body)
 }
 
-// answerPull returns, whichever applies first: no deltas if there is nothing newer; the next chunk of a download of the
-// served snapshot; deltas, if all fit into one message or are no larger than a snapshot; a chunk of a snapshot.
+// answerPull returns the first of these that applies: no deltas, if there is nothing newer; the next chunk, if a
+// download of the served snapshot is in progress; deltas, if they all fit into one message or are no larger than a
+// snapshot; a chunk of a snapshot.
 func (n *Node) answerPull(now int64, p Pull) Body {
 	r := &n.replica
 	if !n.held().After(p.Held) {
@@ -117,8 +117,8 @@
 	return r.served.chunk(0)
 }
 
-// canServeSnapshot reports whether the served snapshot is good for a new download: it is the document in force, or it
-// is in use and the log has all deltas after it. So running downloads need not start again with each change.
+// canServeSnapshot reports whether the served snapshot is suitable for a new download: it is the current document, or
+// it is in use and the log has all deltas after it. Thus running downloads need not start again with each change.
 func (n *Node) canServeSnapshot(now int64, p Pull) bool {
 	s := &n.replica.served
 	if s.revision == n.held() {
--- a/internal/decide/configlog/codec.go
+++ b/internal/decide/configlog/codec.go
@@ -68,12 +68,12 @@
 		return nil, fmt.Errorf("%w: a message of %d bytes", ErrLimit, len(data))
 	}
 	if len(data) < 2 || data[0] != WireVersion {
-		return nil, fmt.Errorf("%w: no message of version %d", ErrMalformed, WireVersion)
+		return nil, fmt.Errorf("%w: not a message of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{data: data[2:]}
 	body := in.body(messageKind(data[1]))
 	if in.err == nil && len(in.data) > 0 {
-		in.fail("it goes on after its end")
+		in.fail("trailing bytes")
 	}
 	if in.err != nil {
 		return nil, in.err
@@ -178,23 +178,23 @@
 	return appendProposal(appendEpoch(appendBool(to, v.CanVote), v.Promised), v.Accepted)
 }
 
-// AppendVote appends a vote in the form in which it is saved.
+// AppendVote appends a vote in its saved form.
 func AppendVote(to []byte, v Vote) []byte { return appendVote(append(to, WireVersion), v) }
 
 // ParseVote decodes a vote that AppendVote has encoded.
 func ParseVote(data []byte) (Vote, error) {
 	if len(data) == 0 || len(data) > MaxMessage || data[0] != WireVersion {
-		return Vote{}, fmt.Errorf("%w: no vote of version %d", ErrMalformed, WireVersion)
+		return Vote{}, fmt.Errorf("%w: not a vote of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{data: data[1:]}
 	v := in.vote()
 	if in.err == nil && len(in.data) > 0 {
-		in.fail("it goes on after its end")
+		in.fail("trailing bytes")
 	}
 	return v, in.err
 }
 
-// AppendDocument appends a whole document with its revision, in the form in which it is saved.
+// AppendDocument appends a whole document with its revision, in its saved form.
 func AppendDocument(to []byte, d *Document) []byte {
 	return append(appendRevision(append(to, WireVersion), d.revision), d.Snapshot()...)
 }
@@ -202,7 +202,7 @@
 // ParseDocument decodes a document that AppendDocument has encoded, and verifies its checksum.
 func ParseDocument(data []byte) (*Document, error) {
 	if len(data) == 0 || data[0] != WireVersion {
-		return nil, fmt.Errorf("%w: no document of version %d", ErrMalformed, WireVersion)
+		return nil, fmt.Errorf("%w: not a document of version %d", ErrMalformed, WireVersion)
 	}
 	in := decoder{data: data[1:]}
 	revision := in.revision()
@@ -228,7 +228,7 @@
 func (in *decoder) uvarint() uint64 {
 	v, n := binary.Uvarint(in.data)
 	if n <= 0 {
-		in.fail("cut short")
+		in.fail("truncated")
 		return 0
 	}
 	in.data = in.data[n:]
@@ -238,14 +238,14 @@
 func (in *decoder) uint32() uint32 {
 	v := in.uvarint()
 	if v > 1<<32-1 {
-		in.fail("%d is no 32 bits", v)
+		in.fail("%d exceeds 32 bits", v)
 	}
 	return uint32(v)
 }
 
 func (in *decoder) byte() byte {
 	if len(in.data) == 0 {
-		in.fail("cut short")
+		in.fail("truncated")
 		return 0
 	}
 	b := in.data[0]
@@ -256,7 +256,7 @@
 func (in *decoder) bool() bool {
 	b := in.byte()
 	if b > 1 {
-		in.fail("%d is no truth value", b)
+		in.fail("%d is not a boolean", b)
 	}
 	return b == 1
 }
@@ -264,7 +264,7 @@
 func (in *decoder) bytes(maxBytes int) []byte {
 	n := in.uvarint()
 	if n > uint64(maxBytes) || n > uint64(len(in.data)) {
-		in.fail("%d bytes", n)
+		in.fail("a field of %d bytes is too long or truncated", n)
 		return nil
 	}
 	b := slices.Clone(in.data[:n])
@@ -276,7 +276,7 @@
 
 func (in *decoder) uint64() uint64 {
 	if len(in.data) < 8 {
-		in.fail("cut short")
+		in.fail("truncated")
 		return 0
 	}
 	v := binary.BigEndian.Uint64(in.data)
@@ -302,7 +302,7 @@
 func (in *decoder) change() (c Change) {
 	n := in.uvarint()
 	if n > MaxEntries {
-		in.fail("%d entries", n)
+		in.fail("%d entries are too many", n)
 		return nil
 	}
 	for range n {
@@ -331,7 +331,7 @@
 	d := Deltas{Latest: in.revision()}
 	n := in.uvarint()
 	if n > MaxLogDeltas {
-		in.fail("%d deltas", n)
+		in.fail("%d deltas are too many", n)
 	}
 	for range n {
 		if in.err != nil {
--- a/internal/decide/configlog/configlog.go
+++ b/internal/decide/configlog/configlog.go
@@ -3,7 +3,7 @@
 // sent or saved is returned as Effects.
 //
 // A few members of the roster are origins, the voters. They agree on each revision of the document: one of them leads
-// in an epoch that a majority has promised, accepts a change only if it was made from the revision in force
+// in an epoch that a majority has promised, accepts a change only if it was made from the current revision
 // (compare-and-set), and commits it once a majority has stored it durably. At most one revision of each number is ever
 // committed (Paxos, one instance for each number, one number at a time). Safety rests on promises and acknowledgements
 // alone; clocks only decide which origin campaigns at which time.
@@ -11,8 +11,8 @@
 // Only committed revisions are replicated from the origins over relays to all followers. Each member has two parents,
 // which every member computes identically from the roster (Topology). A member that applies a delta pushes it to its
 // children. Once per digest interval it sends them a digest of the revision that it holds, so that a child that has
-// missed revisions pulls them: as deltas, or as a snapshot in chunks that is verified as a whole before it comes into
-// force. No member ever applies a revision that is not newer than the one that it holds.
+// missed revisions pulls them: as deltas, or as a snapshot in chunks that is verified as a whole before it takes
+// effect. No member ever applies a revision that is not newer than the one that it holds.
 package configlog
 
 import (
@@ -64,7 +64,7 @@
 // Vote is the state of an origin in the consensus protocol. It must be stored durably before any message that follows
 // from it is sent.
 type Vote struct {
-	CanVote  bool // false as long as the origin may have lost votes that it has given
+	CanVote  bool // false while the origin may have lost votes that it gave
 	Promised Epoch
 	Accepted Proposal // its Delta.Revision.Number is 0 if there is none
 }
@@ -76,8 +76,8 @@
 	Vote     Vote      // of an origin; zero for none
 }
 
-// HeartbeatID identifies a heartbeat of a leader. It travels down the tree in the digests, so that a member can tell
-// how up to date its parents are.
+// HeartbeatID identifies a heartbeat of a leader. Digests carry it down the tree, so that a member can see how up to
+// date its parents are.
 type HeartbeatID struct {
 	Epoch Epoch
 	Tick  uint64 // increases by one in each digest interval of the leader
@@ -94,7 +94,7 @@
 // Outcomes of an Apply.
 const (
 	Committed   Outcome = iota + 1 // the change is committed as Revision
-	Stale                          // the change was not made from Revision, which is in force
+	Stale                          // the change was not made from Revision, which is the current one
 	NotLeader                      // nothing was done: this member does not lead; Leader may, unless it is empty
 	Busy                           // nothing was done: another change is in progress
 	Unavailable                    // nothing was done: no leader is known
@@ -119,12 +119,12 @@
 	Leader   NodeID
 }
 
-// Effects lists what the caller must do, in this order: save and sync, put the document into force, send the messages
-// and report the results. If saving fails, the instance must stop, because its state in memory must not become visible
-// to anyone.
+// Effects lists what the caller must do, in this order: save and sync, activate the document, send the messages and
+// report the results. If saving fails, the instance must stop, because the unsaved state must not become visible to
+// other instances.
 type Effects struct {
-	Deltas   []Delta // deltas that have come into force, in order; to be saved
-	Replaced bool    // a snapshot has come into force, before Deltas: the whole Document must be saved
+	Deltas   []Delta // deltas that have taken effect, in order; to be saved
+	Replaced bool    // a snapshot has taken effect, before Deltas: the whole Document must be saved
 	SaveVote bool    // Vote must be saved, after the document
 	Messages []Message
 	Results  []Result
--- a/internal/decide/configlog/document.go
+++ b/internal/decide/configlog/document.go
@@ -49,9 +49,9 @@
 
 // Errors of changes, snapshots and messages that are not accepted.
 var (
-	ErrLimit     = errors.New("beyond a limit")
-	ErrChecksum  = errors.New("the checksum differs")
-	ErrMalformed = errors.New("not well-formed")
+	ErrLimit     = errors.New("limit exceeded")
+	ErrChecksum  = errors.New("checksum mismatch")
+	ErrMalformed = errors.New("malformed")
 )
 
 // validate returns an error if the keys are empty or out of order, a deletion has a value, or a limit is exceeded.
@@ -62,10 +62,11 @@
 	size := 0
 	for i, e := range c {
 		if e.Key == "" || len(e.Key) > MaxKey || len(e.Value) > MaxValue {
-			return fmt.Errorf("%w: an entry of %d and %d bytes", ErrLimit, len(e.Key), len(e.Value))
+			return fmt.Errorf("%w: an entry with a key of %d bytes and a value of %d bytes", ErrLimit, len(e.Key),
+				len(e.Value))
 		}
 		if i > 0 && c[i-1].Key >= e.Key || e.Delete && len(e.Value) > 0 {
-			return fmt.Errorf("%w: entry %q", ErrMalformed, e.Key)
+			return fmt.Errorf("%w: entry %q is out of order, or a deletion with a value", ErrMalformed, e.Key)
 		}
 		size += entrySize(e.Key, e.Value)
 	}
@@ -118,8 +119,8 @@
 	return &c
 }
 
-// ChangeTo returns the change from d to a document with exactly the given entries. It serves callers of Node.Apply that
-// have a whole document.
+// ChangeTo returns the change from d to a document with exactly the given entries, for callers of Node.Apply that have
+// a whole document.
 func (d *Document) ChangeTo(entries map[string][]byte) (change Change) {
 	for key := range d.entries {
 		if _, ok := entries[key]; !ok {
@@ -165,7 +166,8 @@
 // Apply applies the delta of the next revision to d, completely or not at all.
 func (d *Document) Apply(delta Delta) error {
 	if delta.Revision.Number != d.revision.Number+1 {
-		return fmt.Errorf("%w: revision %d follows on %d", ErrMalformed, delta.Revision.Number, d.revision.Number)
+		return fmt.Errorf("%w: revision %d does not follow revision %d", ErrMalformed, delta.Revision.Number,
+			d.revision.Number)
 	}
 	next, err := d.nextDelta(delta.Revision.Epoch, delta.Change)
 	if err != nil {
--- a/internal/decide/configlog/leader.go
+++ b/internal/decide/configlog/leader.go
@@ -37,10 +37,10 @@
 
 func (n *Node) handlePreVote(now int64, from NodeID, request PreVote) {
 	o := n.origin
-	hearsLeader := o.role == leading || o.leaderHeardAt > 0 && now-o.leaderHeardAt < n.timing.ElectionTimeout
-	if o.vote.CanVote && !hearsLeader && request.Epoch.Compare(o.vote.Promised) > 0 {
+	hasLeader := o.role == leading || o.leaderHeardAt > 0 && now-o.leaderHeardAt < n.timing.ElectionTimeout
+	if o.vote.CanVote && !hasLeader && request.Epoch.Compare(o.vote.Promised) > 0 {
 		n.send(from, PreVoteGranted(request))
-	} else if o.vote.CanVote && !hearsLeader {
+	} else if o.vote.CanVote && !hasLeader {
 		n.reject(from, request.Epoch)
 	}
 }
@@ -78,8 +78,8 @@
 }
 
 // tryLead takes the lead once a majority has promised and this origin holds every revision that the majority knows to
-// be committed. It first proposes again, in its own epoch, the accepted proposal with the latest ballot, if there is
-// one: an earlier leader may have committed it.
+// be committed. An earlier leader may have committed a proposal that others have accepted, so it first proposes again,
+// in its own epoch, the accepted proposal with the latest ballot (the epoch of its proposer), if there is one.
 func (n *Node) tryLead(now int64) {
 	o := n.origin
 	if !o.isMajority(len(o.promises) + 1) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// tryCommit puts the proposal into force once a majority has stored it, and pushes it to origins and children.
+// tryCommit applies the proposal once a majority has stored it, and pushes it to origins and children.
 func (n *Node) tryCommit(now int64) {
 	o := n.origin
 	d := o.proposal.Delta
@@ -251,7 +251,7 @@
 	n.completeRequest()
 }
 
-// handleApply proposes a change that was made from the revision in force.
+// handleApply proposes a change that was made from the current revision.
 func (n *Node) handleApply(now int64, from NodeID, a Apply) {
 	o := n.origin
 	result := Result{ID: a.ID, Revision: n.held(), Leader: n.Status(now).Leader}
@@ -276,7 +276,8 @@
 	n.replyToApply(from, result)
 }
 
-// completeRequest answers the Apply in progress once a revision of its number is in force, with its change or another.
+// completeRequest answers the Apply in progress once a revision of its number has taken effect, with its change or
+// another.
 func (n *Node) completeRequest() {
 	request := &n.origin.request
 	if !request.active || n.held().Number < request.delta.Revision.Number {
--- a/internal/decide/configlog/limits.go
+++ b/internal/decide/configlog/limits.go
@@ -20,24 +20,25 @@
 // Timing holds intervals and timeouts in microseconds. They affect how soon something happens, never safety.
 type Timing struct {
 	DigestInterval    int64 // between two digests of a parent, and two ticks of the leader's heartbeats
-	SourceTimeout     int64 // a source without a fresh digest for so long is replaced
+	SourceTimeout     int64 // a source is replaced after this time without a fresh digest
 	PullTimeout       int64 // until an unanswered pull goes to another source; doubles each time, with jitter
 	MaxPullTimeout    int64 // limit of this backoff
 	HeartbeatInterval int64 // between two heartbeats of a leader to the other origins
-	ElectionTimeout   int64 // an origin without a leader's heartbeat for so long campaigns; jitter up to doubles it
+	ElectionTimeout   int64 // an origin campaigns after this time without a heartbeat of a leader; jitter may double it
 	RetryInterval     int64 // between two transmissions of a request that an origin has not answered
 	ApplyTimeout      int64 // after this, a leader reports an undecided Apply as Unknown; others wait twice as long
 }
 
-// DefaultTiming returns timing for the goal that a change is in force within 4 s: within that time a source can miss
-// 2.5 digest intervals and be replaced.
+// DefaultTiming returns timing for the goal that a change takes effect everywhere within 4 s: within that time a source
+// can miss 2.5 digest intervals and be replaced.
 func DefaultTiming() Timing {
 	const ms = 1000
 	return Timing{DigestInterval: 1000 * ms, SourceTimeout: 2500 * ms, PullTimeout: 400 * ms, MaxPullTimeout: 6400 * ms,
 		HeartbeatInterval: 250 * ms, ElectionTimeout: 1000 * ms, RetryInterval: 250 * ms, ApplyTimeout: 3000 * ms}
 }
 
-// FanOut limits how many members one member feeds, and at which rate it answers pulls.
+// FanOut limits how many members one member feeds, that is sends digests and pushes to, and the rate at which it
+// answers pulls.
 type FanOut struct {
 	Relay       int // children of a relay or origin, which is a dedicated control machine
 	Follower    int // children of any other member
--- a/internal/decide/configlog/message.go
+++ b/internal/decide/configlog/message.go
@@ -10,13 +10,13 @@
 // Body is the body of a message: one of the types below.
 type Body interface{ kind() messageKind }
 
-// Messages between origins. Held is the revision that is in force at the sender.
+// Messages between origins. Held is the current revision of the sender.
 type (
-	// PreVote asks whether an origin would promise a new epoch; it would unless it hears from a leader.
+	// PreVote asks whether an origin would promise a new epoch; it would unless it receives a leader's heartbeats.
 	PreVote struct{ Epoch Epoch }
 	// PreVoteGranted answers a PreVote: the sender would promise the epoch.
 	PreVoteGranted struct{ Epoch Epoch }
-	// Prepare asks for the promise to accept nothing of an earlier epoch any more.
+	// Prepare asks for the promise to accept no more proposals of earlier epochs.
 	Prepare struct{ Epoch Epoch }
 	// Promise answers a Prepare with the promise and with the proposal that the sender has accepted.
 	Promise struct {
@@ -38,7 +38,7 @@
 		Promised Epoch
 		Held     Revision
 	}
-	// Heartbeat tells the other origins that the sender leads.
+	// Heartbeat informs the other origins that the sender leads.
 	Heartbeat struct {
 		ID   HeartbeatID
 		Held Revision
@@ -55,27 +55,27 @@
 	}
 )
 
-// Messages between all members. Held is the revision that is in force at the sender.
+// Messages between all members. Held is the current revision of the sender.
 type (
-	// Digest tells a child which revision its parent holds, and the latest heartbeat that the parent knows.
+	// Digest informs a child of the revision that its parent holds and of the latest heartbeat that the parent knows.
 	Digest struct {
 		Heartbeat HeartbeatID
 		Held      Revision
 	}
 	// Push carries a delta that has just been committed or applied.
 	Push struct{ Delta Delta }
-	// Pull asks for the revisions after Held, or, with Subscribe, only to be fed with digests and pushes for a while.
-	// A snapshot that has arrived in part is continued: the one of PartialRevision, from Offset on.
+	// Pull asks for the revisions after Held, or, with Subscribe, only for a subscription: digests and pushes for a
+	// while. A snapshot that has arrived in part is continued: the one of PartialRevision, from Offset on.
 	Pull struct {
 		Held            Revision
-		Subscribe       bool // the sender has lost a parent or is isolated, and asks to be fed for a while
+		Subscribe       bool // the sender has lost a parent or is isolated
 		PartialRevision Revision
 		Offset          uint32
 	}
 	// Deltas answers a Pull with the next deltas in order, or with none if the sender of the Pull is up to date.
 	Deltas struct {
 		Deltas []Delta
-		Latest Revision // in force at the sender
+		Latest Revision // the current one of the sender
 	}
 	// Chunk answers a Pull with a part of a snapshot.
 	Chunk struct {
@@ -96,7 +96,7 @@
 	ApplyReply struct{ Result Result }
 )
 
-// messageKind tells the types of a Body apart on the wire. The values must not change.
+// messageKind identifies the type of a Body on the wire. The values must not change.
 type messageKind uint8
 
 const (
--- a/internal/decide/configlog/network_test.go
+++ b/internal/decide/configlog/network_test.go
@@ -29,7 +29,7 @@
 	node    *Node
 	saved   SavedState
 	starts  uint64
-	maxHeld uint64 // the highest number that was ever in force here; 0 again after the loss of the disk
+	maxHeld uint64 // the highest number that was ever in effect here; 0 again after the loss of the disk
 }
 
 // cluster simulates a whole installation and its network. Messages may be delayed, lost, reordered and duplicated.
@@ -39,7 +39,7 @@
 	now        int64
 	instances  map[NodeID]*instance
 	inFlight   []Message
-	committed  map[uint64]Revision // by number: revisions that were in force at any instance
+	committed  map[uint64]Revision // by number: revisions that were in effect at any instance
 	bases      map[uint64]Revision // the revision from which each change was made, by ID
 	frozen     map[NodeID]bool     // stopped for now; messages to them wait
 	diskLosses int                 // how many disks may still be lost
@@ -96,7 +96,8 @@
 	}
 }
 
-// execute carries out effects: it saves, checks what came into force and was reported, and sends.
+// execute carries out effects: it saves, checks the revisions that took effect and the results that were reported, and
+// sends the messages.
 func (c *cluster) execute(id NodeID, e Effects) {
 	i := c.instances[id]
 	if e.Replaced {
@@ -113,7 +114,7 @@
 	}
 	for _, r := range e.Results {
 		if r.Outcome == Committed && c.committed[r.Revision.Number] != r.Revision {
-			c.fail("%v was reported as committed, but %v is in force", r.Revision, c.committed[r.Revision.Number])
+			c.fail("%v was reported as committed, but %v is in effect", r.Revision, c.committed[r.Revision.Number])
 		}
 		if r.Outcome == Committed && c.bases[r.ID].Number+1 != r.Revision.Number {
 			c.fail("%v was made from %v", r.Revision, c.bases[r.ID])
@@ -122,12 +123,12 @@
 	c.inFlight = append(c.inFlight, e.Messages...)
 }
 
-// checkInForce checks a revision that has come into force: no other instance has another one of its number, and the
+// checkInForce checks a revision that has taken effect: no other instance has another one of its number, and the
 // instance does not go back.
 func (c *cluster) checkInForce(id NodeID, r Revision) {
 	i := c.instances[id]
 	if known, ok := c.committed[r.Number]; ok && known != r {
-		c.fail("%s has %v in force, but another instance had %v", id, r, known)
+		c.fail("%s has %v in effect, but another instance had %v", id, r, known)
 	}
 	if r.Number <= i.maxHeld {
 		c.fail("%s went from revision %d to %d", id, i.maxHeld, r.Number)
@@ -227,7 +228,7 @@
 }
 
 // checkConvergence checks the end of a run: without further faults, all instances get the latest revision that was ever
-// in force anywhere, and a change is committed.
+// in effect anywhere, and a change is committed.
 func (c *cluster) checkConvergence() error {
 	clear(c.frozen)
 	c.runFor(12_000_000)
@@ -237,7 +238,7 @@
 	}
 	for _, m := range c.roster {
 		if held := c.instances[m.Node].node.held(); c.err == nil && held.Number < latest {
-			c.fail("%s holds %d in the end, but %d was in force", m.Node, held.Number, latest)
+			c.fail("%s holds %d in the end, but %d was in effect", m.Node, held.Number, latest)
 		}
 	}
 	if c.err != nil {
@@ -328,7 +329,7 @@
 }
 
 // Messages are lost, duplicated and reordered, members are frozen and restarted, and origins lose their disks one at a
-// time. Nevertheless at most one revision of each number comes into force anywhere, no committed revision is lost or
+// time. Nevertheless at most one revision of each number takes effect anywhere, no committed revision is lost or
 // replaced, no member goes back, and all converge in the end.
 func TestAgreementUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decide/configlog/node.go
+++ b/internal/decide/configlog/node.go
@@ -19,7 +19,7 @@
 	Bootstrap bool
 	OnDrop    func(DropReason) // called for each dropped message or revision; nil for none
 
-	// Topology is the one of Roster and FanOut, for members of one process to share; nil to compute it.
+	// Topology is that of Roster and FanOut, which several members in one process can share; nil to compute it.
 	Topology *Topology
 }
 
@@ -33,7 +33,7 @@
 	DropOld           DropReason = "old"      // a snapshot that is not newer than the document held, or is too large
 	DropInvalid       DropReason = "invalid"  // a delta or snapshot that does not match its revision or exceeds a limit
 	DropFork          DropReason = "fork"     // another revision of a number that is held: two installations, or a bug
-	DropLate          DropReason = "late"     // an answer that is not expected, or not any more
+	DropLate          DropReason = "late"     // an answer to no open request, or to one that is no longer open
 )
 
 // Node is one member. Its caller serializes the calls, and carries out the Effects of each before the next one.
@@ -73,7 +73,7 @@
 	}
 	member, ok := topology.Member(options.Node)
 	if !ok {
-		return nil, fmt.Errorf("%w: %q is not on it", ErrRoster, options.Node)
+		return nil, fmt.Errorf("%w: %q is not listed", ErrRoster, options.Node)
 	}
 	n := &Node{id: options.Node, topology: topology, timing: options.Timing, fanOut: options.FanOut,
 		onDrop: options.OnDrop, forwarded: map[uint64]forwardedApply{},
@@ -87,11 +87,11 @@
 
 // Status is the state of a member.
 type Status struct {
-	Revision      Revision // in force at this member
-	Since         int64    // when it came into force here; 0 if it was loaded at the start
+	Revision      Revision // the current one of this member
+	Since         int64    // when it took effect here; 0 if it was loaded at the start
 	Newest        Revision // the newest revision that is known to exist
 	LeaderHeardAt int64    // when a new heartbeat of a leader last arrived, also through parents; 0 for never
-	Sources       []NodeID // live sources: the members that feed this one
+	Sources       []NodeID // live sources: the members that send digests and pushes to this one
 	Leader        NodeID   // the leader, or "" if no heartbeat has arrived for two election timeouts
 	IsLeader      bool
 	CanVote       bool  // it is an origin that votes
@@ -112,10 +112,10 @@
 	return s
 }
 
-// Document returns the document in force. The caller must not keep it beyond the next call, but may Clone it.
+// Document returns the current document. The caller must not keep it beyond the next call, but may Clone it.
 func (n *Node) Document() *Document { return n.replica.document }
 
-// Vote returns the vote that an origin has to save; it is zero for other members.
+// Vote returns the vote that an origin must save; it is zero for other members.
 func (n *Node) Vote() Vote {
 	if n.origin == nil {
 		return Vote{}
@@ -173,7 +173,8 @@
 
 // Apply requests a change to the revision base. A leader proposes the change itself; any other member forwards it to
 // the leader that it knows. The answer is a Result with the same ID in the Effects of this or a later call. If its
-// outcome is Unknown, the change may be in force or not: the caller reads Document and decides. Each ID is used once.
+// outcome is Unknown, the change may or may not have taken effect: the caller reads Document and decides. Each ID is
+// used once.
 func (n *Node) Apply(now int64, id uint64, base Revision, change Change) Effects {
 	n.apply(now, Apply{ID: id, Base: base, Change: change})
 	n.advance(now)
--- a/internal/decide/configlog/origin.go
+++ b/internal/decide/configlog/origin.go
@@ -18,7 +18,7 @@
 	quorumOfOne            bool // one origin is a majority
 	votesWithoutRecovery   bool // an origin that has lost its disk votes at once
 	dropsPendingProposal   bool // a new leader does not propose again what its predecessor has proposed
-	ignoresBase            bool // a change is proposed whichever revision it was made from
+	ignoresBase            bool // a change is proposed regardless of the revision that it was made from
 	acceptsWithGap         bool // an origin accepts a proposal though it does not hold the previous revision
 	recoversFromOne        bool // an origin that has lost its disk votes after one RecoverReply
 	installsOlderSnapshots bool // a follower installs a snapshot that is older than the document that it holds
@@ -118,7 +118,7 @@
 	n.observeRevision(held)
 }
 
-// promise moves this origin's promise to a later epoch: it accepts nothing of earlier epochs any more.
+// promise moves this origin's promise to a later epoch: from then on it accepts no proposals of earlier epochs.
 func (n *Node) promise(e Epoch) {
 	o := n.origin
 	if e.Compare(o.vote.Promised) <= 0 {
--- a/internal/decide/configlog/replica.go
+++ b/internal/decide/configlog/replica.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// source is a member that feeds this one: it sends digests and pushes, and answers pulls.
+// source is a member that feeds this one: it sends digests and pushes to it, and answers its pulls.
 type source struct {
 	node         NodeID
 	isParent     bool     // by the topology; otherwise a fallback parent
@@ -23,7 +23,7 @@
 // replica is the document that a member holds, with the state of its replication from sources to children.
 type replica struct {
 	document *Document
-	since    int64 // when document came into force; 0 if it was loaded at the start
+	since    int64 // when document took effect; 0 if it was loaded at the start
 	log      deltaLog
 	newest   Revision // the newest revision that is known to exist
 
@@ -61,7 +61,7 @@
 	return replica{document: d, newest: d.revision, log: deltaLog{base: d.revision}}
 }
 
-// maxTickLag is by how many ticks of the leader a heartbeat may be behind the latest known one and still be fresh.
+// maxTickLag is the number of leader ticks by which a fresh heartbeat may be behind the latest known one.
 const maxTickLag = 1
 
 // isFresh reports whether a heartbeat is about as recent as the latest known one.
@@ -72,8 +72,8 @@
 	return id.Epoch.Compare(r.heartbeat.Epoch) > 0
 }
 
-// applyDelta puts the next revision into force, and reports whether it did. A delta that forks from the log or does not
-// fit the document is counted as dropped.
+// applyDelta applies the delta of the next revision, and reports whether it did. A delta that forks from the log or
+// does not fit the document is counted as dropped.
 func (n *Node) applyDelta(now int64, d Delta) bool {
 	r := &n.replica
 	if d.Revision.Number <= n.held().Number {
@@ -93,7 +93,7 @@
 	return true
 }
 
-// installSnapshot puts a whole document into force.
+// installSnapshot replaces the document by the one of a snapshot.
 func (n *Node) installSnapshot(now int64, d *Document) {
 	r := &n.replica
 	r.document, r.since, r.log = d, now, deltaLog{base: d.revision}
@@ -219,8 +219,8 @@
 	n.maintainSources(now)
 }
 
-// sourcesByPreference returns the sources in the order in which they are asked: live ones first, and among these, as
-// among the others, the one whose pull last failed comes last.
+// sourcesByPreference returns the sources in the order in which they are asked: live ones first, then the others. In
+// both groups the source whose pull last failed comes last.
 func (n *Node) sourcesByPreference(now int64) []source {
 	r := &n.replica
 	sorted := slices.Clone(r.sources)
--- a/internal/decide/configlog/replica_test.go
+++ b/internal/decide/configlog/replica_test.go
@@ -81,7 +81,7 @@
 	return n
 }
 
-// A snapshot arrives in chunks, is continued from another member after a cut, and comes into force only when complete.
+// A snapshot arrives in chunks, is continued from another member after a cut, and takes effect only when complete.
 func TestSnapshotDownloadResumesAtOtherParent(t *testing.T) {
 	documents, _ := makeHistory(t, 12, 10_000)
 	last := documents[12]
@@ -98,7 +98,7 @@
 	h.handle(a, Digest{HeartbeatID{testEpoch, 1}, last.Revision()})
 	for range 3 {
 		require.False(t, answer(holder, a).Replaced)
-		require.Zero(t, h.node.Document().Revision(), "an incomplete snapshot is not in force")
+		require.Zero(t, h.node.Document().Revision(), "an incomplete snapshot is not in effect")
 	}
 	require.Equal(t, uint32(3*ChunkBytes), h.lastSentTo(a).(Pull).Offset)
 	h.sent = nil // the link to the first parent is cut
@@ -314,7 +314,7 @@
 }
 
 // A member whose parents still send digests, but without new heartbeats of a leader, asks a fallback parent as well,
-// and replaces it by the next one again and again as long as that does not help.
+// and replaces it by the next one until one has new heartbeats.
 func TestIsolatedParents(t *testing.T) {
 	h := newMemberHarness(t, SavedState{})
 	stuck := Digest{HeartbeatID{testEpoch, 5}, Revision{}}
--- a/internal/decide/configlog/sources.go
+++ b/internal/decide/configlog/sources.go
@@ -30,7 +30,8 @@
 	return live
 }
 
-// addSubscriber feeds a member for a while, or goes on to, and reports whether it does. It always does for children.
+// addSubscriber adds a subscriber, which is sent digests and pushes until its subscription expires, or renews the
+// subscription. It returns false if there are too many subscribers. Children need no subscription.
 func (n *Node) addSubscriber(now int64, node NodeID) bool {
 	r := &n.replica
 	if slices.Contains(n.topology.Children(n.id), node) {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// handleSubscribe answers a member that asks to be fed.
+// handleSubscribe answers a request for a subscription.
 func (n *Node) handleSubscribe(now int64, from NodeID) {
 	if n.addSubscriber(now, from) {
 		n.send(from, Digest{n.replica.heartbeat, n.held()})
@@ -61,9 +62,9 @@
 
 // maintainSources keeps as many live sources as there are parents: it renews the fallback parents that are needed,
 // drops those that are not, and asks a further one if a source is missing. If no source has brought a new heartbeat of
-// a leader for long, all of them may be cut off from the leader: one more source is then wanted, and replaced again
-// and again. The waits in between grow, with jitter, until a fallback parent helps. Origins need no fallback parents,
-// since all other origins are their sources.
+// a leader for long, all of them may be cut off from the leader: one more source is then wanted, and it is replaced by
+// the next candidate until one brings new heartbeats. The waits between the replacements grow, with jitter. Origins
+// need no fallback parents, since all other origins are their sources.
 func (n *Node) maintainSources(now int64) {
 	r := &n.replica
 	if n.origin != nil {
@@ -134,7 +135,7 @@
 	n.renewSubscription(now, next)
 }
 
-// renewSubscription asks a fallback parent to feed this member, or to go on, at most once per digest interval.
+// renewSubscription requests or renews the subscription to a fallback parent, at most once per digest interval.
 func (n *Node) renewSubscription(now int64, node NodeID) {
 	s := n.findSource(node)
 	if s == nil || s.subscribedAt > 0 && now-s.subscribedAt < n.timing.DigestInterval {
--- a/internal/decide/configlog/topology.go
+++ b/internal/decide/configlog/topology.go
@@ -14,8 +14,8 @@
 
 // Roles of members.
 const (
-	Follower Role = iota // an instance that holds a replica; it feeds others too, within FanOut.Follower
-	Relay                // a control machine at the top of its region's tree, fed by the origins
+	Follower Role = iota // an instance that holds a replica and passes revisions on, within FanOut.Follower
+	Relay                // a control machine at the top of its region's tree, below the origins
 	Origin               // a control machine that votes on revisions
 )
 
@@ -41,10 +41,10 @@
 	names, origins := map[NodeID]bool{}, 0
 	for _, m := range r {
 		if m.Node == "" || len(m.Node) > MaxNodeID {
-			return fmt.Errorf("%w: a name of %d bytes", ErrRoster, len(m.Node))
+			return fmt.Errorf("%w: a member name of %d bytes", ErrRoster, len(m.Node))
 		}
 		if names[m.Node] {
-			return fmt.Errorf("%w: %q is there twice", ErrRoster, m.Node)
+			return fmt.Errorf("%w: %q is listed twice", ErrRoster, m.Node)
 		}
 		if m.Role > Origin {
 			return fmt.Errorf("%w: %q has role %d", ErrRoster, m.Node, m.Role)
@@ -55,15 +55,16 @@
 		}
 	}
 	if origins != 1 && origins != 3 && origins != MaxOrigins {
-		return fmt.Errorf("%w: %d origins, neither 1, 3 nor %d", ErrRoster, origins, MaxOrigins)
+		return fmt.Errorf("%w: %d origins instead of 1, 3 or %d", ErrRoster, origins, MaxOrigins)
 	}
 	return nil
 }
 
-// parentsPerMember is how many members feed each member, in different zones if possible.
+// parentsPerMember is the number of parents of each member, the members that feed it. They are in different zones if
+// possible.
 const parentsPerMember = 2
 
-// minRegionHeads is how many members of a region are heads at least. A head is fed by the origins directly.
+// minRegionHeads is the minimum number of heads of a region: the members that the origins feed directly.
 const minRegionHeads = 3
 
 // Topology says which members feed which: parents send digests and pushes to their children and answer their pulls.
@@ -154,8 +155,8 @@
 	return fan.Relay
 }
 
-// capacity returns how many members a level feeds: three quarters of what its fan-out allows, so that there is a choice
-// of zones.
+// capacity returns how many members are placed below a level: three quarters of what its fan-out allows, so that there
+// is a choice of zones.
 func (t *Topology) capacity(level []NodeID, fan FanOut) int {
 	edges := 0
 	for _, n := range level {
--- a/internal/decide/configlog/topology_test.go
+++ b/internal/decide/configlog/topology_test.go
@@ -107,7 +107,7 @@
 	require.ErrorIs(t, err, ErrRoster)
 }
 
-// By the formulas, a change is in force within the required 4 s, for one fault of the worst kind and one-way delays of
+// By the formulas, a change takes effect within the required 4 s, for one fault of the worst kind and one-way delays of
 // 80 ms between regions and 4 ms within a region.
 func TestDelayBounds(t *testing.T) {
 	topology, err := NewTopology(testInstallation(300), DefaultFanOut())
--- a/internal/decide/configlog/walk_test.go
+++ b/internal/decide/configlog/walk_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// execute checks what has come into force and was reported, and sends.
+// execute carries out effects: it checks the revision that has taken effect and the results that were reported, and
+// sends the messages.
 func (w *walkState) execute(e Effects) {
 	for _, d := range e.Deltas {
 		r := d.Revision
@@ -299,8 +300,8 @@
 // exhaustiveMaxStates exceeds the number of states within the smallest limits, so that those walks are exhaustive.
 const exhaustiveMaxStates = 100_000
 
-// Within these limits at most one revision of each number is committed, whichever messages are delayed, duplicated or
-// lost, and whichever origins lose their disks.
+// Within these limits at most one revision of each number is committed, no matter which messages are delayed,
+// duplicated or lost, and which origins lose their disks.
 func TestEveryState(t *testing.T) {
 	for _, limits := range []walkLimits{{1, 1, 0, 0}, {0, 2, 1, 0}} {
 		t.Run(fmt.Sprintf("%+v", limits), func(t *testing.T) {
--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -10,7 +10,8 @@
 	"topazfall/internal/decide/refresh"
 )
 
-// SetHold records a hold in order with the lists.
+// SetHold records the start or the end of a hold, in order with the lists. A hold begins when the list passes its
+// staleness bound; nothing new may then be sent to any worker.
 func (r recorder) SetHold(held bool) { r <- map[bool]string{true: "held", false: "released"}[held] }
 
 // refusalFormat is the answer to a refused call, with the value of its Retry-After field left open.
@@ -158,7 +159,7 @@
 	require.Empty(t, events)
 }
 
-// Where lists are pushed there is no hold, however the agent fails.
+// Pushed lists cause no hold, even if the agent refuses all calls.
 func TestPushedListsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	settings := polledSettings(time.Second)
@@ -206,7 +207,8 @@
 	}
 }
 
-// A change to settings with pushed lists ends a hold at once, and a change back to polling begins it again.
+// The list is stale, so a hold is in progress: nothing new may be sent to any worker. A change to settings with pushed
+// lists, which have no staleness bound, ends the hold at once. A change back to polled lists begins it again.
 func TestSettingsChangeWhileHeld(t *testing.T) {
 	t.Parallel()
 	settings := polledSettings(3 * time.Second)
@@ -244,7 +246,7 @@
 	require.Less(t, successor.now(), 4500*time.Millisecond, "the bound was restarted")
 }
 
-// A watch without a hold receiver goes on after the bound, and its calls keep their pauses.
+// A watch without a hold receiver continues after the bound, with the same pauses between its calls.
 func TestNoHolder(t *testing.T) {
 	t.Parallel()
 	server, events := newFakeServer(t), make(recorder, 99)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -24,8 +24,9 @@
 	ApplyList(kind topazfall.EventKind, entries []dispatch.Entry)
 }
 
-// HoldReceiver is notified when the list passes its staleness bound, after which nothing new may be sent to any worker,
-// and when the list is up to date again. The list that ends a hold is delivered before SetHold(false).
+// HoldReceiver is notified when a hold begins and when it ends. A hold begins when the list passes its staleness bound,
+// the age up to which it may be relied on: nothing new may then be sent to any worker until the list is up to date
+// again. The list that ends a hold is delivered before SetHold(false).
 type HoldReceiver interface {
 	SetHold(held bool)
 }
@@ -58,7 +59,7 @@
 	Discovery string                    // address of the discovery service that the list came from
 	Seq       int64                     // version of the list
 	Hosts     map[string]dispatch.Entry // by worker id
-	Unread    refresh.Unread            // for how long changes may have been missed
+	Unread    refresh.Unread            // the period in which changes may have been missed
 }
 
 // RefreshSettings extracts the settings of the refresh schedule.
@@ -79,7 +80,7 @@
 // SetHoldReceiver sets the receiver of holds. It must be called before Run.
 func (w *Watch) SetHoldReceiver(receiver HoldReceiver) { w.holdReceiver = receiver }
 
-// UpdateSettings changes the settings. Calls follow them from the next call on, the staleness bound at once.
+// UpdateSettings changes the settings. The staleness bound changes at once, and calls from the next one on.
 func (w *Watch) UpdateSettings(settings refresh.Settings) {
 	w.mu.Lock()
 	w.schedule.Configure(settings)
@@ -93,8 +94,8 @@
 // now returns the current time on the schedule's clock.
 func (w *Watch) now() time.Duration { return time.Since(w.started) }
 
-// Follow asks for changes, which the watch brings anyway. It cuts no backoff short: when calls of many dispatchers
-// fail for the same cause, earlier retries would only add to the load.
+// Follow does nothing: the watch receives changes anyway. It does not shorten a backoff either, because when calls of
+// many dispatchers fail for the same cause, earlier retries would only add to the load.
 func (w *Watch) Follow() {}
 
 // Fetch requests a call for the whole list.
@@ -110,7 +111,7 @@
 // Move continues the watch at another address, beginning with a first call. Of several moves the last counts. It must
 // not be called concurrently.
 func (w *Watch) Move(addr string) {
-	if w.requestedAddr == addr { // the open watch misses no change
+	if w.requestedAddr == addr { // already watched there, so no change is missed
 		return
 	}
 	w.requestedAddr = addr
@@ -259,7 +260,8 @@
 	}
 }
 
-// holdTimer returns a channel that fires at the staleness bound, or nil if there is none or a hold is in force.
+// holdTimer returns a channel that fires at the staleness bound, or nil if there is no bound or a hold has already
+// begun.
 func (w *Watch) holdTimer() <-chan time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -270,7 +272,7 @@
 	return time.After(at - w.now())
 }
 
-// updateHold notifies the hold receiver if the list has become stale, or is no longer stale.
+// updateHold notifies holdReceiver if a hold has begun, because the list has become stale, or has ended.
 func (w *Watch) updateHold() {
 	w.mu.Lock()
 	held := w.schedule.IsStale(w.now())
@@ -287,8 +289,8 @@
 
 var errAddressChanged = errors.New("the address of discovery has changed")
 
-// switchAddress continues at another address. It aborts the open call, because the old address may leave it unanswered
-// and its answer is of no use any more. The list stays in use until the new address has sent a whole one, as its
+// switchAddress continues at another address. It aborts the open call, because the old address may leave it unanswered,
+// and its answer would no longer be used. The list stays in use until the new address has sent a whole one, as its
 // versions need not continue those of the old address.
 func (w *Watch) switchAddress(addr string) {
 	slog.Info("inventory", "state", "moved", "from", w.client.Addr, "to", addr, "seq", w.seq)
@@ -328,7 +330,7 @@
 	} else if !settings.Polled { // an agent does not queue calls
 		limit = refresh.AnswerGrace
 	}
-	// Answers after a move are dropped with these channels.
+	// An answer that comes after a move is dropped together with its channel.
 	mainAnswer, extraAnswer := make(chan answer, 1), make(chan answer, 1)
 	go func() { mainAnswer <- client.get(path, limit) }()
 	extraCallDue, extraCallOpen := (<-chan time.Time)(nil), false
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,7 +11,7 @@
 	"topazfall/internal/dispatch"
 )
 
-// list is an answer of discovery: the whole list of workers, or the changes since the version asked after.
+// list is an answer of discovery: the whole list of workers, or the changes since the version that the call named.
 type list struct {
 	seq     int64
 	whole   bool
@@ -22,8 +22,8 @@
 	"up": topazfall.Ready, "draining": topazfall.Draining, "removed": topazfall.Gone}
 
 // parseList parses a list of workers, which discovery calls hosts. An invalid entry must not prevent the others from
-// taking effect: a worker with an unknown state, or one that is up without an address, counts as draining and gets
-// nothing new. An entry without a host name is skipped.
+// taking effect: a worker with an unknown state, or one that is up without an address, counts as draining and gets no
+// new requests. An entry without a host name is skipped.
 func parseList(text []byte) (list, error) {
 	var document struct {
 		Seq   *int64 `json:"seq"`
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -165,7 +165,7 @@
 			}
 			extra.answer(t, listJSON(43, false, "a", "draining"))
 			require.Equal(t, "a1", events.next(t))
-			for { // the watch goes on from version 43
+			for { // the watch continues from version 43
 				if call = server.next(t); call.query == "/v1/endpoints?after=43&wait_ms=1000" {
 					break
 				}
--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -1,6 +1,6 @@
 // Package hostlist passes the merged list of workers from all sources to the dispatch goroutine, as changes in small
-// batches. Workers that must get nothing new any more come first, and no batch is so large that messages would have to
-// wait for it.
+// batches. Workers that must get no new messages (requests) come first, and batches are so small that messages do not
+// wait for them noticeably.
 package hostlist
 
 import (
@@ -14,9 +14,9 @@
 	"topazfall/internal/dispatch"
 )
 
-// maxBatchEntries is the number of entries passed to the dispatch goroutine at a time. The decision module keeps its
-// workers sorted, and a few new ones at the end cost it one pass: with 2,000 workers, a batch of 32 causes a full sort
-// of about 1 ms, and a batch of 4 costs about 0.2 ms.
+// maxBatchEntries is the number of entries passed to the dispatch goroutine at a time. The decision module appends new
+// workers to its list and sorts it. With a few new ones at the end, sorting takes one pass: with 2,000 workers, a batch
+// of 4 costs about 0.2 ms, while a batch of 32 causes a full sort of about 1 ms.
 const maxBatchEntries = 4
 
 // Core receives the list. It is the dispatch goroutine.
@@ -26,7 +26,7 @@
 	Sync()      // returns when everything passed before has been processed
 }
 
-// List is the merged list. It receives the list of discovery in place of the core.
+// List is the merged list. Discovery delivers its list here, and not to the core directly.
 type List struct {
 	core Core
 
@@ -61,7 +61,7 @@
 			entries[i] = dispatch.Entry(e)
 		}
 		l.core.ApplyList(topazfall.ListPatch, entries)
-		l.core.Sync() // messages that wait are processed before the next batch
+		l.core.Sync() // waiting messages are processed before the next batch
 		changed = changed[n:]
 	}
 	if next := l.merger.NextChange(now); next > 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// ApplyList applies a list or changes from discovery, and passes on that discovery has failed.
+// ApplyList applies a list or changes from discovery, or informs the core that discovery has failed.
 func (l *List) ApplyList(kind topazfall.EventKind, entries []dispatch.Entry) {
 	if kind == topazfall.ListFailed {
 		l.core.ApplyList(kind, nil)
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -68,7 +68,7 @@
 	c.batches = append(c.batches, entries)
 }
 
-// The core receives small batches with a sync after each, and workers that get nothing new any more come first.
+// The core receives small batches with a sync after each, and workers that get no new messages come first.
 func TestBatches(t *testing.T) {
 	core := &recordingCore{}
 	list := New(core)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 
 // Limits of a document.
 const (
-	maxFaults        = 100 // that are listed; nobody needs the rest of a document with so many
+	maxFaults        = 100 // reported for one document; a longer list would not help its author
 	maxNames         = 64
 	maxPlaces        = 256
 	maxResolvers     = 8
@@ -301,8 +301,8 @@
 		MaxBackoff: a.RestMost.AsDuration().Microseconds(), CalmPeriod: a.Calm.AsDuration().Microseconds()}
 }
 
-// MergeSettings returns the settings of the merge of sources, and those of each SRV name, from a document with defaults
-// filled in.
+// MergeSettings returns the settings for merging the hosts of all sources, and the settings of each SRV name, from a
+// document with defaults filled in.
 func MergeSettings(effective *pb.Settings) (sources.Settings, map[string]sources.NameSettings) {
 	s := effective.Sources
 	names := map[string]sources.NameSettings{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 }
 
 // A document is accepted completely or not at all, and only if no other was accepted since the revision that it was
-// made from. It is in force after a restart.
+// made from. It is in effect after a restart.
 func TestApply(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -135,7 +135,7 @@
 }
 
 // With 32 concurrent writers, each watcher sees each accepted revision once and in order, and a watcher that reads
-// nothing blocks nobody.
+// nothing does not delay others.
 func TestWritersAndWatchers(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	const writers, each, watchers = 32, 5, 8
@@ -178,7 +178,7 @@
 	require.ErrorIs(t, err, ErrGap)
 }
 
-// Each of 1,000 malformed documents gives an error with a path and leaves the revision in force unchanged.
+// Each of 1,000 malformed documents gives an error with a path and leaves the current revision unchanged.
 func TestMalformedDocuments(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	before, err := s.Apply(parseDocument(t, validDocument), 0, time.Now())
--- a/internal/settings/shared_test.go
+++ b/internal/settings/shared_test.go
@@ -22,7 +22,7 @@
 		Settings: &pb.Settings{Sources: &pb.Sources{Hold: durationpb.New(hold)}}}
 }
 
-// A revision of the origins is in force once it is saved, an older one is never accepted after it, and one that is
+// A revision of the origins takes effect once it is saved, an older one is never accepted after it, and one that is
 // received again stays as it is. Documents applied at the instance itself are rejected.
 func TestApplyManaged(t *testing.T) {
 	dir := t.TempDir()
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	s.SetManaged()
 	now, _ := s.Current()
-	require.Zero(t, now.Number, "the local revision stays in force until the first of the origins comes")
+	require.Zero(t, now.Number, "the local revision stays in effect until the first of the origins arrives")
 	require.NotEmpty(t, now.Settings.Sources.Srv)
 	_, err = s.Apply(parseDocument(t, `{}`), 0, time.Now())
 	require.ErrorIs(t, err, ErrManaged)
@@ -57,7 +57,7 @@
 	require.True(t, proto.Equal(newRevision(7, "1@a", time.Second), now))
 }
 
-// A revision accepted by the process that has the lock is in force also at the process that is about to replace it.
+// A revision accepted by the process that has the lock also takes effect at the process that is about to replace it.
 func TestSecondProcessFollows(t *testing.T) {
 	dir := t.TempDir()
 	first, second := openStore(t, dir), openStore(t, dir)
@@ -98,7 +98,7 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, s.olderBytes, maxKeptBytes)
 		require.LessOrEqual(t, (len(s.revisions)-2)*size, maxKeptBytes,
-			"except the empty revision at the start and the one in force")
+			"except the empty revision at the start and the current one")
 	}
 	require.Greater(t, len(s.revisions), 10)
 	_, err := s.NextAfter(t.Context(), revisions-5)
--- a/internal/settings/store.go
+++ b/internal/settings/store.go
@@ -20,30 +20,30 @@
 
 const (
 	snapshotKind      = "settings"
-	maxKeptRevisions  = 1024                   // that watchers may still ask for, within maxKeptBytes
+	maxKeptRevisions  = 1024                   // that watchers may still request, within maxKeptBytes
 	lockRetryInterval = 200 * time.Millisecond // between attempts to lock a folder that another process has locked
 )
 
-// maxKeptBytes limits the encoded size of the revisions before the one in force. They need several times as much
-// memory.
+// maxKeptBytes limits the encoded size of the revisions that are kept beside the current one. In memory they take
+// several times as much.
 const maxKeptBytes = 2 << 20
 
-// Store keeps the revision in force and earlier ones. An accepted revision is saved, and a restart needs nothing else.
-// Only the process that has the lock of the folder accepts revisions. A process that is about to replace another
-// follows the revisions that the other saves, and takes the lock when the other has ended.
+// Store keeps the current revision of the settings, which is in effect, and earlier ones. Accepted revisions are saved,
+// and a restart needs nothing else. Only the process that has the lock of the folder accepts revisions. A process that
+// is about to replace another reads the revisions that the other saves, and takes the lock when the other has ended.
 type Store struct {
 	path string
 	done chan struct{}
 
 	applying       sync.Mutex // held while a revision is saved
 	mu             sync.Mutex
-	revisions      []*pb.Revision // the last is in force
+	revisions      []*pb.Revision // the last is the current one
 	olderBytes     int            // encoded size of all revisions but the last
 	changed        chan struct{}  // closed when a revision is added
 	readOnlyReason string         // why no revision can be accepted; "" if it can
 	lock           io.Closer
 	closed         bool
-	managed        bool          // revisions are made by the installation's origins and come by ApplyManaged
+	managed        bool          // revisions come from the installation's origins by ApplyManaged
 	lockAcquired   chan struct{} // closed when this process has locked the folder
 	lastRead       fileState     // of the snapshot that was read last
 }
@@ -58,23 +58,24 @@
 		f.info.Size() == o.Size()
 }
 
-// StaleError rejects a document that was made from another revision than the one in force.
+// StaleError rejects a document that was made from another revision than the current one.
 type StaleError struct{ From, InForce uint64 }
 
 func (e StaleError) Error() string {
 	return fmt.Sprintf("the document was made from revision %d, but revision %d is in force", e.From, e.InForce)
 }
 
-// ErrManaged rejects a document where revisions are made by the installation's origins.
+// ErrManaged rejects a document at an instance whose revisions are made by the installation's origins (the instances
+// that vote on settings).
 var ErrManaged = errors.New("revisions are made by the installation's origins")
 
-// ErrOlder rejects a revision that is older than the one in force.
+// ErrOlder rejects a revision that is older than the current one.
 var ErrOlder = errors.New("it is older than the revision in force")
 
 // ErrReadOnly is wrapped by errors that say why no revision can be accepted now.
 var ErrReadOnly = errors.New("the settings are read-only")
 
-// ErrGap means that the revisions after a number are not kept any more, or never existed.
+// ErrGap means that the revisions after a number are no longer kept, or never existed.
 var ErrGap = errors.New("the revisions after it are not kept")
 
 // Open reads the revision saved in a folder, which it creates if it does not exist. A fault is reported if the last
@@ -105,8 +106,9 @@
 	return s, fault, nil
 }
 
-// SetManaged sets that revisions are made by the installation's origins and come by ApplyManaged. A revision that was
-// applied at this instance alone stays in force as revision 0 until the first revision of the origins comes.
+// SetManaged declares that revisions are made by the installation's origins and arrive through ApplyManaged. A revision
+// that was applied at this instance alone stays in effect as revision 0 until the first revision of the origins
+// arrives.
 func (s *Store) SetManaged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +152,8 @@
 	return r, fault, nil
 }
 
-// awaitLock waits until the process that has the lock has ended. Meanwhile it follows the revisions that that process
-// saves, as this process may serve clients already.
+// awaitLock waits until the process that has the lock has ended. Meanwhile it reloads the revisions that the other
+// process saves, as this process may serve clients already.
 func (s *Store) awaitLock(dir string) {
 	for {
 		select {
@@ -182,7 +184,7 @@
 	}
 }
 
-// reloadIfChanged brings into force the revision that the process with the lock has saved, if there is a newer one.
+// reloadIfChanged adopts the revision that the process with the lock has saved, if it is a newer one.
 func (s *Store) reloadIfChanged() {
 	info, err := os.Stat(s.path)
 	if err != nil || s.lastRead.isSame(info) {
@@ -199,17 +201,17 @@
 	}
 }
 
-// addNewer brings a revision into force if it is newer than the current one. s.mu must be held.
+// addNewer makes a revision the current one if it is newer. s.mu must be held.
 func (s *Store) addNewer(r *pb.Revision) {
 	if r = s.adjustNumber(r); r.Number > s.last().Number {
 		s.add(r)
 	}
 }
 
-// last returns the revision in force. s.mu must be held.
+// last returns the current revision. s.mu must be held.
 func (s *Store) last() *pb.Revision { return s.revisions[len(s.revisions)-1] }
 
-// add brings a revision into force and drops those that are over the limits. s.mu must be held.
+// add makes a revision the current one and drops the oldest that exceed the limits. s.mu must be held.
 func (s *Store) add(r *pb.Revision) {
 	if len(s.revisions) > 0 && r.Number != s.last().Number+1 {
 		s.revisions, s.olderBytes = nil, 0 // watchers get ErrGap
@@ -227,17 +229,17 @@
 	s.changed = make(chan struct{})
 }
 
-// Current returns the revision in force, and why no other can be accepted, or "" if one can. Revision 0 means that none
-// was ever accepted.
+// Current returns the current revision, and the reason why no other can be accepted, or "" if one can. Revision 0 means
+// that none was ever accepted.
 func (s *Store) Current() (r *pb.Revision, readOnlyReason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last(), s.readOnlyReason
 }
 
-// Apply brings a document into force if the revision that it was made from is still in force. The document is accepted
+// Apply accepts a document if the revision that it was made from is still the current one. The document takes effect
 // completely or not at all, and it is saved when Apply returns. Errors are Faults, StaleError, ErrManaged, ErrReadOnly,
-// and failures to save, after which the previous revision stays in force.
+// and failures to save, after which the previous revision stays the current one.
 func (s *Store) Apply(doc *pb.Settings, from uint64, now time.Time) (*pb.Revision, error) {
 	if doc == nil {
 		doc = &pb.Settings{}
@@ -263,7 +265,7 @@
 	return r, nil
 }
 
-// save saves a revision and then brings it into force. s.applying must be held.
+// save saves a revision and then makes it the current one. s.applying must be held.
 func (s *Store) save(r *pb.Revision) error {
 	body, err := protojson.Marshal(r)
 	if err != nil {
@@ -284,9 +286,9 @@
 	return s.managed
 }
 
-// ApplyManaged saves a valid revision of the installation's origins and brings it into force. It returns the time at
-// which the revision was made; a revision that is already in force stays as it is. Errors are ErrOlder, ErrReadOnly and
-// failures to save.
+// ApplyManaged saves a valid revision of the installation's origins and makes it the current one. It returns the time
+// at which the revision was made; receiving the current revision again changes nothing. Errors are ErrOlder,
+// ErrReadOnly and failures to save.
 func (s *Store) ApplyManaged(r *pb.Revision) (since time.Time, err error) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -306,8 +308,8 @@
 }
 
 // NextAfter returns the revision after a number and waits until there is one. A watcher that passes the number it got
-// last sees each revision once and in order, and a slow watcher blocks nobody. After 0 it begins with the revision in
-// force, if one was ever accepted.
+// last sees each revision once and in order, and a slow watcher does not delay others. After 0 it begins with the
+// current revision, if one was ever accepted.
 func (s *Store) NextAfter(ctx context.Context, number uint64) (*pb.Revision, error) {
 	for {
 		s.mu.Lock()
--- a/internal/srv/exchange.go
+++ b/internal/srv/exchange.go
@@ -20,7 +20,7 @@
 
 const (
 	maxUDPBytes   = 1232 // datagrams up to this size are not fragmented on any usual path (RFC 9715)
-	maxMismatches = 32   // invalid answers to one query, after which it fails: somebody is forging answers
+	maxMismatches = 32   // invalid answers after which a query fails, as they may be forged
 	minBackoff    = 500 * time.Millisecond
 	maxBackoff    = 10 * time.Second
 )
