--- a/cmd/topazctl/status.go
+++ b/cmd/topazctl/status.go
@@ -19,9 +19,8 @@
 func statusCommand(o *globalOptions) *cobra.Command {
 	return &cobra.Command{Use: "status", Args: cobra.NoArgs,
 		Short: "Show which revision each instance of the installation holds",
-		Long: "status requests the status of every instance on the roster through the one that --control names. It\n" +
-			"names the instances that did not answer, are behind the newest revision or have a fault. The exit\n" +
-			"code is 3 if that holds for some of them, and 1 if it holds for all.",
+		Long: "status asks all instances on the roster, through the one that --control names. It names those that\n" +
+			"did not answer, are behind the newest revision or have a fault: exit code 3 for some, 1 for all.",
 		RunE: o.run(func(ctx context.Context, c *cobra.Command, api controlpbconnect.ControlClient, _ []string) error {
 			r, err := api.Instances(ctx, connect.NewRequest(&pb.InstancesRequest{}))
 			if err != nil {
