--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,8 +47,8 @@
 	return c, nil
 }
 
-// Reload reads the file again and returns the configuration to use in place of c. LB_DISCOVERY is ignored now: the
-// environment is that of the start, so it does not follow a move of discovery.
+// Reload reads the file again and returns the configuration to use in place of c. LB_DISCOVERY is ignored, as the
+// environment is that of the start of the process: it would undo a later move of discovery.
 //
 // A file without a key of the previous file is an error that names the key: the file is more likely broken than meant
 // to select a default. The previous file decides which keys are required because the program itself needs only a few.
--- a/internal/srv/exchange.go
+++ b/internal/srv/exchange.go
@@ -53,7 +53,7 @@
 		r.nameservers = append(r.nameservers, &nameserver{addr: a})
 	}
 	if len(addrs) > 0 {
-		r.next = rand.IntN(len(addrs)) // so that dispatchers begin with different ones
+		r.next = rand.IntN(len(addrs)) // so that dispatchers begin with different resolvers
 	}
 	return r
 }
