--- a/cmd/topazlab/agent.go
+++ b/cmd/topazlab/agent.go
@@ -14,7 +14,7 @@
 	var jsonPath string
 	cmd := &cobra.Command{
 		Use:   "dns",
-		Short: "Runs agents against a resolver that changes, stops answering and contradicts the roster",
+		Short: "Runs agents against a resolver that changes its records, stops answering and contradicts the roster",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := defaultToSibling(&o.AgentPath, "topazfall-agent"); err != nil {
@@ -30,7 +30,8 @@
 	cmd.Flags().StringVar(&jsonPath, "json", "", "also write the measurements to this file as JSON")
 	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the random numbers")
 	cmd.Flags().DurationVar(&o.OutageLength, "outage", time.Minute, "how long the resolver does not answer")
-	cmd.Flags().IntVar(&o.DrainMessages, "drains", 10_000, "messages sent while the roster drains their host")
+	cmd.Flags().IntVar(&o.DrainMessages, "drains", 10_000,
+		"messages sent while the roster (the discovery list) drains their host")
 	cmd.Flags().StringVar(&o.AgentPath, "agent", "",
 		"the agent's binary (default: topazfall-agent in the folder of this program)")
 	return cmd
--- a/cmd/topazlab/scale.go
+++ b/cmd/topazlab/scale.go
@@ -21,8 +21,8 @@
 		Short: "Measures how costs grow with the size of an installation, and checks the size expected in two years",
 		Long: "scale starts real dispatchers and simulated ones, which run the same code without clients, and\n" +
 			"measures the cost of each event over the size of the installation: a slope with its 95% interval, and\n" +
-			"the growth that was tested and rejected. The operators' bounds are computed from the slopes and\n" +
-			"checked, and the exit code is 1 if one is missed.",
+			"the growth models that the measured values contradict. The operators' bounds are computed from the\n" +
+			"slopes and checked, and the exit code is 1 if one is missed.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(reportPaths) > 0 {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,7 @@
 // Command toy runs what one dispatcher needs to be tried out: a discovery service that lists two workers (hosts), and
-// the workers. They accept a job, report that it has started, wait for as long as its X-Cost asks, and return its body
-// in capitals. It stores nothing and checks little; see README.md in this folder.
+// the workers. A worker accepts a job, reports that it has started, waits for the time in its X-Cost header (in
+// microseconds), and reports its body in capitals as the result. The program stores nothing and checks little; see
+// README.md in this folder.
 package main
 
 import (
@@ -101,7 +102,7 @@
 	w.sendCallback(id, "started", "")
 	select {
 	case <-cancelled:
-		log.Printf("at=host name=%s id=%s state=called-off", w.name, id)
+		log.Printf("at=host name=%s id=%s state=cancelled", w.name, id)
 		return
 	case <-time.After(cost):
 	}
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -14,7 +14,7 @@
 // Message is a request that a client sends.
 type Message struct {
 	ID, Class, Tenant string
-	Key               string // idempotency key, for classes that repeat by key; "" for none
+	Key               string // idempotency key, for classes that may repeat a request by its key; "" for none
 	Body              []byte
 	Timeout           time.Duration // for the final answer
 	Hint              time.Duration // expected job time; 0 for no hint
--- a/internal/lab/client/connection.go
+++ b/internal/lab/client/connection.go
@@ -204,7 +204,7 @@
 	return ClosedAfterRead
 }
 
-// encode returns the request with this id in the form of HTTP/1.1.
+// encode returns the message as an HTTP/1.1 request with this id.
 func (m Message) encode(id string) []byte {
 	text := fmt.Appendf(nil, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
 		"X-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n", id, m.Class, m.Tenant, max(m.Timeout.Milliseconds(), 1))
--- a/internal/lab/client/idleclients.go
+++ b/internal/lab/client/idleclients.go
@@ -8,7 +8,8 @@
 )
 
 // IdleClients is a set of clients that connect, stay idle, and reconnect after the dispatcher closes their connections.
-// Most send nothing; every third one sends a useful request first, so that it may stay idle for long afterwards.
+// Most send nothing. Every third one sends a callback first: the dispatcher then counts its connection as proven and
+// lets it stay idle for longer.
 type IdleClients struct {
 	stop     chan struct{}
 	stopOnce sync.Once
@@ -39,7 +40,8 @@
 	c.running.Wait()
 }
 
-// run is one client: it connects again and again until the clients are stopped.
+// run keeps one client connected: whenever its connection has ended, it opens another one, until Stop is called. If
+// sendsCallback is set, the client sends a callback at the beginning of each connection.
 func (c *IdleClients) run(address string, sendsCallback bool) {
 	for {
 		c.holdConnection(address, sendsCallback)
@@ -51,7 +53,7 @@
 	}
 }
 
-// holdConnection connects, and returns when the connection has ended or the clients are stopped.
+// holdConnection opens one connection, and returns when it has ended or Stop is called.
 func (c *IdleClients) holdConnection(address string, sendsCallback bool) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/internal/lab/configmodel/model.go
+++ b/internal/lab/configmodel/model.go
@@ -44,7 +44,7 @@
 	node                     *configlog.Node
 	saved                    configlog.SavedState // what is on its disk
 	incarnation              uint64
-	appliedNumber            uint64 // number of the revision in force
+	appliedNumber            uint64 // number of the revision that it has applied
 	down                     bool
 	frozen                   bool
 	inboundCut               bool // it receives nothing
@@ -63,7 +63,6 @@
 }
 
 // events is a heap of events in the order of their times.
-
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/lab/configmodel/model_test.go
+++ b/internal/lab/configmodel/model_test.go
@@ -25,8 +25,8 @@
 	require.NotEmpty(t, r.Rows)
 }
 
-// In every scenario a change is in force within 4 s at 99.9% of the reachable dispatchers. No instance goes back to an
-// earlier revision, has a different document under the same number, or lacks the newest revision at the end.
+// In every scenario 99.9% of the reachable dispatchers apply a change within 4 s. No instance goes back to an earlier
+// revision, has a different document under the same number, or lacks the newest revision at the end.
 func TestScenarios(t *testing.T) { runReport(t, *dispatchers, *nameFilter) }
 
 func TestScenariosOfFew(t *testing.T) { runReport(t, 30, "day", "zone", "one-way", "frozen", "old") }
@@ -56,7 +56,7 @@
 	}
 }
 
-// Of the options that are compared, only the implemented one has changes in force within 4 s at 99.9% of the
+// Of the options that are compared, only the implemented one has changes applied within 4 s at 99.9% of the
 // dispatchers while instances are frozen.
 func TestOptions(t *testing.T) {
 	r, err := CompareOptions(300, *seed)
--- a/internal/lab/configmodel/operator.go
+++ b/internal/lab/configmodel/operator.go
@@ -16,8 +16,8 @@
 	meanValueBytes = 200
 	// answerTimeout is how long an operator waits for an answer before retrying the change.
 	answerTimeout = 3500 * millisecond
-	// giveUpAfter is how long a reachable instance may take to apply a change. After it the change is no longer looked
-	// for, and this time goes into the samples.
+	// giveUpAfter is how long a reachable instance may take to apply a change. After that the model stops waiting for
+	// the change and records this time as the sample.
 	giveUpAfter = 30 * second
 )
 
@@ -29,14 +29,14 @@
 
 // samples are the times of the changes, in microseconds.
 type samples struct {
-	// applied is from the start of the committed attempt until the change is in force, for each change and reachable
+	// applied is from the start of the committed attempt until the change is applied, for each change and reachable
 	// dispatcher.
 	applied            []int64
 	appliedAfterCommit []int64 // the same from the commit
 	committed          []int64 // from an operator's first attempt until the commit
 }
 
-// newValue returns a random value that begins with the id of the attempt, so that a change in force can be traced to
+// newValue returns a random value that begins with the id of the attempt, so that an applied change can be traced to
 // its attempt.
 func (m *Model) newValue(attemptID uint64) []byte {
 	v := binary.BigEndian.AppendUint64(make([]byte, 0, 2*meanValueBytes), attemptID)
@@ -96,7 +96,8 @@
 	switch pending := m.attempts[r.ID]; r.Outcome {
 	case configlog.Committed:
 		if m.committed[r.Revision.Number] != r.Revision {
-			m.reportViolation("%v was reported as committed, but is not the revision in force", r.Revision)
+			m.reportViolation("%v was reported as committed, but is not the committed revision of its number",
+				r.Revision)
 		}
 		delete(m.retries, r.ID)
 	case configlog.Unknown:
@@ -128,7 +129,7 @@
 	}
 	revision := inst.node.Document().Revision()
 	if known, ok := m.committed[revision.Number]; ok && known != revision {
-		m.reportViolation("%s has %v in force, but another instance had %v", inst.Node, revision, known)
+		m.reportViolation("%s has applied %v, but another instance has applied %v", inst.Node, revision, known)
 	}
 	if first != inst.appliedNumber+1 || revision.Number < first {
 		m.reportViolation("%s went from revision %d to %d", inst.Node, inst.appliedNumber, revision.Number)
@@ -143,12 +144,12 @@
 	inst.saved.Document = inst.node.Document()
 }
 
-// recordCommit records a revision as committed when the first instance has it in force.
+// recordCommit records a revision as committed when the first instance applies it.
 func (m *Model) recordCommit(d configlog.Delta) {
 	number := d.Revision.Number
 	if known, ok := m.committed[number]; ok {
 		if known != d.Revision {
-			m.reportViolation("%v and %v are both in force", known, d.Revision)
+			m.reportViolation("%v and %v were both applied, with the same number", known, d.Revision)
 		}
 		return
 	}
--- a/internal/lab/configmodel/options.go
+++ b/internal/lab/configmodel/options.go
@@ -52,7 +52,7 @@
 	return o.linkDelay(from, to) + o.linkDelay(to, from)
 }
 
-// sequential models a tool that calls one dispatcher after the other, first for the revision in force and then with the
+// sequential models a tool that calls one dispatcher after the other, first to get its revision and then to apply the
 // change. A dispatcher that does not answer costs the tool its timeout, and does not get the change.
 func (o *optionRun) sequential() (times []int64) {
 	now, tool := int64(0), o.instances[0]
--- a/internal/lab/configmodel/scenario.go
+++ b/internal/lab/configmodel/scenario.go
@@ -25,11 +25,11 @@
 	Followers              int
 	Changes                int     // committed changes
 	Samples                int     // one for each change and reachable dispatcher
-	P50, P99, P999, Max    int64   // from the start of the committed attempt until in force at a dispatcher
+	P50, P99, P999, Max    int64   // from the start of the committed attempt until a dispatcher applied the change
 	Within4s               float64 // share of the samples of at most 4 s
-	NeverApplied           float64 // share of the samples that were not in force after 30 s
+	NeverApplied           float64 // share of the samples where the change was not applied after 30 s
 	Within4sOfCommit       float64 // share of at most 4 s, counted from the commit
-	P999FromCommit         int64   // from the commit until in force at a dispatcher
+	P999FromCommit         int64   // from the commit until a dispatcher applied the change
 	CommitP99              int64   // from an operator's first attempt, with all retries, until the commit
 	MessagesPerChange      float64 // pushes, pulls and their answers, for each instance and change
 	BusiestRelayBytes      float64 // mean bytes a second sent and received by the busiest relay or origin
@@ -148,11 +148,11 @@
 	r.CatchUpTime, r.CatchUpBytes = m.catchUpTime, m.catchUpBytes
 }
 
-// checkConvergence returns an error if an instance that is up does not have the newest revision in force.
+// checkConvergence returns an error if an instance that is up has not applied the newest revision.
 func (m *Model) checkConvergence() error {
 	for _, inst := range m.instances {
 		if !inst.down && !inst.frozen && inst.appliedNumber != m.newestNumber {
-			m.reportViolation("%s has revision %d in force at the end, but the newest is %d",
+			m.reportViolation("%s is at revision %d at the end, but the newest is %d",
 				inst.Node, inst.appliedNumber, m.newestNumber)
 		}
 	}
--- a/internal/lab/configmodel/table.go
+++ b/internal/lab/configmodel/table.go
@@ -8,7 +8,7 @@
 	"topazfall/internal/lab/report"
 )
 
-// The operators' bounds: a change is in force within maxApplyTime at minShareInTime of the reachable dispatchers.
+// The operators' bounds: minShareInTime of the reachable dispatchers apply a change within maxApplyTime.
 const (
 	maxApplyTime   = 4 * second
 	minShareInTime = 0.999
--- a/internal/lab/discoveryserver/discoveryserver.go
+++ b/internal/lab/discoveryserver/discoveryserver.go
@@ -33,7 +33,7 @@
 	seq            int64
 	entries        map[string]Entry
 	changeVersions map[string]int64 // by host: the version of its last change, including removals
-	cachedAnswers  map[int64][]byte // for the current version, by the version they start after: many ask the same
+	cachedAnswers  map[int64][]byte // answers for the current version, by the caller's version, which many share
 	updated        chan struct{}    // closed at the next change
 	fault          Fault
 	fullLists      bool          // every answer is a full list
--- a/internal/lab/discoveryserver/endpoint_test.go
+++ b/internal/lab/discoveryserver/endpoint_test.go
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 }
 
-// A change is in the next answer, whichever version is asked from: no cached answer of an earlier version is served.
+// A change is in the next answer, whichever version the caller has: no cached answer of an earlier version is served.
 func TestAnswersFollowChanges(t *testing.T) {
 	s, err := Start()
 	require.NoError(t, err)
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -77,7 +77,7 @@
 type Attempt struct {
 	ID          string
 	FirstByteAt time.Time     // when its first byte arrived
-	LastByteAt  time.Time     // when its last byte arrived: it counts from then on
+	LastByteAt  time.Time     // when its last byte arrived: from then on its job may have run
 	Timeout     time.Duration // how long the dispatcher waits, by the request's header
 	EndedAt     time.Time     // when the host first tried to report its end, or reset its connection
 	CancelledAt time.Time     // when the dispatcher cancelled it
@@ -94,7 +94,8 @@
 	return list
 }
 
-// CloseIdle closes the idle connections of an address, as a host does that frees resources, with a reset if asked.
+// CloseIdle closes the idle connections of an address, as a host that frees resources does. It resets them if withReset
+// is set.
 func (h *Host) CloseIdle(endpoint int, withReset bool) {
 	e := h.endpoints[endpoint]
 	e.mu.Lock()
@@ -109,8 +110,9 @@
 	}
 }
 
-// Crash makes an address refuse connections, like that of a process that dies: its running jobs end, and its machine
-// reports them as lost. SetFault lets it serve again.
+// Crash makes an address behave as if the host's process had died: connections to it are refused, and all running jobs
+// of the host end. A callback reports each of these jobs as lost, as the machine of a dead process does. SetFault
+// lets the address serve again.
 func (h *Host) Crash(endpoint int) error {
 	var lost []*Attempt
 	h.update(func() {
@@ -251,7 +253,7 @@
 	}
 }
 
-// setFault sets the fault, and closes or opens the listener as it demands.
+// setFault sets the fault, and closes or opens the listener as the fault requires.
 func (e *endpoint) setFault(fault Fault) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -254,7 +254,7 @@
 // errBytesLost ends the relay of a connection that has lost bytes, once no direction is cut any more.
 var errBytesLost = errors.New("bytes were lost")
 
-// relay copies one direction until EOF and then closes the sending side to the receiver. On an error it resets both
+// relay copies one direction until EOF and then passes the EOF on to the receiver. On an error it resets both
 // connections.
 func (l *Link) relay(p *connectionPair, from, to *net.TCPConn, d Direction) {
 	var err error
--- a/internal/lab/measure/addresses.go
+++ b/internal/lab/measure/addresses.go
@@ -40,7 +40,8 @@
 // listenAddresses are the addresses on which each host listens.
 var listenAddresses = []string{"unix", "127.0.0.1:0", "[::1]:0"}
 
-// addressCase is one way in which addresses fail, and when.
+// addressCase is one case of the measurement: which addresses of the hosts have which faults, from the start or in the
+// course of the load.
 type addressCase struct {
 	name    string
 	setUp   func(s *addressScene)                      // runs before the dispatcher is started; nil for nothing
@@ -168,7 +169,7 @@
 func (s *addressSummary) check(r *report.Report) {
 	baseP99 := float64(s.reachTimes[addressCases[0].name].ValueAtQuantile(99)) / 1000
 	p99 := func(h *hdrhistogram.Histogram) float64 { return float64(h.ValueAtQuantile(99)) / 1000 }
-	const initialDelayMillis = 50 // addresses.Defaults.InitialDelay: before the second dial while nothing is measured
+	const initialDelayMillis = 50 // addresses.Defaults.InitialDelay: before the second dial, without measured times
 	r.AddBound("messages without a final answer", float64(s.unanswered), 0, "messages")
 	r.AddBound("runs of an id that must not run twice", float64(s.maxRuns), 1, "runs")
 	r.AddBound("first refuses: reach p99", p99(s.reachTimes["first refuses"]), 2*baseP99+5, "ms")
@@ -310,8 +311,8 @@
 	return scene, outcomes, metrics["app_address_opened_total"] + metrics["app_address_failed_total"], nil
 }
 
-// sendLoad sends n messages, as a Poisson process with that many a second, and waits for their final answers. The
-// shares of the classes and tenants are those that the operators state.
+// sendLoad sends n messages, as a Poisson process with a mean of rate messages a second, and waits for their final
+// answers. The shares of the classes and tenants are those that the operators state.
 func sendLoad(ctx context.Context, addr string, n, rate int, random *rand.Rand) []outcome {
 	interval := distuv.Exponential{Rate: float64(rate), Src: random}
 	dispatcher := client.New(addr, fmt.Sprintf("%08x", random.Uint32()))
--- a/internal/lab/measure/agent.go
+++ b/internal/lab/measure/agent.go
@@ -22,7 +22,7 @@
 // agentInstance is a running agent and its control API.
 type agentInstance struct{ *program.Agent }
 
-// startAgent starts the agent at path. It keeps its state in the folder below dir that has its name.
+// startAgent starts the agent at path. Its state is kept in the folder dir/name.
 func startAgent(path, dir, name, discovery string) (*agentInstance, error) {
 	a, err := program.StartAgent(path, dir, name, discovery)
 	return &agentInstance{a}, err
--- a/internal/lab/measure/dns.go
+++ b/internal/lab/measure/dns.go
@@ -81,10 +81,10 @@
 
 // agentSetup holds what the agent of a scene is started with.
 type agentSetup struct {
-	program string // path of the agent's binary
-	dir     string // folder for its state
-	name    string
-	roster  string // address of discovery, or "none"
+	program   string // path of the agent's binary
+	dir       string // folder for its state
+	name      string
+	discovery string // address of discovery, or "none"
 }
 
 // newDNSScene starts a number of workers, a resolver that lists them with a TTL in seconds, and an agent that follows
@@ -105,7 +105,7 @@
 		s.hosts = append(s.hosts, h)
 	}
 	s.publish(ttl, s.hosts...)
-	if s.agent, err = startAgent(setup.program, setup.dir, setup.name, setup.roster); err == nil {
+	if s.agent, err = startAgent(setup.program, setup.dir, setup.name, setup.discovery); err == nil {
 		if err = s.agent.followResolver(ctx, dns); err == nil {
 			err = s.agent.awaitHosts(ctx, workers)
 		}
--- a/internal/lab/measure/dns_test.go
+++ b/internal/lab/measure/dns_test.go
@@ -8,7 +8,8 @@
 	"topazfall/internal/lab/report"
 )
 
-// The measurement of merging runs, and its two bounds have values; whether they are met depends on an idle machine.
+// measureMerge adds two bounds with positive values. The test does not check that they are met, which takes an idle
+// machine.
 func TestMeasureMerge(t *testing.T) {
 	r := report.New("dns", 1, "measurement", "figure", "unit")
 	require.NoError(t, measureMerge(t.Context(), DNSOptions{}, t.TempDir(), nil, r))
--- a/internal/lab/measure/settings.go
+++ b/internal/lab/measure/settings.go
@@ -24,8 +24,9 @@
 	Kills     int // how often the agent is killed
 }
 
-// Settings measures how an agent applies settings: from many writers at once, and when it is killed while it saves a
-// revision. Progress is written to w.
+// Settings measures how an agent applies settings. First many writers apply revisions at the same time. Then the agent
+// is killed repeatedly while it saves a revision, and must not lose one that it has acknowledged. Progress is written
+// to w.
 func Settings(ctx context.Context, o SettingsOptions, w io.Writer) (*report.Report, error) {
 	if o.Kills < 1 || o.Kills > 10_000 {
 		return nil, fmt.Errorf("kills is %d, not within 1 to 10000", o.Kills)
@@ -69,8 +70,8 @@
 
 // measureWriters lets 32 writers apply revisions at the same time, and 8 watchers check that each sees every revision
 // once and in order.
-func measureWriters(ctx context.Context, o SettingsOptions, dir, roster string, r *report.Report) error {
-	a, err := startAgent(o.AgentPath, dir, "writers", roster)
+func measureWriters(ctx context.Context, o SettingsOptions, dir, discoveryAddress string, r *report.Report) error {
+	a, err := startAgent(o.AgentPath, dir, "writers", discoveryAddress)
 	if err != nil {
 		return err
 	}
@@ -141,7 +142,8 @@
 
 // measureKills kills the agent at random times while revisions are applied, starts it again, and checks that it lost no
 // acknowledged revision.
-func measureKills(ctx context.Context, o SettingsOptions, dir, roster string, r *report.Report, w io.Writer) error {
+func measureKills(ctx context.Context, o SettingsOptions, dir, discoveryAddress string, r *report.Report,
+	w io.Writer) error {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
 	acknowledged, lost, inconsistent, ahead, slowest := uint64(0), 0, 0, 0, time.Duration(0)
 	for i := range o.Kills {
@@ -149,7 +151,7 @@
 			return ctx.Err()
 		}
 		start := time.Now()
-		a, err := startAgent(o.AgentPath, dir, "kills", roster)
+		a, err := startAgent(o.AgentPath, dir, "kills", discoveryAddress)
 		if err != nil {
 			return fmt.Errorf("after kill %d: %w", i, err)
 		}
--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -42,7 +42,7 @@
 	KnownHosts  string                      // last known list of hosts in discovery's JSON format, "" for none
 	EditConfig  func(config map[string]any) // changes the configuration before it is written; nil for no change
 
-	DescriptorLimit int // RLIMIT_NOFILE of the process, 0 to inherit that of the test
+	DescriptorLimit int // RLIMIT_NOFILE of the process, 0 to inherit the caller's
 }
 
 // Classes are the class names of the settings. Requests of the last two classes must run at most once.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -77,7 +77,7 @@
 func (r *Report) Finish(w io.Writer, file string) error {
 	fmt.Fprintf(w, "topazlab %s, version %s, seed %d\n", r.Name, r.Version, r.Seed)
 	r.printRows(w)
-	r.printBars(w)
+	r.printBounds(w)
 	for _, note := range r.Notes {
 		fmt.Fprintln(w, "note:", note)
 	}
@@ -114,7 +114,7 @@
 	t.Render()
 }
 
-func (r *Report) printBars(w io.Writer) {
+func (r *Report) printBounds(w io.Writer) {
 	if len(r.Bounds) == 0 {
 		return
 	}
--- a/internal/lab/resolver/resolver.go
+++ b/internal/lab/resolver/resolver.go
@@ -225,7 +225,8 @@
 	}
 }
 
-// respond returns the packed messages that answer a query, as the current fault has it.
+// respond returns the packed replies to a query, altered by the current fault. It returns nil if the fault lets the
+// resolver send none.
 func (r *Resolver) respond(query *dns.Msg, tcp bool) [][]byte {
 	r.mu.Lock()
 	name := strings.ToLower(query.Question[0].Name)
--- a/internal/lab/scale/bench.go
+++ b/internal/lab/scale/bench.go
@@ -92,7 +92,7 @@
 // AddBound adds a bound to the report.
 func (b *Bench) AddBound(bound Bound) { b.Bounds = append(b.Bounds, bound) }
 
-// pick returns the value for a quick run or for a full one.
+// pick returns quick if the run is a quick one (Options.Quick), else full.
 func pick[T any](b *Bench, quick, full T) T {
 	if b.Quick {
 		return quick
--- a/internal/lab/scale/calibration.go
+++ b/internal/lab/scale/calibration.go
@@ -19,7 +19,7 @@
 
 const (
 	blockSize = 1 << 20 // bytes hashed in one loop, which takes about a millisecond
-	// maxVariation is the ratio of Variation above which the machine counts as too busy for values in wall-clock time:
+	// maxVariation is the value of Variation above which the machine counts as too busy for values in wall-clock time:
 	// a thread then waits for a processor half as long as it runs.
 	maxVariation = 1.5
 )
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -12,7 +12,7 @@
 	maxCPU                 = 1.0    // % of a core
 	maxMemory              = 64.0   // MB
 	maxBytes               = 2000.0 // bytes a second
-	maxDistributionSeconds = 4.0    // from a change of the configuration until it is in force at all instances
+	maxDistributionSeconds = 4.0    // from a change of the configuration until all instances have applied it
 	maxUrgentStartSeconds  = 6.6    // until urgent work starts
 )
 
@@ -105,7 +105,10 @@
 // maxCostDifference is the largest relative difference between the costs of a simulated dispatcher and a real one.
 const maxCostDifference = 0.35
 
-// AddCapacityBounds adds the bounds on values that are computed from all measurements.
+// AddCapacityBounds adds the bounds on the cost of a dispatcher at the size in two years: processor time and bytes
+// under each of capacityLoads, and resident memory. It also adds the values of AddSensitivity, and bounds on the
+// difference between simulated and real dispatchers. All of this is computed from the results of the measurements,
+// which must have been made before.
 func (b *Bench) AddCapacityBounds() error {
 	for _, l := range capacityLoads() {
 		cpu, err := b.CPU(l)
--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -41,8 +41,9 @@
 	return b
 }
 
-// judge adds the bounds to a bench and returns the printed report with the error of the command.
-func judge(t *testing.T, b *Bench) (string, error) {
+// finishWithBounds adds the capacity bounds to a bench. It returns the printed report, and the error with which the
+// command would end.
+func finishWithBounds(t *testing.T, b *Bench) (string, error) {
 	require.NoError(t, b.Fit())
 	require.NoError(t, b.AddCapacityBounds())
 	var out strings.Builder
@@ -50,9 +51,9 @@
 	return out.String(), err
 }
 
-// A report that meets all bounds is no error. Each metric that is too high is an error that names the bound.
+// A report that meets all bounds gives no error. A metric that is too high gives an error that names the bound.
 func TestMissedBoundsAreReported(t *testing.T) {
-	text, err := judge(t, benchWithinBounds())
+	text, err := finishWithBounds(t, benchWithinBounds())
 	require.NoError(t, err, text)
 	for metric, want := range map[string]string{
 		metricIdleCPU:       "processor time for control, ordinary day",
@@ -70,7 +71,7 @@
 				}
 			}
 		}
-		text, err := judge(t, b)
+		text, err := finishWithBounds(t, b)
 		require.ErrorContains(t, err, want, metric)
 		require.Contains(t, text, "MISSED")
 	}
@@ -86,7 +87,7 @@
 			}
 		}
 	}
-	_, err := judge(t, b)
+	_, err := finishWithBounds(t, b)
 	require.ErrorContains(t, err, "hollow dispatchers differ from real ones: processor time of a change")
 }
 
@@ -101,10 +102,10 @@
 		b := benchWithinBounds()
 		b.Calibration = &Calibration{cpuTimes: []time.Duration{time.Millisecond}, wallTimes: []time.Duration{c.wall}}
 		b.AddBound(slow)
-		_, err := judge(t, b)
+		_, err := finishWithBounds(t, b)
 		require.ErrorContains(t, err, c.want)
 		b.AddBound(Bound{Name: "lost", Value: 1})
-		_, err = judge(t, b)
+		_, err = finishWithBounds(t, b)
 		require.ErrorContains(t, err, "were missed: ")
 		require.Contains(t, strings.Split(strings.Split(err.Error(), ": ")[1], "(machine")[0], "lost")
 	}
@@ -129,7 +130,7 @@
 	require.EqualValues(t, 7, back.Seed)
 }
 
-// A metric that was not measured is an error; it does not count as 0.
+// A metric that was not measured gives an error; it does not count as 0.
 func TestUnmeasured(t *testing.T) {
 	b := benchWithinBounds()
 	b.Series = slices.DeleteFunc(b.Series, func(s *Series) bool {
--- a/internal/lab/scale/configuration.go
+++ b/internal/lab/scale/configuration.go
@@ -27,18 +27,19 @@
 	IsSequential() bool
 	// Sizes returns the numbers of instances to measure with; realDispatchers is one of them.
 	Sizes(quick bool) []int
-	// Revision returns the number of the revision in force at an instance.
+	// Revision returns the number of the revision that an instance has applied.
 	Revision(ctx context.Context, instance int) (uint64, error)
 	// Process returns the process of an instance, so that it can be frozen.
 	Process(instance int) *program.Process
 	Close()
 }
 
-// Configuration measures distributors.
-type Configuration struct{ Distributors []Distributor }
+// ConfigurationMeasurement measures how long distributors take to bring a change of the configuration to all instances,
+// also while one instance is frozen, and what a change costs an instance.
+type ConfigurationMeasurement struct{ Distributors []Distributor }
 
 const (
-	distributionLimit    = 4 * time.Second        // within which a change must be in force everywhere
+	distributionLimit    = 4 * time.Second        // within which all instances must have applied a change
 	applyTimeout         = 10 * time.Second       // the default of topazctl
 	revisionPollInterval = 10 * time.Millisecond  // between two requests for the revision of an instance
 	revisionTimeout      = 200 * time.Millisecond // of such a request to an instance that may be unreachable
@@ -51,10 +52,10 @@
 )
 
 // Name implements Measurement.
-func (Configuration) Name() string { return "a change of configuration at all instances" }
+func (ConfigurationMeasurement) Name() string { return "a change of configuration at all instances" }
 
 // Measure implements Measurement.
-func (c Configuration) Measure(ctx context.Context, b *Bench) error {
+func (c ConfigurationMeasurement) Measure(ctx context.Context, b *Bench) error {
 	dir, err := os.MkdirTemp("", "topazlab-saves")
 	if err != nil {
 		return err
@@ -81,7 +82,7 @@
 }
 
 // measureAll measures each distributor at each of its sizes.
-func (c Configuration) measureAll(ctx context.Context, b *Bench) error {
+func (c ConfigurationMeasurement) measureAll(ctx context.Context, b *Bench) error {
 	for _, distributor := range c.Distributors {
 		for _, instances := range distributor.Sizes(b.Quick) {
 			if err := c.measureDistributor(ctx, b, distributor, instances); err != nil {
@@ -94,7 +95,8 @@
 
 // measureDistributor measures one distributor with the given number of instances. With fewer than realDispatchers it
 // measures only the time that changes take.
-func (c Configuration) measureDistributor(ctx context.Context, b *Bench, distributor Distributor, instances int) error {
+func (c ConfigurationMeasurement) measureDistributor(ctx context.Context, b *Bench, distributor Distributor,
+	instances int) error {
 	dir, err := os.MkdirTemp("", "topazlab-scale")
 	if err != nil {
 		return err
@@ -125,9 +127,9 @@
 // instanceRange is the instances from index first up to, but not including, index instances.
 type instanceRange struct{ first, instances int }
 
-// measureChanges distributes some changes, one after the other, and measures the time until each is in force at all
-// target instances. It returns the last revision and the longest time in seconds.
-func (Configuration) measureChanges(ctx context.Context, b *Bench, distributor Distributor, metric string,
+// measureChanges distributes some changes, one after the other, and measures the time until all target instances
+// have applied each of them. It returns the last revision and the longest time in seconds.
+func (ConfigurationMeasurement) measureChanges(ctx context.Context, b *Bench, distributor Distributor, metric string,
 	revision uint64, targets instanceRange) (uint64, float64, error) {
 	slowest := 0.0
 	for range pick(b, 5, 20) {
@@ -146,10 +148,10 @@
 	return revision, slowest, nil
 }
 
-// measureSequentialRounds measures the time until a change is in force at sizeDispatchers instances, where only a few
-// run: it distributes changes to these until it has made as many calls, one after the other.
-func (Configuration) measureSequentialRounds(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
-	instances int) (uint64, error) {
+// measureSequentialRounds measures the time that a change to sizeDispatchers instances takes, although fewer instances
+// run: it distributes several changes to those that run, so that the number of calls, one after the other, is the same.
+func (ConfigurationMeasurement) measureSequentialRounds(ctx context.Context, b *Bench, distributor Distributor,
+	revision uint64, instances int) (uint64, error) {
 	start := time.Now()
 	for range sizeDispatchers / instances {
 		revision++
@@ -184,8 +186,8 @@
 // measureOneFrozen freezes the first instance and counts the others that lack a change after the limit. If none does,
 // it measures further changes at the others, and then how long the first instance takes to catch up after it was
 // thawed.
-func (c Configuration) measureOneFrozen(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
-	instances int) error {
+func (c ConfigurationMeasurement) measureOneFrozen(ctx context.Context, b *Bench, distributor Distributor,
+	revision uint64, instances int) error {
 	if err := distributor.Process(0).Freeze(); err != nil {
 		return err
 	}
@@ -220,8 +222,8 @@
 	return nil
 }
 
-// missingAfterLimit distributes a change and counts the instances, other than the first, that lack it when it must be
-// in force.
+// missingAfterLimit distributes a change and counts the instances, other than the first, that lack it after
+// distributionLimit.
 func missingAfterLimit(ctx context.Context, distributor Distributor, revision uint64,
 	instances int) (missing int, err error) {
 	start := time.Now()
@@ -255,7 +257,7 @@
 // Name implements Distributor.
 func (s *SerialApply) Name() string { return "one Apply after the other" }
 
-// IsSequential implements Distributor.
+// IsSequential implements Distributor. It returns true: the agents are called one after the other.
 func (s *SerialApply) IsSequential() bool { return true }
 
 // Sizes implements Distributor.
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// If the noise hides the curve, the linear model is rejected in few cases only.
+// Strong noise on points of linear growth does not look like a curve: the linear model is rejected for at most 5 of 100
+// series.
 func TestNoisyLineIsNotRejected(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(100) {
@@ -76,7 +77,7 @@
 	require.Equal(t, 100, growing)
 }
 
-// Exact data gives the exact line. Points that cannot be fitted are an error.
+// Points without noise give the exact line. Points that cannot be fitted give an error.
 func TestRegress(t *testing.T) {
 	f, err := Regress([]Point{{1, 3}, {2, 5}, {3, 7}, {10, 21}, {12, 25}})
 	require.NoError(t, err)
--- a/internal/lab/scale/installation.go
+++ b/internal/lab/scale/installation.go
@@ -18,13 +18,13 @@
 // Setup describes an installation.
 type Setup struct {
 	Workers     int
-	Dispatchers int // sharing the fleet, by the settings; those that do not run are as silent as simulated ones
+	Dispatchers int // that share the fleet according to the settings; those not started cause no traffic
 	Real        int // processes of the program
 	Simulated   int // simulated dispatchers
 	PerProcess  int // simulated dispatchers in one process
 	Teams       int
 	LiveWeights bool
-	Draining    bool // all workers drain, so that they cost what a list costs and get no requests
+	Draining    bool // all workers are listed as draining: dispatchers hold the list, but send no requests
 }
 
 // Programs are the programs that an installation is started from.
@@ -36,7 +36,7 @@
 const (
 	regions        = 4
 	zonesPerRegion = 3                // in each region
-	workerCores    = 4                // of a worker; they are its weight
+	workerCores    = 4                // of a worker, which are its weight
 	workersPerRack = 16               // consecutive ones on the list
 	loadTimeout    = 60 * time.Second // within which all dispatchers must have loaded the list
 	settleTime     = 1 * time.Second  // after which the work that loading left behind counts as finished
--- a/internal/lab/scale/instance_usage.go
+++ b/internal/lab/scale/instance_usage.go
@@ -72,7 +72,7 @@
 
 // measureCost measures what a change costs the first instance, beyond what it uses while nothing changes. No instance
 // is polled for its revision meanwhile. It returns the last revision.
-func (Configuration) measureCost(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
+func (ConfigurationMeasurement) measureCost(ctx context.Context, b *Bench, distributor Distributor, revision uint64,
 	instances int) (uint64, error) {
 	p, x := distributor.Process(0), float64(instances)
 	const length = changesInWindow*changeInterval + settleTime
--- a/internal/lab/scale/losses.go
+++ b/internal/lab/scale/losses.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// measureLoss sends requests and kills the first workers meanwhile, as many as dead says. It adds the shares of
-// requests without a result and of late ones, and the time from the loss to the last late one.
+// measureLoss sends requests, and meanwhile kills the given number of workers. It adds the shares of requests without a
+// result and of late ones, and the time from the loss to the last late one.
 func (WorkerLosses) measureLoss(ctx context.Context, b *Bench, s *servingFleet, dead int) error {
 	lossAt := pick(b, time.Second, 2*time.Second)
 	killTimer := time.AfterFunc(lossAt, func() { s.kill(dead) })
--- a/internal/lab/scale/model.go
+++ b/internal/lab/scale/model.go
@@ -8,7 +8,8 @@
 	"topazfall/internal/lab/configmodel"
 )
 
-// sourceModel marks metrics from a simulation in virtual time, with an assumed network. Nothing of them is measured.
+// sourceModel marks metrics from a simulation in virtual time, with an assumed network; they are not measurements of
+// processes.
 const sourceModel = "model in virtual time"
 
 // Scenarios of the model, named as in configmodel, and metrics.
@@ -19,7 +20,8 @@
 	metricModelBytes        = "bytes a second of a dispatcher on the links, 5,200 changes a day"
 )
 
-// ConfigurationModel simulates the decisions of one roster at a size that no machine here can hold as processes.
+// ConfigurationModel simulates how the instances of one roster distribute changes, for more instances than one machine
+// can run as processes.
 type ConfigurationModel struct{}
 
 // Name implements Measurement.
@@ -27,7 +29,7 @@
 
 // Measure implements Measurement.
 func (ConfigurationModel) Measure(ctx context.Context, b *Bench) error {
-	day, err := playScenario(b, scenarioDay)
+	day, err := runScenario(b, scenarioDay)
 	if err != nil {
 		return err
 	}
@@ -37,7 +39,7 @@
 		Max: maxDistributionSeconds, Unit: "s"})
 	b.AddBound(Bound{Name: "model, 300 dispatchers: reachable dispatchers and changes later than 4 s",
 		Value: (1 - day.Within4s) * toPercent, Max: 0.1, Unit: "%"})
-	quiet, err := playScenario(b, scenarioQuiet)
+	quiet, err := runScenario(b, scenarioQuiet)
 	if err != nil {
 		return err
 	}
@@ -47,8 +49,8 @@
 	return ctx.Err()
 }
 
-// playScenario runs the scenario of this name in the model with sizeDispatchers dispatchers.
-func playScenario(b *Bench, name string) (configmodel.Result, error) {
+// runScenario runs the scenario of this name in the model with sizeDispatchers dispatchers.
+func runScenario(b *Bench, name string) (configmodel.Result, error) {
 	all := configmodel.Scenarios()
 	i := slices.IndexFunc(all, func(s configmodel.Scenario) bool { return s.Name == name })
 	if i < 0 {
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -47,8 +47,8 @@
 
 const (
 	valuesPerPoint = 5                     // measured values at each position of an axis
-	minSampleTime  = 20 * time.Millisecond // least processor time that a value is measured over
-	requestMicros  = 200_000               // time that a request runs, in microseconds
+	minSampleTime  = 20 * time.Millisecond // minimum processor time over which a value is measured
+	requestMicros  = 200_000               // time that a request takes at a worker, in microseconds
 )
 
 // Measure implements Measurement.
--- a/internal/lab/scale/quotas.go
+++ b/internal/lab/scale/quotas.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// reloadAndWait makes a process reload its configuration and returns the time until the new one is in force.
+// reloadAndWait makes a process reload its configuration and returns the time until that is applied.
 func reloadAndWait(ctx context.Context, p *program.Process) (time.Duration, error) {
 	appliedCount := func() (float64, error) {
 		f, err := p.Metrics()
--- a/internal/lab/scale/roster.go
+++ b/internal/lab/scale/roster.go
@@ -44,7 +44,7 @@
 // Name implements Distributor.
 func (s *SharedRoster) Name() string { return "one Apply at an origin of a roster" }
 
-// IsSequential implements Distributor.
+// IsSequential implements Distributor. It returns false: the instances pass a change on to several others at once.
 func (s *SharedRoster) IsSequential() bool { return false }
 
 // Sizes implements Distributor. A quick run has time only for the size at which distributors are compared.
--- a/internal/lab/scale/roster_test.go
+++ b/internal/lab/scale/roster_test.go
@@ -26,8 +26,8 @@
 	return instance.Run(agent.New(o))
 }
 
-// A change that one origin applies is in force at every instance within 4 s, also while one instance is frozen; that
-// one catches up after it is thawed. The usage of the first instance is measured.
+// Every instance applies a change at one origin within 4 s. So do all others while one instance is frozen, and that one
+// catches up after it is thawed. The usage of the first instance is measured.
 func TestSharedRoster(t *testing.T) {
 	t.Setenv(roleEnv, "agent")
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -35,7 +35,7 @@
 	b := NewBench(Options{Agent: os.Args[0], Quick: true, Seed: 1}, &strings.Builder{})
 	distributor := &SharedRoster{}
 	start := time.Now()
-	err := Configuration{}.measureDistributor(ctx, b, distributor, realDispatchers)
+	err := ConfigurationMeasurement{}.measureDistributor(ctx, b, distributor, realDispatchers)
 	t.Logf("took %v, bounds %v", time.Since(start), b.Bounds)
 	for _, s := range b.Series {
 		t.Log(s.Metric, s.Unit, s.Points)
@@ -122,7 +122,7 @@
 		require.Contains(t, bound.Name, "model, 300 dispatchers: ")
 		require.Positive(t, bound.Max)
 	}
-	_, err := playScenario(b, "no such")
+	_, err := runScenario(b, "no such")
 	require.ErrorContains(t, err, `no scenario "no such"`)
 }
 
--- a/internal/lab/scale/saves.go
+++ b/internal/lab/scale/saves.go
@@ -8,8 +8,9 @@
 	"topazfall/internal/snapshot"
 )
 
-// metricSave is how long the machine takes to save a small file in the way that agents do, while distributors are
-// measured: each change waits for some saves one after the other, and other processes use the disk too.
+// metricSave names the metric of how long the machine takes to save a small file in the way that agents do. It is
+// measured beside the distributors, because each change waits for several such saves in sequence, and other processes
+// use the disk too.
 const metricSave = "time of a save of a small file, while changes are carried"
 
 const saveInterval = 100 * time.Millisecond
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -20,7 +20,7 @@
 func Measurements() []Measurement {
 	return []Measurement{DecisionModule{}, Workers{}, Dispatchers{}, ChangeRates{}, Quotas{}, RegionCuts{},
 		WorkerLosses{}, UrgentStarts{},
-		Configuration{Distributors: []Distributor{&SerialApply{}, &SharedRoster{}}}, ConfigurationModel{}}
+		ConfigurationMeasurement{Distributors: []Distributor{&SerialApply{}, &SharedRoster{}}}, ConfigurationModel{}}
 }
 
 // Time limits of a run, after which it ends with an error: a few times what a run takes on a busy machine.
--- a/internal/lab/scale/urgent.go
+++ b/internal/lab/scale/urgent.go
@@ -9,8 +9,8 @@
 	"topazfall/internal/lab/host"
 )
 
-// UrgentStarts measures how soon jobs start at a worker, with real dispatchers that hold a list of full size while it
-// changes.
+// UrgentStarts measures how soon jobs start at a worker (the start of urgent work, in reports), with real dispatchers
+// that hold a list of full size while it changes.
 type UrgentStarts struct{}
 
 const (
--- a/internal/lab/scale/window.go
+++ b/internal/lab/scale/window.go
@@ -62,8 +62,8 @@
 	return w, nil
 }
 
-// Minimum sizes in bytes of a response of discovery, which show that a change was sent to all dispatchers, and the time
-// limit for that.
+// Minimum sizes in bytes of the parts of a response of discovery, by which ChangeAndAwait detects that a change was
+// sent to all dispatchers, and the time limit for that.
 const (
 	minResponseHead  = 110
 	minResponseEntry = 130
--- a/internal/lab/soak/actions.go
+++ b/internal/lab/soak/actions.go
@@ -92,7 +92,8 @@
 	time.Sleep(thawTime)
 }
 
-// sendSignal calls send, which signals the process. The process is frozen meanwhile if the step says so.
+// sendSignal calls send, which signals the process. If FreezeOnSignal is set, the process is frozen
+// meanwhile.
 func (s ProcessStep) sendSignal(p *program.Process, send func()) {
 	if s.FreezeOnSignal {
 		whileFrozen(p, send)
@@ -164,7 +165,7 @@
 	return m.startProcess(false)
 }
 
-// awaitExit waits for a terminated process to exit, and kills it at the earliest time.
+// awaitExit waits for a terminated process to exit, and kills it if it has not exited killTime after SIGTERM.
 func (m *member) awaitExit(p *program.Process) {
 	terminated := time.Time{}
 	m.updateRecord(p, func(r *ProcessRecord, _ time.Time) { terminated = r.Terminated })
@@ -205,7 +206,7 @@
 	return ""
 }
 
-// replace starts one or two successors of a process, as the action says, and terminates all but the last.
+// replace starts one successor of a process, or two for ReplaceTwice, and terminates all processes but the last.
 func (m *member) replace(p *program.Process, s ProcessStep) error {
 	var exits sync.WaitGroup
 	terminate := func(p *program.Process) {
--- a/internal/lab/soak/audit.go
+++ b/internal/lab/soak/audit.go
@@ -10,10 +10,10 @@
 	"topazfall/internal/lab/client"
 )
 
-// The bounds from the operators' pages.
+// The bounds of the operators' rules.
 const (
 	wireSlack            = 50 * time.Millisecond  // added to every time limit, as times are taken on sockets
-	answerGrace          = 500 * time.Millisecond // past its timeout a request earns nothing; past this too it is lost
+	answerGrace          = 500 * time.Millisecond // after a timeout; an answer then earns nothing, a later one is lost
 	departureBound       = 100 * time.Millisecond // from a client's close until no attempt may begin any more
 	timeoutSlack         = 150 * time.Millisecond // by which the timeout of an attempt may exceed the time left
 	errorDeadline        = 3 * time.Second        // for the error or close after a client violated the protocol
@@ -22,7 +22,7 @@
 	successorListBound   = 2 * time.Second        // the same after a successor is ready
 	readyBoundP90        = 10 * time.Second       // start time of nine processes in ten
 	readyBoundMax        = 30 * time.Second       // start time of every process
-	lateArrivalAfterTerm = 700 * time.Millisecond // after SIGTERM; a later request that the kill ends is lost
+	lateArrivalAfterTerm = 700 * time.Millisecond // after SIGTERM; a request sent later and ended by the kill is lost
 	killDetectionTime    = 500 * time.Millisecond // from a kill until clients have noticed it
 )
 
@@ -32,7 +32,7 @@
 // The rules.
 const (
 	RuleLost      Rule = "lost"      // a request without exactly one final answer in time
-	RuleClosed    Rule = "closed"    // a request that was read, but its connection was closed without an answer
+	RuleClosed    Rule = "closed"    // a request that was read and whose connection was closed without an answer
 	RuleDuplicate Rule = "duplicate" // an attempt that the class does not allow, or while another one may be running
 	RuleRefused   Rule = "refused"   // a refusal of a request that may have run and must run at most once
 	RuleInvented  Rule = "invented"  // an answer that no worker sent, or an attempt for a request that no client sent
@@ -149,9 +149,9 @@
 	}
 }
 
-// isLostToKill reports whether a request has no answer because its process was killed, which is no violation. A request
-// that was sent more than lateArrivalAfterTerm after SIGTERM is an exception: if the planned kill ends it, it counts as
-// lost. Earlier requests had their full time before the kill.
+// isLostToKill reports whether a request has no answer because its process was killed, which is no violation. It
+// returns false for a request that was sent more than lateArrivalAfterTerm after SIGTERM and ended by the planned kill.
+// A request that was sent earlier had its full timeout before that kill.
 func (a *auditor) isLostToKill(r Request) bool {
 	return r.Outcome != client.Answered && slices.ContainsFunc(a.Processes, func(p ProcessRecord) bool {
 		planned := !p.Terminated.IsZero() && p.Killed.After(p.Terminated)
@@ -341,7 +341,8 @@
 	}
 }
 
-// eventWindow is the time after a violation in which other events are listed; before it, four times as long.
+// eventWindow is how long after a violation other events are listed with it. Before the violation, the events of four
+// times this length are listed.
 const eventWindow = time.Second
 
 // eventsNear describes the events of a request, and those of its dispatcher's processes, the worker list and discovery
--- a/internal/lab/soak/audit_test.go
+++ b/internal/lab/soak/audit_test.go
@@ -140,18 +140,18 @@
 		t.Run(name, func(t *testing.T) {
 			h := validHistory()
 			plant.fault(h)
-			breaks := Audit(h)
-			require.Len(t, breaks, 1, "%+v", breaks)
-			require.Equal(t, plant.rule, breaks[0].Rule)
-			require.Equal(t, plant.id, breaks[0].ID)
+			violations := Audit(h)
+			require.Len(t, violations, 1, "%+v", violations)
+			require.Equal(t, plant.rule, violations[0].Rule)
+			require.Equal(t, plant.id, violations[0].ID)
 			if plant.id != "" {
-				require.NotEmpty(t, breaks[0].Events)
+				require.NotEmpty(t, violations[0].Events)
 			}
 		})
 	}
 }
 
-// Values just within the bounds of the operators' pages are no violations.
+// Values just within the bounds of the operators' rules are not violations.
 func TestAuditAllowsValuesWithinBounds(t *testing.T) {
 	for name, change := range map[string]func(h *History){
 		"an answer 0.54 s after its timeout": func(h *History) {
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -13,14 +13,14 @@
 	connectTimeout = time.Second
 	reconnectDelay = 50 * time.Millisecond // until a client that could not connect retries
 	extraReadTime  = time.Second           // for which a client still reads after the request's timeout
-	shortWaitOneIn = 10                    // one request in so many has a very short timeout
+	shortWaitOneIn = 10                    // one request in this many has a very short timeout
 	minShortWait   = 5 * time.Millisecond
 	maxShortWait   = 60 * time.Millisecond
-	longPauseOneIn = 20 // one pause in so many is long
+	longPauseOneIn = 20 // one pause in this many is long
 	maxLongPause   = 3 * time.Second
 )
 
-// loadClient is one client of a dispatcher. It reuses its connection for as long as that is open.
+// loadClient is one client of a dispatcher. It reuses its connection until that is closed.
 type loadClient struct {
 	*member
 	generator
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -36,7 +36,7 @@
 
 // The actions. A fresh start is a start without a predecessor that hands over.
 const (
-	Terminate              Action = iota // SIGTERM, a kill at the earliest time if it still runs, a fresh start
+	Terminate              Action = iota // SIGTERM, a kill after killTime if it still runs, a fresh start
 	TerminateTwice                       // the same with a second SIGTERM
 	HangupThenTerminate                  // SIGHUP just before SIGTERM
 	TerminateThenHangup                  // SIGHUP just after SIGTERM
@@ -85,7 +85,7 @@
 const (
 	DrainWorker          Disruption = iota // the worker is listed as draining
 	RestartWorker                          // it is removed from the list, crashes, and comes back later
-	FaultyWorker                           // it behaves as WorkerStep.Fault says
+	FaultyWorker                           // it has the fault WorkerStep.Fault
 	CloseIdleConnections                   // it closes or resets its idle connections
 )
 
@@ -110,7 +110,7 @@
 	minWorkers, maxWorkers     = 4, 8
 	minClients, maxClients     = 3, 6
 	minRunLength, maxRunLength = 20 * time.Second, 60 * time.Second
-	idleClientsOneIn           = 4   // one run in so many has idle clients
+	idleClientsOneIn           = 4   // one run in this many has idle clients
 	idleClientsMaxSockets      = 256 // sockets limit of a process, which the idle clients exhaust
 	idleClientCount            = 300
 	defaultMaxSockets          = 1024
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -17,7 +17,7 @@
 	"topazfall/internal/lab/report"
 )
 
-// Options say which runs are made.
+// Options are the settings of Run.
 type Options struct {
 	ProgramPath string        // path of the dispatcher
 	Env         []string      // added to the environment of the dispatchers
@@ -166,7 +166,7 @@
 	return &inst.history, err
 }
 
-// execute runs all steps and clients of the plan, and then ends the installation in good order.
+// execute runs all steps and clients of the plan, and then finish.
 func (inst *installation) execute(ctx context.Context) error {
 	stepsContext, cancelSteps := context.WithTimeout(ctx, inst.plan.Length)
 	defer cancelSteps()
@@ -227,12 +227,13 @@
 }
 
 const (
-	settleTimeout      = 10 * time.Second // for unused connections to be closed
+	settleTimeout      = 10 * time.Second // limit for processes to close their connections and finish their requests
 	settlePollInterval = 50 * time.Millisecond
 	allowedExtra       = 3 // descriptors, and goroutines, beyond those of a process that was never used
 )
 
-// finish records what the processes still hold after all clients have disconnected, and ends them.
+// finish records the descriptors, unfinished requests and goroutines that the processes still have after all clients
+// have disconnected, and ends the processes.
 func (inst *installation) finish() error {
 	if inst.idleClients != nil {
 		inst.idleClients.Stop()
@@ -257,8 +258,8 @@
 	return nil
 }
 
-// awaitRelease waits until a process holds no more descriptors than one that was never used and has no unfinished
-// request, and records what it holds at the end of the wait.
+// awaitRelease waits until a process has no unfinished request and no more open descriptors than one that was never
+// used plus allowedExtra, or until settleTimeout has passed. It records how many of both the process then has.
 func (m *member) awaitRelease() {
 	p := m.rig.Process(m.name)
 	leftover := Leftover{Process: m.name, AllowedDescriptors: m.unusedDescriptors + allowedExtra}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -38,9 +38,9 @@
 	var output bytes.Buffer
 	r, err := Run(context.Background(), options(t), &output)
 	require.NoError(t, err)
-	for _, bar := range r.Bounds {
-		if !bar.IsMet() {
-			t.Errorf("%s: %v", bar.Name, bar.Value)
+	for _, bound := range r.Bounds {
+		if !bound.IsMet() {
+			t.Errorf("%s: %v", bound.Name, bound.Value)
 		}
 	}
 	require.NotZero(t, r.Rows[0]["served"])
@@ -80,11 +80,11 @@
 			}
 		}
 	}
-	for act := range actionCount {
-		require.NotZero(t, seen[act], act)
+	for action := range actionCount {
+		require.NotZero(t, seen[action], action)
 	}
-	for _, trouble := range []Disruption{DrainWorker, RestartWorker, FaultyWorker, CloseIdleConnections} {
-		require.NotZero(t, seen[trouble], trouble)
+	for _, disruption := range []Disruption{DrainWorker, RestartWorker, FaultyWorker, CloseIdleConnections} {
+		require.NotZero(t, seen[disruption], disruption)
 	}
 	for _, what := range []string{"joint", "crowd", "asked", "whole", "window"} {
 		require.NotZero(t, seen[what], what)
