--- a/internal/instance/handover.go
+++ b/internal/instance/handover.go
@@ -68,7 +68,7 @@
 }
 
 // errReplacedByAnother means that the predecessor has been replaced by another process in the meantime.
-var errReplacedByAnother = errors.New("another process has replaced the predecessor")
+var errReplacedByAnother = errors.New("another process takes the predecessor's place")
 
 // replacePredecessor notifies the predecessor that this process accepts connections from now on. It returns when the
 // predecessor has sent its limits or closed the link, or after limitsTimeout. It is an error if the predecessor has
--- a/internal/upstream/route.go
+++ b/internal/upstream/route.go
@@ -113,7 +113,7 @@
 }
 
 // errNoAddress is returned when no connection to any address of a host could be opened.
-var errNoAddress = errors.New("no address of the host could be connected to")
+var errNoAddress = errors.New("no address could be connected to")
 
 // errClosedEarly is returned for a new connection that was closed before anything was written to it.
 var errClosedEarly = errors.New("connection was closed right after it was opened")
