--- a/balancer_test.go
+++ b/balancer_test.go
@@ -174,7 +174,7 @@
 		s.LiveWeights = true
 		setWeights(ws, 5)
 		r := newRig(t, s, ws...)
-		setWeights(ws, 5/(1+1./5)) // one job less shows the number of cores
+		setWeights(ws, 5/(1+1./5)) // with one job the weight is lower, which shows the number of cores
 		r.handle(Event{Kind: ListPatch, List: ws})
 		requests, hedges := 40, 0
 		for range requests {
--- a/coldramp_test.go
+++ b/coldramp_test.go
@@ -104,7 +104,7 @@
 }
 
 // A worker that has just started has no jobs, and must look free where no list gives its load: the load of the other
-// workers says nothing of it.
+// workers tells nothing about its own.
 func TestRestartedWorkerLooksFree(t *testing.T) {
 	s := settings()
 	s.Dispatchers = 1
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -136,7 +136,9 @@
 	}
 }
 
-// Jobs that are lost with their workers must not raise the loss by which other jobs are refused as too late.
+// Jobs that fail because their workers broke down must not count as late. lateLoss is the average share of a job's
+// worth that late answers have cost recently; if it rises, further jobs are refused as too late. A timeout does count
+// as late.
 func TestBrokenWorkersDoNotRaiseLateLoss(t *testing.T) {
 	for o, want := range map[Outcome]bool{ConnectionLost: false, ConnectionRefused: false, TimedOut: true} {
 		r := newRig(t, settings(), fleet(6)...)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -98,7 +98,8 @@
 	return nil
 }
 
-// ParseSettings parses a settings object, as it stands in an ENLIST line or a configuration file.
+// ParseSettings parses a settings object, which comes from a configuration file or from an ENLIST line, by which the
+// bench starts an instance of the decision module. seed seeds the random numbers of the instance.
 func ParseSettings(seed uint64, text []byte) (topazfall.Settings, error) {
 	var p SettingsObject
 	if err := jsoniter.Unmarshal(text, &p); err != nil {
--- a/internal/decide/addresses/set.go
+++ b/internal/decide/addresses/set.go
@@ -177,7 +177,8 @@
 }
 
 // ranked returns the addresses for a request in the order in which they are tried. Those in backoff come last, sorted
-// by the end of their backoff.
+// by the end of their backoff. once is set if the request must not run twice; addresses that are barred for such
+// requests are then left out.
 func (s *Set) ranked(now int64, once bool) (list []*addressStatus) {
 	for _, b := range s.statuses {
 		if _, ok := b.rank(now, once); ok {
--- a/internal/decide/ownership/ownership.go
+++ b/internal/decide/ownership/ownership.go
@@ -65,8 +65,9 @@
 	Node   Node
 }
 
-// Compare orders epochs by number, and epochs of the same number by node. Epochs of number 1 are equal: there was no
-// promise, and of several owners that take a message at the same time at most one gets a quorum.
+// Compare orders epochs by number, and epochs of the same number by node. Epochs of number 1 are equal, whatever their
+// nodes: an owner in epoch 1 writes without asking the replicas for a promise first, so several may take a message at
+// the same time. None of them replaces another, and at most one gets a quorum.
 func (e Epoch) Compare(other Epoch) int {
 	if e.Number == 1 && other.Number == 1 {
 		return 0
--- a/internal/decide/refresh/fleet_test.go
+++ b/internal/decide/refresh/fleet_test.go
@@ -127,7 +127,7 @@
 	if wait == 0 {
 		f.opened[f.now.Truncate(second)]++
 	}
-	if f.isSilent(f.now) { // also later: a service that returns answers new calls only
+	if f.isSilent(f.now) { // this call is never answered: once discovery is back, it answers new calls only
 		return
 	}
 	const roundTrip = 2 * time.Millisecond
--- a/internal/decide/refresh/refresh.go
+++ b/internal/decide/refresh/refresh.go
@@ -255,7 +255,9 @@
 	if s.reachable || !s.settings.Polled || result != Refused || s.settings.HoldOnRefusal {
 		return s.retryDelay(now, result, retryAfter)
 	}
-	// Discovery answers, so there is no need for haste, and nothing more shows before the next call.
+	// The call was answered, so the next one may wait and keeps to the call budget. A refusal does not show whether
+	// discovery could be reached, which the next call may show. Until that starts, no change counts as missed, so that
+	// the list does not become stale during the pause.
 	pause := s.budgetedDelay(now, retryAfter)
 	s.unreadSince = max(s.unreadSince, now+pause)
 	return pause
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -38,7 +38,9 @@
 			require.Equal(t, all[1], within[1], name)
 			continue
 		}
-		// The tenant beyond its share gets its share, and more in proportion as traffic exceeds all shares.
+		// A fifth of the messages of the tenant at five times its share lie within the share. The tolerance allows
+		// for more: a dispatcher that sees more traffic than its part of all quotas takes this for unevenly spread
+		// traffic, and raises the share of every tenant in proportion.
 		require.InDelta(t, 0.2, within[1]/all[1], 0.02+0.2*(s.rate/40/c.part-1), name)
 	}
 }
--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -97,7 +97,8 @@
 	require.Empty(t, events)
 }
 
-// The version changes twice while a retry waits: the retry brings both changes, well before the bound.
+// The version changes twice while a retry waits: the retry brings both changes before the list has reached the
+// staleness bound.
 func TestVersionChangesWhileARetryWaits(t *testing.T) {
 	t.Parallel()
 	server, w, events := startBoundedWatch(t, polledSettings(refresh.NotifiedAfter))
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -235,8 +235,8 @@
 	return pause
 }
 
-// pauseBeforeCall waits until the next call is due or requested. A move replaces the rest of the pause by the delay of
-// a first call.
+// pauseBeforeCall waits until the next call is due or requested. If the address of discovery changes, the delay before
+// the first call to the new address replaces the rest of the pause.
 func (w *Watch) pauseBeforeCall(pause time.Duration) {
 	if pause <= 0 {
 		return
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -115,8 +115,8 @@
 		"  {\"host\": %q, \"dial\": \"127.0.0.1:1\", \"health\": %q}\n ]\n}", seq, whole, host, health)
 }
 
-// pushedSettings are settings with pushed lists. The drain grace is long so that a slow machine is not taken for a
-// silent agent.
+// pushedSettings are settings with pushed lists. An agent counts as silent if its answer is late by a part of the drain
+// grace. The grace is long here, so that an agent on a slow machine does not count as silent.
 var pushedSettings = refresh.Settings{Dispatchers: 300, DrainGrace: 2 * time.Second, AskEvery: 10 * time.Second}
 
 func startWatch(t *testing.T, settings refresh.Settings, seq int) (*fakeServer, *Watch, recorder) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -62,7 +62,7 @@
 	FreshConnOnly bool
 	Relays        []*Relay    // in the order they were made; used by the dispatch goroutine alone
 	client        Client      // nil if the client cannot be checked
-	repeats       repeatGuard // of the attempts that may have run
+	repeats       repeatGuard // permits or forbids an attempt after others that may have run
 	finished      atomic.Bool
 	disconnected  atomic.Bool
 	answer        chan Answer
--- a/internal/instance/readiness_test.go
+++ b/internal/instance/readiness_test.go
@@ -10,7 +10,8 @@
 	"topazfall"
 )
 
-// A process is ready within 6 s after its address is available, including time for its own work.
+// A process is ready within 6 s after its listen address is free, or after the process that has the address answers.
+// readyBound is the sum of the waits; it must be less than that, which leaves time for the process's own work.
 func TestReadyBound(t *testing.T) {
 	require.Less(t, readyBound, 6*time.Second)
 	require.Less(t, stateTimeout+firstListTimeout, acceptTimeout,
--- a/internal/lab/scale/series.go
+++ b/internal/lab/scale/series.go
@@ -11,8 +11,9 @@
 	Metric string `json:"figure"`
 	Axis   string `json:"axis"`
 	Unit   string `json:"unit"`
-	// Source is what was measured: real or simulated ("hollow") dispatchers, the decision module alone ("module"), or
-	// all of them, the run itself or the model.
+	// Source is what was measured: real ("real") or simulated ("hollow") dispatchers, all dispatchers together ("all"),
+	// the decision module alone ("module"), or work outside of any dispatcher, such as the calibration loop ("run").
+	// Values that a simulation in virtual time computed have the source "model in virtual time".
 	Source string  `json:"source"`
 	Points []Point `json:"points"`
 	Fit    *Fit    `json:"fit"` // nil if there are too few points for a fit
--- a/internal/lab/soak/audit_test.go
+++ b/internal/lab/soak/audit_test.go
@@ -18,8 +18,9 @@
 // historyTime returns the time ms milliseconds after historyStart.
 func historyTime(ms int) time.Time { return historyStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// validHistory returns a history without violations: a lookup that two workers got one after the other, a report that
-// one worker got, a process that was terminated and another that started after it, and a drain.
+// validHistory returns a history without violations: a request of the lookup class that two workers received one after
+// the other, a request of the usage-report class that one worker received, a process that was terminated and another
+// that started after it, and a drain.
 func validHistory() *History {
 	h := &History{Terms: Terms{DrainGrace: drainGrace, Classes: []Class{{Name: program.Classes[0]},
 		{Name: program.Classes[1], Repeat: Keyed, Window: time.Second},
--- a/internal/upstream/route.go
+++ b/internal/upstream/route.go
@@ -30,7 +30,8 @@
 }
 
 // SetAddresses sets the addresses of a host. list is nil for a host that was removed, or that is reached by its single
-// dial address. Addresses that stay keep their connections and their state; calls under way on the others are finished.
+// dial address. Addresses that stay keep their connections and their state. Calls in progress on the others may still
+// complete.
 func (t *Transport) SetAddresses(hostID string, list []addresses.Address) {
 	t.mu.Lock()
 	rt := t.routes[hostID]
--- a/state.go
+++ b/state.go
@@ -139,7 +139,7 @@
 // Machines of a kind have the same size, which the idle ones show. Each job lowers the weight by its share of a core,
 // from which the number of cores follows.
 func (k *workerKind) inflightFromWeight(weight float64) float64 {
-	if weight > 1.02*k.size { // a larger machine: the cores seen until now are of another size
+	if weight > 1.02*k.size { // a larger machine: the number of cores was derived from a smaller size
 		k.size, k.cores = weight, 0
 	}
 	jobsPerCore := k.size/max(weight, 1e-9) - 1
--- a/topazfall.go
+++ b/topazfall.go
@@ -61,7 +61,8 @@
 	Quota float64 // rate limit in jobs a second, across all dispatchers
 }
 
-// Contract holds the parameters of the four rules that a dispatcher must keep.
+// Contract holds the limits that the service sets for a dispatcher: for final answers, for sends to workers that drain
+// or were removed, for queries of the worker list, and for the load of workers that have just started.
 type Contract struct {
 	AnswerSlack  int64   // how long after the client's deadline a final answer is still accepted
 	DrainGrace   int64   // sends to a draining or removed worker must stop within this time
