--- a/random_test.go
+++ b/random_test.go
@@ -7,7 +7,9 @@
 	"testing"
 )
 
-// checker checks the actions of a balancer against the four rules of the service. It shares no code with the balancer.
+// checker checks the actions of a balancer against the rules of the service: one final answer in time, no job run again
+// where its class forbids it, nothing sent to a worker that is not ready or not listed, and no more attempts than are
+// allowed. It shares no code with the balancer.
 type checker struct {
 	t        *testing.T
 	s        Settings
