--- a/internal/lab/discoveryserver/endpoint.go
+++ b/internal/lab/discoveryserver/endpoint.go
@@ -103,7 +103,9 @@
 		c.Conn.Close()
 		return 0, lost
 	}
+	// Counted before the write: whoever has received the bytes must find them in Traffic.
+	c.endpoint.bytesOut.Add(int64(len(p)))
 	n, err := c.Conn.Write(p)
-	c.endpoint.bytesOut.Add(int64(n))
+	c.endpoint.bytesOut.Add(int64(n - len(p)))
 	return n, err
 }
--- a/internal/lab/discoveryserver/endpoint_test.go
+++ b/internal/lab/discoveryserver/endpoint_test.go
@@ -1,6 +1,7 @@
 package discoveryserver
 
 import (
+	"net"
 	"testing"
 	"time"
 
@@ -51,6 +52,39 @@
 	require.NoError(t, err)
 }
 
+// peekingConn is a connection that takes 3 bytes at most, and notes what its endpoint has counted when they leave.
+type peekingConn struct {
+	net.Conn
+	endpoint *Endpoint
+	counted  int64
+}
+
+func (c *peekingConn) Write(p []byte) (int, error) {
+	c.counted = c.endpoint.Traffic().BytesOut
+	if len(p) > 3 {
+		return 3, net.ErrClosed
+	}
+	return len(p), nil
+}
+
+// Bytes are counted before the peer can receive them, and those that a broken connection did not take are not.
+func TestBytesAreCountedBeforeTheyLeave(t *testing.T) {
+	s, err := Start()
+	require.NoError(t, err)
+	defer s.Close()
+	e, err := s.AddEndpoint()
+	require.NoError(t, err)
+	defer e.Close()
+	wire := &peekingConn{endpoint: e}
+	conn := &countingConn{wire, e}
+	_, err = conn.Write([]byte("abc"))
+	require.NoError(t, err)
+	require.EqualValues(t, 3, wire.counted)
+	_, err = conn.Write([]byte("defgh"))
+	require.Error(t, err)
+	require.EqualValues(t, 6, e.Traffic().BytesOut)
+}
+
 // A change is in the next answer, whichever version the caller has: no cached answer of an earlier version is served.
 func TestAnswersFollowChanges(t *testing.T) {
 	s, err := Start()
