--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -49,7 +49,7 @@
 		SilenceUsage: true,
 	}
 	root.AddCommand(newAddressesCommand(), newDNSCommand(), newSettingsCommand(), newScaleCommand(),
-		newSimulatedCommand(), newSoakCommand())
+		newSimulatedCommand(), newSoakCommand(), newAdmissionCommand())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return soak.UsageError{Err: err} })
 	return root
 }
--- a/cmd/topazlab/soak.go
+++ b/cmd/topazlab/soak.go
@@ -30,7 +30,7 @@
 			if err := defaultToSibling(&o.ProgramPath, "topazfall"); err != nil {
 				return err
 			}
-			if err := checkWritable(jsonPath); err != nil {
+			if err := checkWritable(cmd.Name(), jsonPath); err != nil {
 				return err
 			}
 			r, err := soak.Run(cmd.Context(), o, cmd.ErrOrStderr())
@@ -51,14 +51,14 @@
 	return cmd
 }
 
-// checkWritable returns an error before a long run if its JSON file cannot be written at the end.
-func checkWritable(jsonPath string) error {
+// checkWritable returns an error before a long run of a command if its JSON file cannot be written at the end.
+func checkWritable(command, jsonPath string) error {
 	if jsonPath == "" {
 		return nil
 	}
 	file, err := os.OpenFile(jsonPath, os.O_WRONLY|os.O_CREATE, 0o644)
 	if err != nil {
-		return soak.UsageError{Err: fmt.Errorf("soak: the JSON file cannot be written: %w", err)}
+		return soak.UsageError{Err: fmt.Errorf("%s: the JSON file cannot be written: %w", command, err)}
 	}
 	return file.Close()
 }
