--- a/balancer.go
+++ b/balancer.go
@@ -153,37 +153,65 @@
 	return asked
 }
 
-// dispatch sends a request that has no outstanding attempt, or holds it for a moment if no worker may
-// take it. A held request always has a timer, so that its answer comes in time. Load shedding: a job is
-// refused if its expected value is below the price of late jobs, which is twice the share of the worth
-// that was recently lost by late answers (lateLoss), or if it is beyond its tenant's share and no worker
-// is free.
+// dispatch sends a request that has no outstanding attempt, rejects it, or holds it for a moment if no
+// worker may take it. A held request always has a timer, so that its answer comes in time.
 func (b *Balancer) dispatch(r *request) {
 	w := b.chooseWorker(r)
+	reason := b.rejectReason(r, w)
 	switch {
-	case b.now >= r.due || len(r.attempts) >= b.settings.Allowed.Attempts || b.isBarred(r, nil) ||
-		w == nil && b.cannotBeServed(r):
-		b.reject(r)
+	case reason != NotRejected:
+		b.reject(r, reason)
 	case w == nil:
 		b.scheduleRecheck(r, 4*b.startLag)
-	case b.mayRefuse(r) && (r.value < 0.5 && b.currentRegion(w) > 0 || 1-min(b.risk(r, w), 1) < 2*b.lateLoss):
-		// The price is twice the loss because a late job makes another one late. The loss decays slowly while
-		// jobs are refused because of it.
-		b.lateLoss -= b.lateLoss / 64
-		b.reject(r)
 	default:
 		b.send(r, w)
 	}
 }
 
-// cannotBeServed reports whether it is useless to hold a request that no worker may take now: all workers
+// rejectReason returns why a request is rejected rather than sent to w, or held if w is nil.
+func (b *Balancer) rejectReason(r *request, w *worker) RejectReason {
+	switch {
+	case b.now >= r.due:
+		return DeadlinePassed
+	case len(r.attempts) >= b.settings.Allowed.Attempts:
+		return AttemptsExhausted
+	case b.isBarred(r, nil):
+		return RepeatForbidden
+	case w == nil:
+		return b.reasonNotToHold(r)
+	case b.mayRefuse(r):
+		return b.shedReason(r, w)
+	default:
+		return NotRejected
+	}
+}
+
+// reasonNotToHold returns why it is useless to hold a request that no worker may take now: all workers
 // have been tried, or the aim would be missed in any case and a late answer is worth no more than what
 // was recently lost by late answers (lateLoss). The client is then answered at once and may retry.
-func (b *Balancer) cannotBeServed(r *request) bool {
-	lost := float64(r.aim-b.now) < r.hint && r.class.LateWorth <= b.lateLoss
-	return lost || len(r.attempts) > 0 && !slices.ContainsFunc(b.ranked, func(w *worker) bool {
-		return w.State == Ready && !r.hasTried(w) && (r.class.Kind == "" || r.class.Kind == w.Kind)
-	})
+func (b *Balancer) reasonNotToHold(r *request) RejectReason {
+	switch {
+	case len(r.attempts) > 0 && !b.hasUntriedWorker(r):
+		return AllWorkersTried
+	case float64(r.aim-b.now) < r.hint && r.class.LateWorth <= b.lateLoss:
+		return b.noWorkerReason(r)
+	default:
+		return NotRejected
+	}
+}
+
+// shedReason decides on load shedding: a job is refused if it is beyond its tenant's share and no worker is
+// free, or if its expected value at w is below the price of late jobs, which is twice the share of the worth
+// that was recently lost by late answers (lateLoss).
+func (b *Balancer) shedReason(r *request, w *worker) RejectReason {
+	switch {
+	case r.value < 0.5 && b.currentRegion(w) > 0:
+		return OverQuota
+	case 1-min(b.risk(r, w), 1) < 2*b.lateLoss:
+		return LateRisk
+	default:
+		return NotRejected
+	}
 }
 
 // send starts an attempt of a request at a worker.
@@ -224,7 +252,7 @@
 	case r.closed || e.Final || e.Outcome == Completed:
 		b.closeRequest(r)
 	case r.countAttempts(func(a *attempt) bool { return a.unusable }) > 1: // two workers found it invalid
-		b.emit(Action{Kind: Fail, Request: r.id})
+		b.emit(Action{Kind: Fail, Request: r.id, Reason: UnusableJob})
 		b.closeRequest(r)
 	case r.outstanding == 0:
 		b.dispatch(r)
@@ -255,11 +283,16 @@
 }
 
 // reject answers a request that is not served: with a refusal if a retry is harmless, else with a failure.
-func (b *Balancer) reject(r *request) {
+func (b *Balancer) reject(r *request, reason RejectReason) {
+	if reason == OverQuota || reason == LateRisk {
+		// The price is twice the loss because a late job makes another one late. The loss decays slowly while
+		// jobs are refused because of it.
+		b.lateLoss -= b.lateLoss / 64
+	}
 	if b.mayRefuse(r) {
-		b.emit(Action{Kind: Refuse, Request: r.id, After: b.retryAfter()})
+		b.emit(Action{Kind: Refuse, Request: r.id, After: b.retryAfter(), Reason: reason})
 	} else {
-		b.emit(Action{Kind: Fail, Request: r.id})
+		b.emit(Action{Kind: Fail, Request: r.id, Reason: reason})
 	}
 	b.closeRequest(r)
 }
@@ -325,7 +358,7 @@
 	w, isLate := newest.worker, float64(b.now-newest.sentAt) > newest.expectedWait+b.jobTime
 	switch {
 	case isLate && float64(r.aim-b.now)+r.hint < r.hint*w.pace && r.class.LateWorth < b.lateLoss:
-		b.reject(r)
+		b.reject(r, StartedLate)
 	case !b.settings.Allowed.HedgedRequests || r.class.Repeat == Unsafe || b.now <= newest.suspectAt ||
 		w.silentSince == 0 || w.silentSince > newest.sentAt || b.hedgeBudget < 1:
 	case r.outstanding > 1 && len(r.attempts) < b.settings.Allowed.Attempts:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -349,9 +349,11 @@
 	case topazfall.Send:
 		c.send(x, c.hosts[action.Worker], action)
 	case topazfall.Refuse:
+		c.metrics.CountRejection(action.Reason)
 		c.finish(x, exchange.Answer{Result: exchange.Refused, RetryAfter: action.After})
 		c.removeIfDone(x)
 	case topazfall.Fail:
+		c.metrics.CountRejection(action.Reason)
 		result := exchange.Failed
 		if x != nil && len(x.Relays) > 0 && x.Relays[len(x.Relays)-1].Outcome == topazfall.TimedOut {
 			result = exchange.TimedOut
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,6 +9,8 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+
+	"topazfall"
 )
 
 // JobResult is how a job ended for its client.
@@ -37,6 +39,8 @@
 	HasMultiAddress                                                          atomic.Bool
 	AddressOpened, AddressFailed, AddressMoves, AddressResets, AddressTrials atomic.Int64
 
+	rejections [topazfall.RejectReasonCount + 1]atomic.Int64 // by reason; the last counts unknown reasons
+
 	mu      sync.Mutex // held while classes or writers are added
 	writers []func(io.Writer)
 	classes atomic.Pointer[[]*class]
@@ -78,6 +82,30 @@
 	}
 }
 
+// CountRejection counts a request that the decision module refused or failed.
+func (m *Metrics) CountRejection(reason topazfall.RejectReason) {
+	if reason < 0 || int(reason) > topazfall.RejectReasonCount {
+		reason = topazfall.RejectReason(topazfall.RejectReasonCount)
+	}
+	m.rejections[reason].Add(1)
+}
+
+// writeRejections writes the counts by reason, from the first rejection for a reason on.
+func (m *Metrics) writeRejections(w io.Writer) {
+	typed := false
+	for reason := range m.rejections {
+		count := m.rejections[reason].Load()
+		if count == 0 {
+			continue
+		}
+		if !typed {
+			fmt.Fprintln(w, "# TYPE app_rejected_total counter")
+			typed = true
+		}
+		fmt.Fprintf(w, "app_rejected_total{reason=\"%s\"} %d\n", topazfall.RejectReason(reason), count)
+	}
+}
+
 // labelEscaper escapes exactly what the text format requires in a label's value.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
@@ -102,6 +130,7 @@
 	} {
 		v.write(w)
 	}
+	m.writeRejections(w)
 	if m.PeerMessages.Load() > 0 {
 		metric{"peer_words_total", "counter", &m.PeerMessages}.write(w)
 		metric{"peer_words_dropped_total", "counter", &m.PeerMessagesDropped}.write(w)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"topazfall"
 )
 
 // All classes start at 0. A removed class keeps its line and position, and a new class gets its own.
@@ -48,3 +50,20 @@
 app_sighup_rejected_total 0
 `, text.String())
 }
+
+// Rejections are counted by reason from the first one on. A reason that is none of the constants is counted as unknown.
+func TestRejectionsByReason(t *testing.T) {
+	m := &Metrics{}
+	m.CountRejection(topazfall.LateRisk)
+	m.CountRejection(topazfall.LateRisk)
+	m.CountRejection(topazfall.OverQuota)
+	m.CountRejection(-1)
+	m.CountRejection(1000)
+	var text strings.Builder
+	m.Write(&text)
+	require.Contains(t, text.String(), `# TYPE app_rejected_total counter
+app_rejected_total{reason="over_quota"} 1
+app_rejected_total{reason="late_risk"} 2
+app_rejected_total{reason="unknown"} 2
+`)
+}
--- a/topazfall.go
+++ b/topazfall.go
@@ -234,8 +234,8 @@
 // The kinds of actions, with the fields of Action that each one uses.
 const (
 	Send          ActionKind = iota // Request, Worker, After: the timeout, 0 for the client's deadline
-	Refuse                          // Request, After: the advised backoff, 0 for none
-	Fail                            // Request
+	Refuse                          // Request, After: the advised backoff, 0 for none, Reason
+	Fail                            // Request, Reason
 	CancelAttempt                   // Request, Attempt
 	SetTimer                        // After, Token
 	ProbeWorker                     // Worker
@@ -255,6 +255,7 @@
 	Worker  string
 	Attempt int
 	After   int64
+	Reason  RejectReason
 	Token   uint64
 	Peer    int // index of a dispatcher, or AllPeers
 	Data    []byte
