--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -82,7 +82,7 @@
 		fmt.Fprintln(w, "note:", note)
 	}
 	if file != "" {
-		body, err := jsoniter.MarshalIndent(r, "", "  ")
+		body, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(r, "", "  ")
 		if err == nil {
 			err = os.WriteFile(file, append(body, '\n'), 0o644)
 		}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -30,6 +30,19 @@
 	require.False(t, back.Bounds[1].IsMet())
 }
 
+// The same report is the same file to the byte: the values of a row are in the order of their names.
+func TestSameFile(t *testing.T) {
+	r := New("test", 7, "b", "d", "a", "c")
+	r.AddRow(1, 2, 3, 4)
+	file := filepath.Join(t.TempDir(), "r.json")
+	for range 20 {
+		require.NoError(t, r.Finish(&strings.Builder{}, file))
+		text, err := os.ReadFile(file)
+		require.NoError(t, err)
+		require.Contains(t, strings.Join(strings.Fields(string(text)), " "), `{ "a": 3, "b": 1, "c": 4, "d": 2 }`)
+	}
+}
+
 // A bound that is exceeded on a busy machine is neither met nor missed, but still an error. One that is met counts as
 // met on a busy machine too.
 func TestInconclusiveBound(t *testing.T) {
