--- a/cmd/topazlab/main_test.go
+++ b/cmd/topazlab/main_test.go
@@ -15,7 +15,9 @@
 	for _, args := range [][]string{{"soak", "--seeds", "many"}, {"soak", "--unknown"}, {"soak", "extra"},
 		{"soak", "--seeds", "0"}, {"soak", "--program", missing},
 		{"soak", "--program", "/bin/true", "--json", filepath.Join(missing, "file")},
-		{"soak", "--program", "/bin/true", "--logs", "/proc/none"}} {
+		{"soak", "--program", "/bin/true", "--logs", "/proc/none"}, {"admission", "extra"},
+		{"admission", "--loads", "high"}, {"admission", "--shapes", "round"}, {"admission", "--cuts", "-1"},
+		{"admission", "--length", "1s", "--json", filepath.Join(missing, "file")}} {
 		var output bytes.Buffer
 		cmd := newRootCommand()
 		cmd.SetArgs(args)
--- a/internal/lab/admission/clients.go
+++ b/internal/lab/admission/clients.go
@@ -18,6 +18,7 @@
 	arrivedAt, due       int64
 	worth                float64 // of an answer in time
 	retries              bool    // its client retries a refusal
+	withinQuota          bool    // its tenant kept to its quota over all dispatchers when it arrived
 	counted              bool    // it arrived in the measured part
 	submissions, sends   int
 	answered             bool
@@ -72,7 +73,7 @@
 	if m.traffic.Float64() < hotTrafficShare && m.scenario.Shape == Hot && tenant == hotTenant {
 		r.dispatcher = m.dispatchers[len(m.dispatchers)/2]
 	}
-	if !t.isWithinQuota(m.now) {
+	if r.withinQuota = t.isWithinQuota(m.now); !r.withinQuota {
 		r.worth *= overShare
 	}
 	m.result.countArrival(r)
@@ -137,6 +138,7 @@
 	case m.now >= s.request.due:
 		m.finish(s.request, expired)
 	case action.Kind == topazfall.Fail:
+		m.result.countFailure(s.request, action.Reason)
 		m.finish(s.request, failed)
 	default:
 		m.refuse(s.request, action)
@@ -145,7 +147,7 @@
 
 // refuse counts a refusal and lets the client retry or give up.
 func (m *model) refuse(r *request, action topazfall.Action) {
-	m.result.countRefusal(r, refusalReason(r.dispatcher.balancer, action), m.hasReachableFreeWorker(r.dispatcher))
+	m.result.countRefusal(r, action.Reason, m.hasReachableFreeWorker(r.dispatcher))
 	backoff := defaultBackoff
 	if action.After > 0 {
 		backoff = action.After
--- a/internal/lab/admission/events.go
+++ b/internal/lab/admission/events.go
@@ -48,15 +48,11 @@
 // after schedules an action for the end of a delay.
 func (s *scheduler) after(delay int64, action func()) { s.at(s.now+delay, action) }
 
-// runUntil runs the actions that are due before the end and drops the others.
+// runUntil runs the actions that are due before the end.
 func (s *scheduler) runUntil(end int64) {
-	for len(s.pending) > 0 {
+	for len(s.pending) > 0 && s.pending[0].at < end {
 		next := heap.Pop(&s.pending).(event)
-		if next.at >= end {
-			break
-		}
 		s.now = next.at
 		next.action()
 	}
-	s.pending = nil
 }
--- a/internal/lab/admission/model.go
+++ b/internal/lab/admission/model.go
@@ -48,11 +48,14 @@
 		return nil, fmt.Errorf("admission: %w", err)
 	}
 	m.start()
-	m.runUntil(m.measuredUntil + maxDeadline(m.classes) + 2*clientSlack)
+	m.runUntil(m.endTime())
 	m.result.complete(m)
 	return m.result, nil
 }
 
+// endTime returns the time at which the last request has its answer.
+func (m *model) endTime() int64 { return m.measuredUntil + maxDeadline(m.classes) + 2*clientSlack }
+
 // newModel returns a model in which nothing has happened.
 func newModel(s Scenario) (*model, error) {
 	fleet := newRandom(s.Seed, fleetStream)
--- a/internal/lab/admission/report.go
+++ b/internal/lab/admission/report.go
@@ -2,28 +2,56 @@
 
 import (
 	"fmt"
-	"strings"
 
 	"topazfall/internal/lab/report"
 )
 
 // The targets. They hold up to targetLoad.
 const (
-	targetLoad                = 0.85
-	maxRefusedWhileFree       = 0.01 // share of the requests that are refused while a reachable worker is free
-	maxRefusalGrowth          = 0.01 // by which the largest fleet may refuse a larger share than the smallest
-	percent                   = 100
-	unitPercent, unitSeconds  = "%", "s"
-	unitPoints, unitViolation = "points", ""
+	targetLoad          = 0.85
+	maxRefusedWhileFree = 0.01 // share of the requests that are refused while a reachable worker is free
+	maxRefusalGrowth    = 0.01 // by which the largest fleet may refuse a larger share than the smallest
 )
 
-var columns = []string{"dispatchers", "workers", "load", "shape", "reports", "cut s", "seed", "requests", "in time %",
-	"late %", "refused %", "failed %", "expired %", "refused once %", "while free %", "sends", "worth %", "recovery s",
-	"refusals"}
+const percent = 100 // of a whole
+
+// column is a column of the table.
+type column struct {
+	name  string
+	value func(*Result) any
+}
+
+var columns = []column{
+	{"dispatchers", func(r *Result) any { return r.Scenario.Dispatchers }},
+	{"workers", func(r *Result) any { return r.Workers }},
+	{"load", func(r *Result) any { return r.Scenario.Load }},
+	{"shape", func(r *Result) any { return string(r.Scenario.Shape) }},
+	{"reports", func(r *Result) any { return string(r.Scenario.Reports) }},
+	{"cut s", func(r *Result) any { return int(r.Scenario.Cut.Seconds()) }},
+	{"seed", func(r *Result) any { return r.Scenario.Seed }},
+	{"requests", func(r *Result) any { return r.Requests }},
+	{"in time %", func(r *Result) any { return r.percentage(r.InTime) }},
+	{"late %", func(r *Result) any { return r.percentage(r.Late) }},
+	{"refused %", func(r *Result) any { return r.percentage(r.Refused) }},
+	{"failed %", func(r *Result) any { return r.percentage(r.Failed) }},
+	{"expired %", func(r *Result) any { return r.percentage(r.Expired) }},
+	{"refused once %", func(r *Result) any { return r.percentage(r.RefusedOnce) }},
+	{"while free %", func(r *Result) any { return r.percentage(r.RefusedWhileFree) }},
+	{"within quota %", func(r *Result) any { return r.percentage(r.RefusedWithinQuota) }},
+	{"sends", func(r *Result) any { return r.share(r.Sends) }},
+	{"worth %", func(r *Result) any { return percent * r.WorthShare }},
+	{"recovery s", func(r *Result) any { return r.Recovery.String() }},
+	{"refusals", func(r *Result) any { return reasonText(r.Refusals) }},
+	{"failures", func(r *Result) any { return reasonText(r.Failures) }},
+}
 
 // newReport returns the table of the results, checked against the targets.
 func newReport(o Options, results []*Result) *report.Report {
-	r := report.New("admission", o.FirstSeed, columns...)
+	var names []string
+	for _, c := range columns {
+		names = append(names, c.name)
+	}
+	r := report.New("admission", o.FirstSeed, names...)
 	r.Data = results
 	for _, result := range results {
 		addRow(r, result)
@@ -33,13 +61,12 @@
 	return r
 }
 
-func addRow(r *report.Report, x *Result) {
-	s := x.Scenario
-	inPercent := func(count int) float64 { return percent * x.share(count) }
-	r.AddRow(s.Dispatchers, x.Workers, s.Load, string(s.Shape), string(s.Reports), s.Cut.Seconds(), s.Seed, x.Requests,
-		inPercent(x.InTime), inPercent(x.Late), inPercent(x.Refused), inPercent(x.Failed), inPercent(x.Expired),
-		inPercent(x.RefusedOnce), inPercent(x.RefusedWhileFree), x.sendsPerRequest(), percent*x.WorthShare,
-		x.Recovery.String(), refusalText(x.Refusals))
+func addRow(r *report.Report, result *Result) {
+	var values []any
+	for _, c := range columns {
+		values = append(values, c.value(result))
+	}
+	r.AddRow(values...)
 }
 
 // String returns the time of the recovery, or an empty text if there was no cut.
@@ -53,60 +80,56 @@
 	return fmt.Sprintf("%.1f", r.Seconds)
 }
 
-// refusalText lists the reasons of the refusals with their numbers.
-func refusalText(refusals []ReasonCount) string {
-	var parts []string
-	for _, c := range refusals {
-		parts = append(parts, fmt.Sprintf("%s %d", c.Reason, c.Count))
-	}
-	return strings.Join(parts, ", ")
-}
-
 // addBounds adds the bounds of a single run. Those of the decisions are judged up to the target load.
-func addBounds(r *report.Report, x *Result) {
-	s := x.Scenario
-	if x.Violations > 0 {
-		r.AddBound(fmt.Sprintf("no invalid action (%v)", s), float64(x.Violations), 0, unitViolation)
+func addBounds(r *report.Report, result *Result) {
+	s := result.Scenario
+	if result.Violations > 0 {
+		r.AddBound(fmt.Sprintf("no invalid action (%v)", s), float64(result.Violations), 0, "actions")
 	}
 	if s.Load > targetLoad {
 		return
 	}
-	r.AddBound(fmt.Sprintf("refused while a worker is free (%v)", s), percent*x.share(x.RefusedWhileFree),
-		percent*maxRefusedWhileFree, unitPercent)
-	if x.Recovery != nil {
-		r.AddBound(fmt.Sprintf("recovery (%v)", s), x.Recovery.Seconds, recoveryTarget(s.Cut).Seconds(), unitSeconds)
+	r.AddBound(fmt.Sprintf("refused while a worker is free (%v)", s), result.percentage(result.RefusedWhileFree),
+		percent*maxRefusedWhileFree, "%")
+	if recovery := result.Recovery; recovery != nil {
+		r.AddBound(fmt.Sprintf("recovery (%v)", s), recovery.Seconds, recoveryTarget(s.Cut).Seconds(), "s")
 	}
 }
 
+// fleetPair holds the results of the smallest and the largest fleet in the same circumstances.
+type fleetPair struct{ smallest, largest *Result }
+
 // addGrowthBounds compares the share of refused requests of the largest fleet with that of the smallest one.
 func addGrowthBounds(r *report.Report, results []*Result) {
-	type pair struct{ smallest, largest *Result }
-	pairs := map[Scenario]*pair{}
-	var order []Scenario
-	for _, x := range results {
-		key := x.Scenario
+	for _, p := range pairFleets(results) {
+		s := p.largest.Scenario
+		if s.Load > targetLoad || p.smallest == p.largest {
+			continue
+		}
+		growth := p.largest.percentage(p.largest.RefusedOnce) - p.smallest.percentage(p.smallest.RefusedOnce)
+		name := fmt.Sprintf("refused more than with %d dispatchers (%v)", p.smallest.Scenario.Dispatchers, s)
+		r.AddBound(name, growth, percent*maxRefusalGrowth, "points")
+	}
+}
+
+// pairFleets returns a pair for each group of results that differ only in the number of dispatchers, in the order of
+// the results.
+func pairFleets(results []*Result) (pairs []*fleetPair) {
+	known := map[Scenario]*fleetPair{}
+	for _, result := range results {
+		key := result.Scenario
 		key.Dispatchers = 0
-		p := pairs[key]
+		p := known[key]
 		if p == nil {
-			p = &pair{x, x}
-			pairs[key] = p
-			order = append(order, key)
-		}
-		if x.Scenario.Dispatchers < p.smallest.Scenario.Dispatchers {
-			p.smallest = x
+			p = &fleetPair{result, result}
+			known[key], pairs = p, append(pairs, p)
 		}
-		if x.Scenario.Dispatchers > p.largest.Scenario.Dispatchers {
-			p.largest = x
+		if result.Scenario.Dispatchers < p.smallest.Scenario.Dispatchers {
+			p.smallest = result
 		}
-	}
-	for _, key := range order {
-		p := pairs[key]
-		if key.Load > targetLoad || p.smallest == p.largest {
-			continue
+		if result.Scenario.Dispatchers > p.largest.Scenario.Dispatchers {
+			p.largest = result
 		}
-		growth := p.largest.share(p.largest.RefusedOnce) - p.smallest.share(p.smallest.RefusedOnce)
-		name := fmt.Sprintf("refused more than with %d dispatchers (%v)", p.smallest.Scenario.Dispatchers,
-			p.largest.Scenario)
-		r.AddBound(name, percent*growth, percent*maxRefusalGrowth, unitPoints)
 	}
+	return pairs
 }
--- a/internal/lab/admission/result.go
+++ b/internal/lab/admission/result.go
@@ -1,9 +1,6 @@
 package admission
 
-import (
-	"slices"
-	"strings"
-)
+import "topazfall"
 
 // finalAnswer is what a client gets in the end.
 type finalAnswer int
@@ -17,12 +14,6 @@
 	expired // not answered before the deadline
 )
 
-// ReasonCount is the number of refusals with one reason.
-type ReasonCount struct {
-	Reason string `json:"reason"`
-	Count  int    `json:"count"`
-}
-
 // Result is what was measured in a run. It counts the requests that arrived in the measured part, without the warm-up.
 type Result struct {
 	Scenario Scenario `json:"scenario"`
@@ -35,16 +26,20 @@
 	Expired  int      `json:"expired"`
 	Sends    int      `json:"sends"`
 
-	Refusals         []ReasonCount `json:"refusals"`           // all of them, also those that clients retried
-	RefusedOnce      int           `json:"refused_once"`       // requests that were refused at least once
-	RefusedWhileFree int           `json:"refused_while_free"` // of these, while a reachable worker had a free slot
+	RefusedOnce        int `json:"refused_once"`         // requests that were refused at least once
+	RefusedWhileFree   int `json:"refused_while_free"`   // of these, while a reachable worker had a free slot
+	RefusedWithinQuota int `json:"refused_within_quota"` // of these, within their tenant's quota over all dispatchers
+
+	Refusals []ReasonCount `json:"refusals"` // all of them, also those that clients retried
+	Failures []ReasonCount `json:"failures"`
 
 	WorthShare         float64   `json:"worth_share"`           // of the worth of all requests that was served
 	WorthShareBySecond []float64 `json:"worth_share_by_second"` // by arrival
 	Recovery           *Recovery `json:"recovery,omitempty"`    // after the cut, if there was one
 	Violations         int       `json:"violations"`            // actions about unknown or answered requests
 
-	worth worthSeries
+	worth              worthSeries
+	refusals, failures reasonCounter
 }
 
 func newResult(s Scenario, workers int, measured int64) *Result {
@@ -61,23 +56,28 @@
 }
 
 // countRefusal counts the refusal of a submission; free says that a reachable worker had a free slot.
-func (r *Result) countRefusal(q *request, reason string, free bool) {
+func (r *Result) countRefusal(q *request, reason topazfall.RejectReason, free bool) {
 	if !q.counted {
 		return
 	}
 	if !q.refused {
 		r.RefusedOnce++
+		if q.withinQuota {
+			r.RefusedWithinQuota++
+		}
 	}
 	if free && !q.refusedFree {
 		r.RefusedWhileFree++
 	}
 	q.refused, q.refusedFree = true, q.refusedFree || free
-	i, found := slices.BinarySearchFunc(r.Refusals, reason,
-		func(c ReasonCount, reason string) int { return strings.Compare(c.Reason, reason) })
-	if !found {
-		r.Refusals = slices.Insert(r.Refusals, i, ReasonCount{Reason: reason})
+	r.refusals[reason]++
+}
+
+// countFailure counts the reason of a failure.
+func (r *Result) countFailure(q *request, reason topazfall.RejectReason) {
+	if q.counted {
+		r.failures[reason]++
 	}
-	r.Refusals[i].Count++
 }
 
 // countAnswer counts the final answer of a request.
@@ -103,6 +103,7 @@
 
 // complete computes what follows from the counts of the whole run.
 func (r *Result) complete(m *model) {
+	r.Refusals, r.Failures = r.refusals.list(), r.failures.list()
 	r.WorthShare = r.worth.share(0, len(r.worth.offered))
 	r.WorthShareBySecond = r.worth.bySecond()
 	if r.Scenario.Cut > 0 {
@@ -114,5 +115,5 @@
 // share returns a count as a share of the requests.
 func (r *Result) share(count int) float64 { return float64(count) / max(float64(r.Requests), 1) }
 
-// sendsPerRequest returns the mean number of attempts of a request.
-func (r *Result) sendsPerRequest() float64 { return r.share(r.Sends) }
+// percentage returns a count as a percentage of the requests.
+func (r *Result) percentage(count int) float64 { return percent * r.share(count) }
--- a/internal/lab/admission/scenario.go
+++ b/internal/lab/admission/scenario.go
@@ -36,16 +36,16 @@
 
 // Scenario describes one run.
 type Scenario struct {
-	Dispatchers          int
-	WorkersPerDispatcher float64
-	Load                 float64 // offered work as a share of the true capacity
-	Shape                Shape
-	Reports              Reports
-	Classes              ClassSet
-	Cut                  time.Duration // how long the paths between the zones are lost; 0 for no cut
-	Length               time.Duration // of the measured part, unless the cut needs a longer one
-	RetryShare           float64       // share of the clients that retry a refusal, once
-	Seed                 uint64
+	Dispatchers          int           `json:"dispatchers"`
+	WorkersPerDispatcher float64       `json:"workers_per_dispatcher"`
+	Load                 float64       `json:"load"` // offered work as a share of the true capacity
+	Shape                Shape         `json:"shape"`
+	Reports              Reports       `json:"reports"`
+	Classes              ClassSet      `json:"classes"`
+	Cut                  time.Duration `json:"cut_ns"`      // how long the paths between zones are lost; 0: no cut
+	Length               time.Duration `json:"length_ns"`   // of the measured part, unless the cut needs a longer one
+	RetryShare           float64       `json:"retry_share"` // share of the clients that retry a refusal, once
+	Seed                 uint64        `json:"seed"`
 }
 
 // ErrInvalid is wrapped by the errors about invalid scenarios and options.
