--- a/cmd/topazlab/admission.go
+++ b/cmd/topazlab/admission.go
@@ -46,10 +46,12 @@
 	flags.IntSliceVar(&o.Dispatchers, "dispatchers", []int{3, 30, 100, 300}, "numbers of dispatchers")
 	flags.Float64SliceVar(&o.Loads, "loads", []float64{0.5, 0.7, 0.85, 1, 1.5},
 		"offered work as shares of the true capacity")
-	flags.StringSliceVar(&o.Shapes, "shapes", []string{string(admission.Calm)}, "traffic: calm, bursty, hot")
+	flags.StringSliceVar(&o.Shapes, "shapes", []string{string(admission.Calm)}, "traffic: calm, bursty, surge, hot")
 	flags.StringSliceVar(&o.Reports, "reports", []string{string(admission.Weights), string(admission.Answers)},
 		"load reports: weights, answers")
 	flags.IntSliceVar(&o.CutSeconds, "cuts", []int{0}, "how long the paths between the zones are lost, in seconds")
+	flags.DurationVar(&o.SilentList, "silent-list", 0,
+		"how long no list arrives, from the time of the cut on: 20s into the measured part")
 	flags.StringVar(&o.Classes, "classes", string(admission.Long), "classes of requests: long or short")
 	flags.Float64Var(&o.WorkersPerDispatcher, "workers-per-dispatcher", 0.3,
 		"number of workers per dispatcher; there are 12 at least")
--- a/internal/lab/admission/bursts.go
+++ b/internal/lab/admission/bursts.go
@@ -10,6 +10,21 @@
 	meanPause    = 16 * second // between two bursts
 )
 
+// The surge of the shape of that name.
+const (
+	surgeFactor = 2
+	surgeTime   = 6 * second
+)
+
+// surgeRateFactor returns the factor of the rates of the shape Surge, by the time since the cut began; that may be
+// negative.
+func surgeRateFactor(sinceCut int64) float64 {
+	if sinceCut >= 0 && sinceCut < surgeTime {
+		return surgeFactor
+	}
+	return 1
+}
+
 // meanBurstFactor returns the mean factor of a rate that has bursts.
 func meanBurstFactor() float64 {
 	length := float64(minBurstTime+maxBurstTime) / 2
--- a/internal/lab/admission/clients.go
+++ b/internal/lab/admission/clients.go
@@ -50,8 +50,11 @@
 func (m *model) scheduleArrivals(index int) {
 	t := m.tenants[index]
 	rate := t.rate
-	if m.scenario.Shape == Bursty {
+	switch m.scenario.Shape {
+	case Bursty:
 		rate *= t.burst.factor(m.traffic, m.now) * m.commonBurst.factor(m.traffic, m.now)
+	case Surge:
+		rate *= surgeRateFactor(m.now - m.cut.from)
 	}
 	m.after(exponentialTime(m.traffic, float64(second)/rate), func() {
 		if m.now < m.measuredUntil {
--- a/internal/lab/admission/model.go
+++ b/internal/lab/admission/model.go
@@ -112,7 +112,8 @@
 	return list
 }
 
-// pushLists sends the list to all dispatchers, again and again. Lists that cross zones during a cut come late.
+// pushLists sends the list to all dispatchers, again and again. Lists that cross zones during a cut come late, and none
+// arrives while the list is silent.
 func (m *model) pushLists() {
 	m.listVersion++
 	list, version := m.list(), m.listVersion
@@ -121,6 +122,9 @@
 		if m.cut.separates(m.now, listZone, d.zone) {
 			delay += listCutDelay
 		}
+		if silentUntil := m.cut.from + m.scenario.SilentList.Microseconds(); m.now >= m.cut.from {
+			delay = max(delay, silentUntil-m.now)
+		}
 		m.after(delay, func() { m.deliverList(d, list, version) })
 	}
 	m.after(uniformTime(m.network, minListInterval, maxListInterval), m.pushLists)
--- a/internal/lab/admission/options.go
+++ b/internal/lab/admission/options.go
@@ -12,6 +12,7 @@
 	Shapes               []string
 	Reports              []string
 	CutSeconds           []int
+	SilentList           time.Duration
 	Classes              string
 	WorkersPerDispatcher float64
 	RetryShare           float64
@@ -62,7 +63,7 @@
 				for _, load := range o.Loads {
 					variants = append(variants, Scenario{Load: load, Shape: Shape(shape), Reports: Reports(reports),
 						Cut: time.Duration(cut) * time.Second, Classes: ClassSet(o.Classes), Length: o.Length,
-						WorkersPerDispatcher: o.WorkersPerDispatcher, RetryShare: o.RetryShare})
+						SilentList: o.SilentList, WorkersPerDispatcher: o.WorkersPerDispatcher, RetryShare: o.RetryShare})
 				}
 			}
 		}
--- a/internal/lab/admission/options_test.go
+++ b/internal/lab/admission/options_test.go
@@ -23,6 +23,7 @@
 		"retry share":      func(o *Options) { o.RetryShare = 1.1 },
 		"no seeds":         func(o *Options) { o.Seeds = 0 },
 		"nothing parallel": func(o *Options) { o.Parallel = 0 },
+		"negative silence": func(o *Options) { o.SilentList = -1 },
 		"short length":     func(o *Options) { o.Length = time.Millisecond },
 	} {
 		o := testOptions()
--- a/internal/lab/admission/scenario.go
+++ b/internal/lab/admission/scenario.go
@@ -13,6 +13,7 @@
 const (
 	Calm   Shape = "calm"   // Poisson arrivals at constant rates
 	Bursty Shape = "bursty" // bursts of single tenants and of all together
+	Surge  Shape = "surge"  // constant rates, and twice as much for some seconds from the time of the cut on
 	Hot    Shape = "hot"    // one tenant sends most of its requests through one dispatcher
 )
 
@@ -42,9 +43,10 @@
 	Shape                Shape         `json:"shape"`
 	Reports              Reports       `json:"reports"`
 	Classes              ClassSet      `json:"classes"`
-	Cut                  time.Duration `json:"cut_ns"`      // how long the paths between zones are lost; 0: no cut
-	Length               time.Duration `json:"length_ns"`   // of the measured part, unless the cut needs a longer one
-	RetryShare           float64       `json:"retry_share"` // share of the clients that retry a refusal, once
+	Cut                  time.Duration `json:"cut_ns"`         // how long the paths between zones are lost; 0: no cut
+	SilentList           time.Duration `json:"silent_list_ns"` // how long no list arrives from the time of the cut on
+	Length               time.Duration `json:"length_ns"`      // of the measured part, unless the cut needs a longer one
+	RetryShare           float64       `json:"retry_share"`    // share of the clients that retry a refusal, once
 	Seed                 uint64        `json:"seed"`
 }
 
@@ -94,14 +96,16 @@
 			ErrInvalid, minWorkers, s.WorkersPerDispatcher)
 	case !(s.Load > 0 && s.Load <= maxLoad):
 		return fmt.Errorf("%w: the load must be above 0 and at most %d, not %v", ErrInvalid, maxLoad, s.Load)
-	case s.Shape != Calm && s.Shape != Bursty && s.Shape != Hot:
-		return fmt.Errorf("%w: the shape must be calm, bursty or hot, not %q", ErrInvalid, s.Shape)
+	case s.Shape != Calm && s.Shape != Bursty && s.Shape != Surge && s.Shape != Hot:
+		return fmt.Errorf("%w: the shape must be calm, bursty, surge or hot, not %q", ErrInvalid, s.Shape)
 	case s.Reports != Weights && s.Reports != Answers:
 		return fmt.Errorf("%w: the load reports must be weights or answers, not %q", ErrInvalid, s.Reports)
 	case s.Classes != Long && s.Classes != Short:
 		return fmt.Errorf("%w: the classes must be long or short, not %q", ErrInvalid, s.Classes)
 	case s.Cut < 0 || s.Cut > maxLength:
 		return fmt.Errorf("%w: a cut must last 0 to %v, not %v", ErrInvalid, maxLength, s.Cut)
+	case s.SilentList < 0 || s.SilentList > maxLength:
+		return fmt.Errorf("%w: the list must be silent for 0 to %v, not %v", ErrInvalid, maxLength, s.SilentList)
 	case s.Length < time.Second || s.Length > maxLength:
 		return fmt.Errorf("%w: the length must be 1s to %v, not %v", ErrInvalid, maxLength, s.Length)
 	case !(s.RetryShare >= 0 && s.RetryShare <= 1):
@@ -116,5 +120,8 @@
 	if s.Cut > 0 {
 		name += fmt.Sprintf(", cut %v", s.Cut)
 	}
+	if s.SilentList > 0 {
+		name += fmt.Sprintf(", list silent for %v", s.SilentList)
+	}
 	return fmt.Sprintf("%s, seed %d", name, s.Seed)
 }
