--- a/balancer.go
+++ b/balancer.go
@@ -1,14 +1,16 @@
 package topazfall
 
 // The decision module. Its interface (settings, events, actions) is in topazfall.go. In reading order: the
-// life of a request, the choice of a worker, the rules for sends, observations of workers, the learned
-// tables, the worker list and the buddy set (the subset of workers that this dispatcher uses first).
+// life of a request, the rules for sends, observations of workers, the learned tables, the worker list and
+// the buddy set (the subset of workers that this dispatcher uses first). The choice of a worker is in
+// choice.go.
 
 import (
 	"cmp"
 	"fmt"
 	"hash/fnv"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"strings"
 
@@ -55,6 +57,7 @@
 		maxTimeout:   make([]int64, len(s.Classes)),
 		tenantShares: share.Shares{Quotas: s.tenantQuotas(), Fraction: s.dispatcherShare()},
 		rotation:     ramp.NewRotation(s.Dispatchers),
+		random:       rand.New(rand.NewPCG(s.Seed, uint64(s.Me))),
 	}, nil
 }
 
@@ -204,10 +207,11 @@
 // free, or if its expected value at w is below the price of late jobs, which is twice the share of the worth
 // that was recently lost by late answers (lateLoss).
 func (b *Balancer) shedReason(r *request, w *worker) RejectReason {
+	value := 1 - min(b.risk(r, w), 1)
 	switch {
 	case r.value < 0.5 && b.currentRegion(w) > 0:
 		return OverQuota
-	case 1-min(b.risk(r, w), 1) < 2*b.lateLoss:
+	case value < 2*b.lateLoss:
 		return LateRisk
 	default:
 		return NotRejected
@@ -371,62 +375,6 @@
 	}
 }
 
-// ---- the choice of a worker ----
-
-// chooseWorker returns the buddy with the minimum risk among those that may take the job; ties go to the
-// earlier one in the buddy list. If no buddy may take it (tried, ejected, outside its group), any listed
-// worker may. The last resort is a worker that was tried and to which the connection was lost.
-func (b *Balancer) chooseWorker(r *request) *worker {
-	for i, candidates := range [][]*worker{b.firstCandidates(r), b.nonBuddies, r.workersWithLostConnection()} {
-		var best *worker
-		minRisk := math.MaxInt
-		for _, w := range candidates {
-			if b.now < w.ejectedUntil || !b.maySend(r, w) || i < 2 && r.hasTried(w) {
-				continue
-			}
-			// A fifth of the running time is added to the risk: it varies more than hints show, and a slow
-			// worker may finish a long job late even if it starts it at once.
-			if risk := int((b.risk(r, w) + b.relativeTime(r, r.hint*w.pace)/5) * riskSteps); risk < minRisk {
-				best, minRisk = w, risk
-			}
-		}
-		if best != nil {
-			return best
-		}
-	}
-	return nil
-}
-
-// risk returns the expected loss of sending a request to a worker. It is the sum of the probability that the
-// backlog exceeds the slack, after the running and fetch times, before the aim and, for the worth of a late
-// answer, before the deadline; of the expected wait relative to the time allowed, without which jobs pile up
-// on the first of the list where all would be late; and of the penalty for another zone.
-func (b *Balancer) risk(r *request, w *worker) float64 {
-	region, runTime, lateWorth := b.currentRegion(w), r.hint*w.pace+b.fetchTime(r, w), r.class.LateWorth
-	risk := (1-lateWorth)*b.tailProbability(w, region, float64(r.aim-b.now)-runTime) +
-		lateWorth*b.tailProbability(w, region, float64(r.due-b.now)-runTime)
-	if r.class.Repeat == Unsafe { // that the worker fails this job too, by the rule of succession
-		risk += float64(w.consecutiveErrors) / float64(w.consecutiveErrors+1)
-	}
-	return risk + b.zonePenalty(w) + b.relativeTime(r, b.backlog(w)+b.fetchTime(r, w))
-}
-
-// firstCandidates lists the workers to choose from first: the cold workers outside the buddy set at which
-// this dispatcher has a turn, the buddies, and the preferred workers of the key, which are the same at all
-// dispatchers.
-func (b *Balancer) firstCandidates(r *request) []*worker {
-	r.preferred = b.preferredFor(r.key)
-	return slices.Concat(b.coldWorkersInTurn(), b.buddies, r.preferred)
-}
-
-// fetchTime returns the time that a worker is expected to spend on fetching the data of the key: nothing at
-// the first preferred worker, a proportion of the job time at the next ones, and the whole job time at any
-// other worker. Jobs go to the next preferred worker only if the earlier ones are busy, so that few workers
-// hold a key and each keeps what it has.
-func (b *Balancer) fetchTime(r *request, w *worker) float64 {
-	return b.jobTime * float64(r.preferenceRank(w)) / redundancy
-}
-
 // ---- the rules for sends ----
 
 // maySend reports whether a request may be sent to a worker now. Every send is checked here and nowhere else.
--- a/rejection.go
+++ b/rejection.go
@@ -13,7 +13,7 @@
 	RepeatForbidden                // an attempt may have run, and its class forbids another one
 	AllWorkersTried                // each listed worker that could run it has failed it
 	ListEmpty                      // the worker list has not been read, or names no worker
-	WorkersCold                    // the workers left have just started, and this dispatcher's share of their budget is used
+	WorkersCold                    // the workers left are cold, and this dispatcher's share of their budget is used
 	WorkersEjected                 // the workers left are ejected for their faults
 	NoWorker                       // no other worker may take it: all drain, or none is of its kind or group
 	OverQuota                      // it is beyond its tenant's share, and no worker is free
--- a/rejection_test.go
+++ b/rejection_test.go
@@ -45,7 +45,8 @@
 			c.prepare(r)
 			r.id++
 			// The aim has all but passed, so that it is useless to hold the request.
-			acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 10e3, Hint: 200e3})
+			acts := r.handle(Event{Kind: Arrival, Request: r.id, Class: safe, Tenant: -1, Due: r.now + 10e3,
+				Hint: 200e3})
 			if n, a := countActions(acts, Refuse); n != 1 || a.Reason != c.reason {
 				t.Errorf("want a refusal for %v, got %+v", c.reason, acts)
 			}
