--- a/balancer.go
+++ b/balancer.go
@@ -323,17 +323,8 @@
 		return
 	}
 	a.worker.markAlive()
-	if wait := float64(b.now - a.sentAt); a.startedAt == 0 && e.Kind == JobStarted {
-		if wait < 2*b.startLag {
-			b.startLag += (wait - b.startLag) / 8
-			wait = 0
-		}
-		// The wait is a sample of the actual backlog in the region that was observed at the send.
-		a.worker.addSample(a.region, b.columnOf(wait))
-		// All jobs ahead of this one have started: none waits, and other dispatchers' jobs leave free at least
-		// the slots of this dispatcher's running jobs, this one included.
-		a.worker.queued = min(a.worker.queued,
-			-1-a.worker.countAttempts(func(o *attempt) bool { return o.startedAt != 0 }))
+	if a.startedAt == 0 && e.Kind == JobStarted {
+		b.learnFromStart(a)
 	}
 	a.progressAt = b.now
 	if a.startedAt == 0 {
@@ -359,6 +350,7 @@
 			newest = a
 		}
 	}
+	b.learnFromWait(newest)
 	w, isLate := newest.worker, float64(b.now-newest.sentAt) > newest.expectedWait+b.jobTime
 	switch {
 	case isLate && float64(r.aim-b.now)+r.hint < r.hint*w.pace && r.class.LateWorth < b.lateLoss:
@@ -541,7 +533,7 @@
 		w.queued = max(jobs-ownJobs, -w.kind.slots)
 	}
 	w.evidenceAt = b.now
-	b.meanQueued, b.meanQueuedAt = b.expectedQueued(w)+(jobs-ownJobs-b.expectedQueued(w))/8, b.now
+	b.updateMeanQueued(w, jobs-ownJobs)
 }
 
 // recordOutcome learns from the outcome of an attempt: the worker's load report, its pace and its failures.
