--- a/balancer.go
+++ b/balancer.go
@@ -42,6 +42,10 @@
 	// most one send in sendsPerHedge is one. That is enough for a fleet in which every third worker is
 	// silent.
 	sendsPerHedge = 4
+	// minValue is the minimum expected value of a job that is sent, relative to its worth. The price of late
+	// jobs (lateLoss) rises only when late answers arrive, and until then an overload would fill the queues
+	// with jobs that cannot be served in time.
+	minValue = 0.1
 )
 
 // New returns a balancer for one dispatcher, or an error that names the invalid setting.
@@ -204,20 +208,28 @@
 }
 
 // shedReason decides on load shedding: a job is refused if it is beyond its tenant's share and no worker is
-// free, or if its expected value at w is below the price of late jobs, which is twice the share of the worth
-// that was recently lost by late answers (lateLoss).
+// free, if its expected value at w is below the price of late jobs, which is twice the share of the worth
+// that was recently lost by late answers (lateLoss), or if it is all but worthless.
 func (b *Balancer) shedReason(r *request, w *worker) RejectReason {
 	value := 1 - min(b.risk(r, w), 1)
 	switch {
 	case r.value < 0.5 && b.currentRegion(w) > 0:
 		return OverQuota
-	case value < 2*b.lateLoss:
+	case value < 2*b.lateLoss || value < minValue && b.isWorthlessLate(r, w):
 		return LateRisk
 	default:
 		return NotRejected
 	}
 }
 
+// isWorthlessLate reports whether the load of w is known and a late answer from it is expected to be worth
+// next to nothing.
+func (b *Balancer) isWorthlessLate(r *request, w *worker) bool {
+	timeLeft := float64(r.due-b.now) - r.hint*w.pace
+	lateWorth := r.class.LateWorth * (1 - b.tailProbability(w, b.currentRegion(w), timeLeft))
+	return w.evidenceAt > 0 && lateWorth < minValue
+}
+
 // send starts an attempt of a request at a worker.
 func (b *Balancer) send(r *request, w *worker) {
 	a := &attempt{request: r, index: len(r.attempts), worker: w, sentAt: b.now, expectedWait: b.backlog(w)}
--- a/waits_test.go
+++ b/waits_test.go
@@ -68,6 +68,31 @@
 	}
 }
 
+// A job that would almost surely be late is refused before any late answer has raised the price of late jobs, unless a
+// late answer has a worth, or the load of the worker is not known.
+func TestWorthlessJobIsRefused(t *testing.T) {
+	for _, c := range []struct {
+		lateWorth float64
+		known     bool
+		refused   int
+	}{{0, true, 1}, {0.5, true, 0}, {0, false, 0}} {
+		s := settings()
+		s.Classes[safe].LateWorth = c.lateWorth
+		r := newRig(t, s, fleet(6)...)
+		for _, w := range r.b.ranked {
+			w.queued = 60
+			if c.known {
+				w.evidenceAt = r.now
+			}
+		}
+		r.b.lateLoss = 0
+		_, acts := r.arrive(safe)
+		if n, a := countActions(acts, Refuse); n != c.refused || n == 1 && a.Reason != LateRisk {
+			t.Errorf("%+v: %+v", c, acts)
+		}
+	}
+}
+
 // Jobs that still wait show it too, before any of them has started.
 func TestWaitingJobsShowLoad(t *testing.T) {
 	r := saturated(t)
