--- a/balancer.go
+++ b/balancer.go
@@ -10,7 +10,6 @@
 	"fmt"
 	"hash/fnv"
 	"math"
-	"math/rand/v2"
 	"slices"
 	"strings"
 
@@ -61,7 +60,6 @@
 		maxTimeout:   make([]int64, len(s.Classes)),
 		tenantShares: share.Shares{Quotas: s.tenantQuotas(), Fraction: s.dispatcherShare()},
 		rotation:     ramp.NewRotation(s.Dispatchers),
-		random:       rand.New(rand.NewPCG(s.Seed, uint64(s.Me))),
 	}, nil
 }
 
--- a/choice.go
+++ b/choice.go
@@ -7,21 +7,14 @@
 
 // The choice of a worker for a request.
 
-// sampleSize is the number of buddies that a job is sent to the best of where dispatchers read the same reports.
-// More would make them choose alike, fewer would overlook free workers.
-const sampleSize = 3
-
 // chooseWorker returns the worker with the minimum risk among the first candidates that may take the job. If none of
-// them may (tried, ejected, outside its group), any buddy may, and then any listed worker. The last resort is a worker
-// that was tried and to which the connection was lost.
+// them may (tried, ejected, outside its group), any listed worker may. The last resort is a worker that was tried and
+// to which the connection was lost.
 func (b *Balancer) chooseWorker(r *request) *worker {
 	untried := func(w *worker) bool { return !r.hasTried(w) }
 	if w := b.leastRisk(r, b.firstCandidates(r), untried); w != nil {
 		return w
 	}
-	if w := b.leastRisk(r, b.buddies, untried); w != nil {
-		return w
-	}
 	if w := b.leastRisk(r, b.nonBuddies, untried); w != nil {
 		return w
 	}
@@ -60,49 +53,10 @@
 }
 
 // firstCandidates lists the workers to choose from first: the cold workers outside the buddy set at which this
-// dispatcher has a turn, a sample of the buddies, and the preferred workers of the key, which are the same at all
-// dispatchers.
+// dispatcher has a turn, the buddies, and the preferred workers of the key, which are the same at all dispatchers.
 func (b *Balancer) firstCandidates(r *request) []*worker {
 	r.preferred = b.preferredFor(r.key)
-	return slices.Concat(b.coldWorkersInTurn(), b.sampleBuddies(), r.preferred)
-}
-
-// sampleBuddies returns the buddies to choose from. Live weights reach all dispatchers at the same moment. If each
-// sent to the least loaded of all its buddies until the next list, the jobs of many would pile up at a few workers (a
-// herd). So each chooses from a few that it draws at random for each job (Mitzenmacher, "How Useful Is Old
-// Information?", 2000), at least one of them in its own zone. A cold worker is always among them, because its share of
-// the work is limited anyway.
-func (b *Balancer) sampleBuddies() (sample []*worker) {
-	if !b.settings.LiveWeights || b.settings.Dispatchers <= redundancy || len(b.buddies) <= sampleSize {
-		return b.buddies
-	}
-	var own, other []*worker
-	for _, w := range b.buddies {
-		switch {
-		case b.isCold(w):
-			sample = append(sample, w)
-		case w.Zone == b.settings.Zone:
-			own = append(own, w)
-		default:
-			other = append(other, w)
-		}
-	}
-	ownCount := min(max(1, sampleSize-len(other)), len(own))
-	sample = append(sample, b.draw(own, ownCount)...)
-	return append(sample, b.draw(other, sampleSize-ownCount)...)
-}
-
-// draw returns up to n of the workers, drawn at random, in their order.
-func (b *Balancer) draw(workers []*worker, n int) (drawn []*worker) {
-	if len(workers) <= n {
-		return workers
-	}
-	indexes := b.random.Perm(len(workers))[:n]
-	slices.Sort(indexes)
-	for _, i := range indexes {
-		drawn = append(drawn, workers[i])
-	}
-	return drawn
+	return slices.Concat(b.coldWorkersInTurn(), b.buddies, r.preferred)
 }
 
 // fetchTime returns the time that a worker is expected to spend on fetching the data of the key: nothing at
--- a/internal/lab/admission/workers.go
+++ b/internal/lab/admission/workers.go
@@ -60,9 +60,10 @@
 	return topazfall.Load{Queue: float64(len(w.queue)), Inflight: running, Free: cores - running, Util: running / cores}
 }
 
-// entry returns the worker's entry in the list.
+// entry returns the worker's entry in the list. Its weight goes by the nominal speed of its kind: machines of a kind
+// have the same size, as topazfall.Settings says of live weights.
 func (w *worker) entry(reports Reports) topazfall.Worker {
-	weight := w.size()
+	weight := float64(w.kind.cores) * w.kind.speed
 	if reports == Weights {
 		weight /= 1 + float64(len(w.queue)+w.running)/float64(w.kind.cores)
 	}
--- a/state.go
+++ b/state.go
@@ -5,7 +5,6 @@
 import (
 	"cmp"
 	"math"
-	"math/rand/v2"
 	"slices"
 
 	"topazfall/internal/decide/affinity"
