--- a/state.go
+++ b/state.go
@@ -41,7 +41,6 @@
 	meanQueued      float64                // moving average of jobs waiting at a worker; below 0: free slots
 	meanQueuedAt    int64                  // when meanQueued was updated
 	tenantShares    share.Shares
-	random          *rand.Rand               // for the sample of buddies
 	classRunTimes   map[string]*runTimeStats // by class name
 }
 
