--- a/balancer.go
+++ b/balancer.go
@@ -1,9 +1,9 @@
 package topazfall
 
 // The decision module. Its interface (settings, events, actions) is in topazfall.go. In reading order: the
-// life of a request, the rules for sends, observations of workers, the learned tables, the worker list and
-// the buddy set (the subset of workers that this dispatcher uses first). The choice of a worker is in
-// choice.go.
+// life of a request, the rules for sends, observations of workers, the learned tables and the worker list.
+// The choice of a worker is in choice.go, and that of the buddies (the subset of workers that this dispatcher
+// uses first) in subset.go.
 
 import (
 	"cmp"
@@ -29,14 +29,8 @@
 	// riskSteps is the resolution of a risk. Risks closer than 1/riskSteps tie: the few samples of a lightly
 	// loaded dispatcher resolve no finer difference.
 	riskSteps = 40
-	// redundancy is the minimum number of dispatchers that share a worker, and the number of preferred
-	// workers of a key.
-	redundancy = 3
 	// faultMemory is the number of probe intervals after which a fault that was not repeated is forgotten.
 	faultMemory = 32
-	// minBuddies is the minimum size of the buddy set. Two jobs a second keep the load reports of that
-	// many buddies fresh.
-	minBuddies = 6
 	// sendsPerHedge limits hedged requests, which are further copies of a job that has not started: at
 	// most one send in sendsPerHedge is one. That is enough for a fleet in which every third worker is
 	// silent.
@@ -686,7 +680,7 @@
 	}
 }
 
-// ---- the list of workers and the buddy set ----
+// ---- the list of workers ----
 
 // handleList processes a change, a snapshot or a failure of the worker list.
 func (b *Balancer) handleList(e *Event) {
@@ -745,35 +739,3 @@
 	h.Write([]byte(l.ID))
 	return fmt.Sprintf("%s %x %s", cell, h.Sum(nil), l.ID)
 }
-
-// rebuildBuddies chooses the buddies: a range of the common order that begins at this dispatcher's own place,
-// so that every worker is a buddy of about as many dispatchers. Ejected and draining workers are passed over.
-func (b *Balancer) rebuildBuddies() {
-	size := max(minBuddies, (redundancy*len(b.ranked)+b.settings.Dispatchers-1)/b.settings.Dispatchers)
-	if b.settings.LiveWeights { // the list keeps the load of more buddies fresh than own jobs can
-		size = max(size, 2*minBuddies)
-	}
-	start := gossip.SubsetStart(b.settings.Me, b.settings.Dispatchers, len(b.ranked))
-	hasKind := map[string]bool{}
-	b.buddies, b.nonBuddies, b.subsetSpan = b.buddies[:0], b.nonBuddies[:0], 0
-	for i := range b.ranked {
-		w := b.ranked[(start+i)%len(b.ranked)]
-		// A worker that gets no jobs cannot clear its errors by serving one, so they expire.
-		if b.now-w.lastFaultAt > faultMemory*b.probeInterval() {
-			w.consecutiveErrors, w.ejections = 0, 0
-		}
-		// Beyond its size the set still takes the first worker of each kind.
-		if w.State == Ready && b.now >= w.ejectedUntil && (len(b.buddies) < size || !hasKind[w.Kind]) {
-			b.buddies, hasKind[w.Kind], b.subsetSpan = append(b.buddies, w), true, i+1
-		} else {
-			b.nonBuddies = append(b.nonBuddies, w)
-		}
-	}
-	// Among equal workers the zone decides. With few dispatchers all share every worker, and only the
-	// different starting places keep them apart, so the order stays.
-	if b.settings.Dispatchers > redundancy {
-		slices.SortStableFunc(b.buddies, b.compareZones)
-	}
-	b.coldNonBuddies = slices.DeleteFunc(slices.Clone(b.nonBuddies),
-		func(w *worker) bool { return !b.isCold(w) })
-}
