--- a/rejection_test.go
+++ b/rejection_test.go
@@ -61,3 +61,21 @@
 		t.Error("a value that is no reason has a name")
 	}
 }
+
+// A clock that steps back, a quota of 0 and a tenant that is not known do not keep a request from its decision.
+func TestOddInputsGetADecision(t *testing.T) {
+	s := settings()
+	s.Dispatchers = 900
+	s.Tenants = []Tenant{{Name: "none", Quota: 0}, {Name: "some", Quota: 1}}
+	r := newRig(t, s, fleet(60)...)
+	for i, tenant := range []int{0, 1, 2, -1} {
+		id := uint64(i + 1)
+		r.now -= 1e6
+		acts := r.handle(Event{Kind: Arrival, Request: id, Class: safe, Tenant: tenant, Due: r.now + 10e6, Hint: 200e3})
+		sends, _ := countActions(acts, Send)
+		refusals, _ := countActions(acts, Refuse)
+		if sends+refusals != 1 {
+			t.Errorf("tenant %d at %d: %+v", tenant, r.now, acts)
+		}
+	}
+}
--- a/waits.go
+++ b/waits.go
@@ -12,13 +12,11 @@
 	}
 	// The wait is a sample of the actual backlog in the region that was observed at the send.
 	w.addSample(a.region, b.columnOf(wait))
-	switch {
-	case wait == 0:
-		// No job waited, and other dispatchers' jobs leave free at least the slots of this dispatcher's running jobs,
-		// this one included.
-		w.queued = min(w.queued, -1-w.countAttempts(func(o *attempt) bool { return o.startedAt != 0 }))
-	case w.evidenceAt <= a.sentAt:
-		// As many jobs are taken to wait behind this one as were ahead of it.
+	// None of the jobs ahead of this one waits, and other dispatchers' jobs leave free at least the slots of this
+	// dispatcher's running jobs, this one included.
+	w.queued = min(w.queued, -1-w.countAttempts(func(o *attempt) bool { return o.startedAt != 0 }))
+	if wait > 0 && w.evidenceAt <= a.sentAt {
+		// No report counts the jobs behind this one. As many are taken to wait there as were ahead of it.
 		w.queued, w.evidenceAt = b.queueOfWait(w, wait), b.now
 		b.updateMeanQueued(w, w.queued)
 	}
@@ -36,9 +34,11 @@
 	}
 }
 
-// queueOfWait returns the number of jobs that a worker starts within a wait.
+// queueOfWait returns the number of other dispatchers' jobs at a worker beyond its slots, if as many jobs wait there as
+// it starts within a wait. This dispatcher's own outstanding attempts are counted apart, as they are in load reports.
 func (b *Balancer) queueOfWait(w *worker, wait float64) float64 {
-	return wait * w.kind.slots / b.jobTime
+	queue := wait * w.kind.slots / b.jobTime
+	return max(queue-float64(len(w.ownAttempts)), -w.kind.slots)
 }
 
 // updateMeanQueued updates the moving average of the jobs that wait at a worker.
