--- a/internal/lab/admission/options.go
+++ b/internal/lab/admission/options.go
@@ -57,13 +57,16 @@
 
 // variants returns the combinations of everything but the number of dispatchers and the seed.
 func (o Options) variants() (variants []Scenario) {
+	base := Scenario{Classes: ClassSet(o.Classes), Length: o.Length, SilentList: o.SilentList,
+		WorkersPerDispatcher: o.WorkersPerDispatcher, RetryShare: o.RetryShare}
 	for _, shape := range o.Shapes {
 		for _, reports := range o.Reports {
 			for _, cut := range o.CutSeconds {
 				for _, load := range o.Loads {
-					variants = append(variants, Scenario{Load: load, Shape: Shape(shape), Reports: Reports(reports),
-						Cut: time.Duration(cut) * time.Second, Classes: ClassSet(o.Classes), Length: o.Length,
-						SilentList: o.SilentList, WorkersPerDispatcher: o.WorkersPerDispatcher, RetryShare: o.RetryShare})
+					s := base
+					s.Load, s.Shape, s.Reports = load, Shape(shape), Reports(reports)
+					s.Cut = time.Duration(cut) * time.Second
+					variants = append(variants, s)
 				}
 			}
 		}
