--- a/internal/lab/admission/scenario.go
+++ b/internal/lab/admission/scenario.go
@@ -45,7 +45,7 @@
 	Classes              ClassSet      `json:"classes"`
 	Cut                  time.Duration `json:"cut_ns"`         // how long the paths between zones are lost; 0: no cut
 	SilentList           time.Duration `json:"silent_list_ns"` // how long no list arrives, from the time of the cut
-	Length               time.Duration `json:"length_ns"`      // of the measured part, unless the cut needs a longer one
+	Length               time.Duration `json:"length_ns"`      // of the measured part, unless a cut needs more
 	RetryShare           float64       `json:"retry_share"`    // share of the clients that retry a refusal, once
 	Seed                 uint64        `json:"seed"`
 }
